--- a/Makefile
+++ b/Makefile
@@ -5,10 +5,12 @@
 CACHE_BIN   := $(CURDIR)/.cache/bin
 LINT_VERSION := v2.15.0
 LINT        := $(CACHE_BIN)/golangci-lint-$(LINT_VERSION)
+GOPLS_VERSION := v0.22.0
+GOPLS       := $(CACHE_BIN)/gopls-$(GOPLS_VERSION)
 PROTOC_GEN  := $(CACHE_BIN)/protoc-gen-go
 DEPLOYMENT  ?= lakeshore
 
-.PHONY: help build demo test bench fmt lint generate clean
+.PHONY: help build demo test bench fmt lint rename generate clean
 
 help: ## list the targets
 	@grep -hE '^[a-z]+:.*##' $(MAKEFILE_LIST) | sed 's/:.*## /\t/'
@@ -40,6 +42,9 @@
 	$(LINT) fmt --diff ./...
 	$(LINT) run ./...
 
+rename: $(GOPLS) ## rename an identifier everywhere (AT=FILE:LINE:COLUMN TO=NewName)
+	$(GOPLS) rename -w $(AT) $(TO)
+
 generate: $(PROTOC_GEN) ## regenerate internal/wire (needs protoc from Debian's protobuf-compiler)
 	PATH=$(CACHE_BIN):$$PATH protoc -I proto --go_out=. --go_opt=module=fescuestand proto/*.proto
 
@@ -48,6 +53,11 @@
 	GOBIN=$(CACHE_BIN) $(GO) install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
 	mv $(CACHE_BIN)/golangci-lint $(LINT)
 
+$(GOPLS):
+	mkdir -p $(CACHE_BIN)
+	GOBIN=$(CACHE_BIN) $(GO) install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(CACHE_BIN)/gopls $(GOPLS)
+
 $(PROTOC_GEN):
 	mkdir -p $(CACHE_BIN)
 	GOBIN=$(CACHE_BIN) $(GO) install google.golang.org/protobuf/cmd/protoc-gen-go
