--- a/internal/policy/roles/config.go
+++ b/internal/policy/roles/config.go
@@ -6,9 +6,9 @@
 type Config struct {
 	// Self is the name of this control process, as in Engine.Holder.
 	Self string
-	// Price is the work in engine seconds that a change has to win beyond what
+	// ChangeCost is the work in engine seconds that a change has to win beyond what
 	// it loses.
-	Price float64
+	ChangeCost float64
 	// PerHour is the ceiling of the pool's changes in an hour; zero forbids
 	// changes.
 	PerHour int
--- a/internal/policy/roles/measure_test.go
+++ b/internal/policy/roles/measure_test.go
@@ -223,7 +223,7 @@
 				var all []func() loadtest.Policy
 				for _, price := range []float64{0, 5, 10, 20, 40, 60, 80, 120} {
 					sheet := d.sheet
-					sheet.Price = price
+					sheet.ChangeCost = price
 					all = append(all, entries(fmt.Sprintf("price %.0f", price), morning, planned(sheet, nil)))
 				}
 				show(fmt.Sprintf("prices, %s, load %.1f", d.cfg.Name, load), measure(d.cfg, all...))
--- a/internal/policy/roles/planner.go
+++ b/internal/policy/roles/planner.go
@@ -265,5 +265,5 @@
 // the changes that win most.
 func (p *Planner) price() float64 {
 	left := p.cfg.PerHour - p.history.used(p.snap.ChangesLastHour)
-	return p.cfg.Price * float64(p.cfg.PerHour) / float64(max(left, 1))
+	return p.cfg.ChangeCost * float64(p.cfg.PerHour) / float64(max(left, 1))
 }
--- a/internal/policy/roles/planner_test.go
+++ b/internal/policy/roles/planner_test.go
@@ -200,7 +200,7 @@
 func TestOrdersKeepTheSheetsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := lakeshoreSheet()
-		cfg.Price = 0
+		cfg.ChangeCost = 0
 		cfg.PerHour = rapid.IntRange(0, 5).Draw(t, "per hour")
 		cfg.MaxAwayShare = rapid.Float64Range(0, 0.5).Draw(t, "away share")
 		cfg.Self = "a"
