--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -87,7 +87,7 @@
 // planRoles lets the planner look at a pool and act.
 func (s *state) planRoles(p *pool) {
 	cfg := roles.Config{
-		Self: s.opt.VM, ChangeCost: p.spec.Roles.ChangePrice, PerHour: p.spec.Roles.MaxChangesPerHour,
+		Self: s.opt.VM, ChangeCost: p.spec.Roles.ChangePrice, MaxChangesPerHour: p.spec.Roles.MaxChangesPerHour,
 		MaxAwayShare: p.spec.MaxAwayShare, Away: expectedAway,
 	}
 	if p.plan == nil {
--- a/internal/policy/roles/config.go
+++ b/internal/policy/roles/config.go
@@ -9,9 +9,9 @@
 	// ChangeCost is the work in engine seconds that a change has to win beyond what
 	// it loses.
 	ChangeCost float64
-	// PerHour is the ceiling of the pool's changes in an hour; zero forbids
+	// MaxChangesPerHour is the ceiling of the pool's changes in an hour; zero forbids
 	// changes.
-	PerHour int
+	MaxChangesPerHour int
 	// MaxAwayShare is the share of the pool that may be away at once, for
 	// whatever reason.
 	MaxAwayShare float64
--- a/internal/policy/roles/planner.go
+++ b/internal/policy/roles/planner.go
@@ -80,7 +80,7 @@
 	total := float64(len(p.snap.Engines))
 	n := int(p.cfg.MaxAwayShare * total / 2)
 	free := int(p.cfg.MaxAwayShare*total) - v.away
-	left := p.cfg.PerHour - p.history.used(p.snap.ChangesLastHour)
+	left := p.cfg.MaxChangesPerHour - p.history.used(p.snap.ChangesLastHour)
 	return min(max(n, 1), max(free, 1), left)
 }
 
@@ -161,7 +161,7 @@
 		return HoldNoDemand
 	case v.prefill+v.decode < 2:
 		return HoldNoSplit
-	case p.history.used(p.snap.ChangesLastHour) >= p.cfg.PerHour:
+	case p.history.used(p.snap.ChangesLastHour) >= p.cfg.MaxChangesPerHour:
 		return HoldCeiling
 	case float64(v.away+1) > p.cfg.MaxAwayShare*float64(total) && !p.lost(v):
 		return HoldAway
@@ -264,6 +264,6 @@
 // price rises as the hourly ceiling is used up, so that what is left goes to
 // the changes that win most.
 func (p *Planner) price() float64 {
-	left := p.cfg.PerHour - p.history.used(p.snap.ChangesLastHour)
-	return p.cfg.ChangeCost * float64(p.cfg.PerHour) / float64(max(left, 1))
+	left := p.cfg.MaxChangesPerHour - p.history.used(p.snap.ChangesLastHour)
+	return p.cfg.ChangeCost * float64(p.cfg.MaxChangesPerHour) / float64(max(left, 1))
 }
--- a/internal/policy/roles/planner_test.go
+++ b/internal/policy/roles/planner_test.go
@@ -201,7 +201,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := lakeshoreSheet()
 		cfg.ChangeCost = 0
-		cfg.PerHour = rapid.IntRange(0, 5).Draw(t, "per hour")
+		cfg.MaxChangesPerHour = rapid.IntRange(0, 5).Draw(t, "per hour")
 		cfg.MaxAwayShare = rapid.Float64Range(0, 0.5).Draw(t, "away share")
 		cfg.Self = "a"
 		p := roles.NewPlanner(cfg)
@@ -214,7 +214,7 @@
 			total += len(changes)
 			obey(t, cfg, &s, changes)
 		}
-		assert.Assert(t, total <= cfg.PerHour)
+		assert.Assert(t, total <= cfg.MaxChangesPerHour)
 	})
 }
 
