--- a/internal/policy/roles/config.go
+++ b/internal/policy/roles/config.go
@@ -12,9 +12,9 @@
 	// MaxChangesPerHour is the ceiling of the pool's changes in an hour; zero forbids
 	// changes.
 	MaxChangesPerHour int
-	// MaxAwayShare is the share of the pool that may be away at once, for
+	// MaxUnavailableShare is the share of the pool that may be away at once, for
 	// whatever reason.
-	MaxAwayShare float64
+	MaxUnavailableShare float64
 	// Away is how long a change takes an engine away, draining included.
 	Away time.Duration
 	// Guards switches single guards off. Only tests do, to show what a guard
--- a/internal/policy/roles/planner.go
+++ b/internal/policy/roles/planner.go
@@ -78,8 +78,8 @@
 // follow the mix one engine at a time.
 func (p *Planner) batch(v outlook) int {
 	total := float64(len(p.snap.Engines))
-	n := int(p.cfg.MaxAwayShare * total / 2)
-	free := int(p.cfg.MaxAwayShare*total) - v.away
+	n := int(p.cfg.MaxUnavailableShare * total / 2)
+	free := int(p.cfg.MaxUnavailableShare*total) - v.away
 	left := p.cfg.MaxChangesPerHour - p.history.used(p.snap.ChangesLastHour)
 	return min(max(n, 1), max(free, 1), left)
 }
@@ -163,7 +163,7 @@
 		return HoldNoSplit
 	case p.history.used(p.snap.ChangesLastHour) >= p.cfg.MaxChangesPerHour:
 		return HoldCeiling
-	case float64(v.away+1) > p.cfg.MaxAwayShare*float64(total) && !p.lost(v):
+	case float64(v.away+1) > p.cfg.MaxUnavailableShare*float64(total) && !p.lost(v):
 		return HoldAway
 	case (v.changing > 0 || len(p.history.orders) > 0) && !g.NoSettle:
 		return HoldInFlight
@@ -183,7 +183,7 @@
 // CrashGrace: the pool is smaller then, and its share is taken of the rest.
 func (p *Planner) lost(v outlook) bool {
 	rest := float64(len(p.snap.Engines) - v.away)
-	return v.changing == 0 && v.recent == 0 && p.cfg.MaxAwayShare*rest >= 1
+	return v.changing == 0 && v.recent == 0 && p.cfg.MaxUnavailableShare*rest >= 1
 }
 
 // emptyRole reports whether one role has no ready engine while the other can
--- a/internal/policy/roles/planner_test.go
+++ b/internal/policy/roles/planner_test.go
@@ -73,7 +73,7 @@
 		held.Engines[i].Holder = "another"
 	}
 	strict := lakeshoreSheet()
-	strict.MaxAwayShare = 0.05
+	strict.MaxUnavailableShare = 0.05
 	named := lakeshoreSheet()
 	named.Self = "self"
 	for _, c := range []struct {
@@ -110,7 +110,7 @@
 	crashed.Engines[1].State = roles.Down
 	after := func(g roles.Guards) int {
 		cfg := lakeshoreSheet()
-		cfg.MaxAwayShare = 0.5
+		cfg.MaxUnavailableShare = 0.5
 		cfg.Guards = g
 		p := roles.NewPlanner(cfg)
 		none, now := feed(p, 0, 30*time.Second, pool(6, 6, 5, 3.5))
@@ -149,7 +149,7 @@
 	c, at := feed(p, now, 5*time.Second, gone)
 	assert.Equal(t, len(c), 0, "two of ten away, and a quarter may be")
 	cfg := cevallosSheet()
-	cfg.MaxAwayShare = 0.3
+	cfg.MaxUnavailableShare = 0.3
 	p.SetConfig(cfg)
 	c, _ = feed(p, at, 5*time.Second, gone)
 	assert.Equal(t, len(c), 1)
@@ -202,7 +202,7 @@
 		cfg := lakeshoreSheet()
 		cfg.ChangeCost = 0
 		cfg.MaxChangesPerHour = rapid.IntRange(0, 5).Draw(t, "per hour")
-		cfg.MaxAwayShare = rapid.Float64Range(0, 0.5).Draw(t, "away share")
+		cfg.MaxUnavailableShare = rapid.Float64Range(0, 0.5).Draw(t, "away share")
 		cfg.Self = "a"
 		p := roles.NewPlanner(cfg)
 		s := pool(rapid.IntRange(0, 6).Draw(t, "prefill"), rapid.IntRange(0, 6).Draw(t, "decode"), 0, 0)
@@ -256,7 +256,7 @@
 		}
 	}
 	if len(changes) > 0 && away == 0 {
-		assert.Assert(t, float64(len(changes)) <= cfg.MaxAwayShare*float64(len(s.Engines)))
+		assert.Assert(t, float64(len(changes)) <= cfg.MaxUnavailableShare*float64(len(s.Engines)))
 	}
 }
 
--- a/internal/policy/roles/swing_test.go
+++ b/internal/policy/roles/swing_test.go
@@ -143,7 +143,7 @@
 	cfg.Faults = []loadtest.Fault{{Kind: loadtest.Crash, At: 3 * time.Minute, For: 20 * time.Second, Engines: []int{0, 1, 2, 3}}}
 	run := func(g roles.Guards) loadtest.Result {
 		sheet := lakeshoreSheet()
-		sheet.MaxAwayShare = 0.5
+		sheet.MaxUnavailableShare = 0.5
 		sheet.Guards = g
 		return loadtest.Run(cfg, entries("ours", loadtest.SplitShare(0.5), planned(sheet, nil))(), 1)
 	}
