--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -88,7 +88,7 @@
 func (s *state) planRoles(p *pool) {
 	cfg := roles.Config{
 		Self: s.opt.VM, ChangeCost: p.spec.Roles.ChangePrice, MaxChangesPerHour: p.spec.Roles.MaxChangesPerHour,
-		MaxUnavailableShare: p.spec.MaxAwayShare, Away: expectedAway,
+		MaxUnavailableShare: p.spec.MaxAwayShare, ChangeDuration: expectedAway,
 	}
 	if p.plan == nil {
 		p.plan = &planner{roles: roles.NewPlanner(cfg), rates: map[string]entryRate{}}
--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -21,11 +21,11 @@
 )
 
 func lakeshoreSheet() roles.Config {
-	return roles.Config{ChangeCost: lakeshorePrice, MaxChangesPerHour: lakeshorePerHour, MaxUnavailableShare: maxAwayShare, Away: awayTime}
+	return roles.Config{ChangeCost: lakeshorePrice, MaxChangesPerHour: lakeshorePerHour, MaxUnavailableShare: maxAwayShare, ChangeDuration: awayTime}
 }
 
 func cevallosSheet() roles.Config {
-	return roles.Config{ChangeCost: cevallosPrice, MaxChangesPerHour: cevallosPerHour, MaxUnavailableShare: maxAwayShare, Away: awayTime}
+	return roles.Config{ChangeCost: cevallosPrice, MaxChangesPerHour: cevallosPerHour, MaxUnavailableShare: maxAwayShare, ChangeDuration: awayTime}
 }
 
 // plan drives a planner from a view of the event loop.
--- a/internal/policy/roles/config.go
+++ b/internal/policy/roles/config.go
@@ -15,8 +15,8 @@
 	// MaxUnavailableShare is the share of the pool that may be away at once, for
 	// whatever reason.
 	MaxUnavailableShare float64
-	// Away is how long a change takes an engine away, draining included.
-	Away time.Duration
+	// ChangeDuration is how long a change takes an engine away, draining included.
+	ChangeDuration time.Duration
 	// Guards switches single guards off. Only tests do, to show what a guard
 	// prevents.
 	Guards Guards
--- a/internal/policy/roles/planner.go
+++ b/internal/policy/roles/planner.go
@@ -233,7 +233,7 @@
 	if d := p.history.away[to.other()]; d > 0 {
 		return d
 	}
-	return p.cfg.Away
+	return p.cfg.ChangeDuration
 }
 
 // reason weighs one more change to a role and sets hold if it is not to be made.
