--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -185,7 +185,7 @@
 		a.OutputTokensPerSec += r.output
 		q.PromptTokens += r.waiting
 	}
-	a.Age = roles.StaleAfter + 1
+	a.Age = roles.MaxReportAge + 1
 	if oldest > 0 {
 		a.Age = now.Sub(oldest)
 	}
--- a/internal/policy/roles/config.go
+++ b/internal/policy/roles/config.go
@@ -68,9 +68,9 @@
 	// OrderTimeout is when an order without visible effect counts as lost.
 	OrderTimeout = 15 * time.Second
 
-	// StaleAfter is the age at which a report says nothing any more: the
+	// MaxReportAge is the age at which a report says nothing any more: the
 	// longest ordinary lag of two seconds and four reports lost.
-	StaleAfter = 5 * time.Second
+	MaxReportAge = 5 * time.Second
 
 	// StaleShare is the share of the pool without fresh reports above which the
 	// planner holds.
--- a/internal/policy/roles/pick.go
+++ b/internal/policy/roles/pick.go
@@ -26,7 +26,7 @@
 }
 
 func movable(e Engine, from Role) bool {
-	return e.Role == from && e.State == Ready && e.ReportAge >= 0 && e.ReportAge <= StaleAfter
+	return e.Role == from && e.State == Ready && e.ReportAge >= 0 && e.ReportAge <= MaxReportAge
 }
 
 // lessHurt orders engines by what their callers lose: streams that have to
--- a/internal/policy/roles/planner.go
+++ b/internal/policy/roles/planner.go
@@ -39,7 +39,7 @@
 	slices.SortFunc(s.Engines, func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
 	p.snap = s
 	p.history.observe(now, s.Engines)
-	if s.Arrivals.Age > StaleAfter || s.Rates.PrefillTokensPerSec <= 0 || s.Rates.DecodeTokensPerSec <= 0 {
+	if s.Arrivals.Age > MaxReportAge || s.Rates.PrefillTokensPerSec <= 0 || s.Rates.DecodeTokensPerSec <= 0 {
 		return
 	}
 	backlog := backlogWindow.Seconds()
@@ -134,7 +134,7 @@
 		v.away++
 		return
 	}
-	if e.ReportAge < 0 || e.ReportAge > StaleAfter {
+	if e.ReportAge < 0 || e.ReportAge > MaxReportAge {
 		v.stale++
 	} else {
 		v.oldest = max(v.oldest, e.ReportAge)
--- a/internal/policy/roles/swing_test.go
+++ b/internal/policy/roles/swing_test.go
@@ -106,7 +106,7 @@
 	var o orders
 	loadtest.Run(cfg, plain(planned(lakeshoreSheet(), o.log)), 1)
 	for _, at := range o.at {
-		silent := at > clock.Time(from+roles.StaleAfter) && at < clock.Time(from+d)
+		silent := at > clock.Time(from+roles.MaxReportAge) && at < clock.Time(from+d)
 		assert.Assert(t, !silent, "order at %v", time.Duration(at))
 	}
 	assert.Assert(t, len(o.at) > 0)
