--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -60,7 +60,7 @@
 type planner struct {
 	roles *roles.Planner
 	rates map[string]entryRate // by entry VM
-	hold  roles.Hold
+	hold  roles.HoldReason
 }
 
 // rateTimeout drops the rate of an entry that has gone silent: its callers
--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -32,10 +32,10 @@
 type plan struct {
 	planner *roles.Planner
 	setup   loadtest.Setup
-	log     func(clock.Time, roles.Change, roles.Hold)
+	log     func(clock.Time, roles.Change, roles.HoldReason)
 }
 
-func planned(cfg roles.Config, log func(clock.Time, roles.Change, roles.Hold)) func(loadtest.Setup) loadtest.RolePlan {
+func planned(cfg roles.Config, log func(clock.Time, roles.Change, roles.HoldReason)) func(loadtest.Setup) loadtest.RolePlan {
 	return func(s loadtest.Setup) loadtest.RolePlan {
 		if s.Config.Planners > 1 {
 			cfg.Self = holder(s.Index)
--- a/internal/policy/roles/hold.go
+++ b/internal/policy/roles/hold.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Hold is why the planner leaves the roles as they are.
-type Hold int
+// HoldReason is why the planner leaves the roles as they are.
+type HoldReason int
 
 // The reasons to hold.
 const (
-	Acts          Hold = iota // it does not hold
+	Acts          HoldReason = iota // it does not hold
 	HoldNoDemand              // no arrivals measured yet
 	HoldNoSplit               // fewer than two engines with a role of their own
 	HoldCeiling               // the hour's changes are used up
@@ -26,7 +26,7 @@
 	"explained", "stale", "settling", "last_engine", "price", "turn",
 }
 
-func (h Hold) String() string {
+func (h HoldReason) String() string {
 	if h < 0 || int(h) >= len(holdNames) {
 		return fmt.Sprintf("hold(%d)", int(h))
 	}
--- a/internal/policy/roles/planner.go
+++ b/internal/policy/roles/planner.go
@@ -14,7 +14,7 @@
 	snap    Snapshot
 	demand  demand
 	history history
-	hold    Hold
+	hold    HoldReason
 	short   shortage
 	payback time.Duration
 }
@@ -85,7 +85,7 @@
 }
 
 // Hold tells why the last call of Plan returned no change.
-func (p *Planner) Hold() Hold { return p.hold }
+func (p *Planner) Hold() HoldReason { return p.hold }
 
 // outlook is a snapshot counted.
 type outlook struct {
@@ -153,7 +153,7 @@
 }
 
 // mayAct checks everything but whether a change is worth it.
-func (p *Planner) mayAct(now clock.Time, v outlook) Hold {
+func (p *Planner) mayAct(now clock.Time, v outlook) HoldReason {
 	g := p.cfg.Guards
 	total := len(p.snap.Engines)
 	switch {
--- a/internal/policy/roles/planner_test.go
+++ b/internal/policy/roles/planner_test.go
@@ -80,7 +80,7 @@
 		name string
 		cfg  roles.Config
 		snap roles.Snapshot
-		want roles.Hold
+		want roles.HoldReason
 	}{
 		{"a balanced pool", lakeshoreSheet(), balanced, roles.HoldPrice},
 		{"reports missing", lakeshoreSheet(), silent, roles.HoldStale},
--- a/internal/policy/roles/swing_test.go
+++ b/internal/policy/roles/swing_test.go
@@ -29,7 +29,7 @@
 // orders records when which planner ordered a change.
 type orders struct{ at []clock.Time }
 
-func (o *orders) log(now clock.Time, _ roles.Change, _ roles.Hold) { o.at = append(o.at, now) }
+func (o *orders) log(now clock.Time, _ roles.Change, _ roles.HoldReason) { o.at = append(o.at, now) }
 
 // within counts pairs of successive orders less than d apart.
 func (o *orders) within(d time.Duration) int {
