--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -103,7 +103,7 @@
 		log.WithField("engine", c.Engine).WithField("to", c.To.String()).WithField("why", c.Reason.String()).Info("role planned")
 		p.roles[c.Engine] = driver.Role(c.To.String())
 	}
-	if h := p.plan.roles.Hold(); h != p.plan.hold {
+	if h := p.plan.roles.HoldReason(); h != p.plan.hold {
 		p.plan.hold = h
 		log.WithField("pool", p.spec.Name).WithField("hold", h).Debug("role planner")
 	}
--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -51,7 +51,7 @@
 	var out []loadtest.Change
 	for _, c := range p.planner.Plan(now) {
 		if p.log != nil {
-			p.log(now, c, p.planner.Hold())
+			p.log(now, c, p.planner.HoldReason())
 		}
 		var id int
 		_, _ = fmt.Sscanf(c.Engine, "runner-%d", &id)
--- a/internal/policy/roles/planner.go
+++ b/internal/policy/roles/planner.go
@@ -84,8 +84,8 @@
 	return min(max(n, 1), max(free, 1), left)
 }
 
-// Hold tells why the last call of Plan returned no change.
-func (p *Planner) Hold() HoldReason { return p.hold }
+// HoldReason tells why the last call of Plan returned no change.
+func (p *Planner) HoldReason() HoldReason { return p.hold }
 
 // outlook is a snapshot counted.
 type outlook struct {
--- a/internal/policy/roles/planner_test.go
+++ b/internal/policy/roles/planner_test.go
@@ -95,7 +95,7 @@
 			p := roles.NewPlanner(c.cfg)
 			got, _ := feed(p, 0, 2*time.Minute, c.snap)
 			assert.Equal(t, len(got), 0)
-			assert.Equal(t, p.Hold(), c.want, p.Hold().String())
+			assert.Equal(t, p.HoldReason(), c.want, p.HoldReason().String())
 		})
 	}
 }
