--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -133,7 +133,7 @@
 		engines[i] = stages.Engine{ID: e.ID, Stage: e.Stage, Load: u.Load(e.ID)}
 	}
 	d := u.Demand()
-	d.Slots = slots
+	d.SlotsPerEngine = slots
 	u.takeHeard(p, open)
 	for range ordersAtOnce {
 		c, wanted := p.Plan(u.Clock.Now(), slices.Clone(engines), d)
--- a/internal/policy/stages/stages.go
+++ b/internal/policy/stages/stages.go
@@ -83,15 +83,15 @@
 type Demand struct {
 	Prefill float64 // prefill engines that would be busy all the time
 	Streams float64 // streams at a time
-	Slots   int     // of an engine, zero if not known
+	SlotsPerEngine   int     // of an engine, zero if not known
 }
 
 // perEngine is how many streams a decode engine is to have.
 func (d Demand) perEngine() float64 {
-	if d.Slots == 0 {
+	if d.SlotsPerEngine == 0 {
 		return mostStreams
 	}
-	return min(slotShare*float64(d.Slots), mostStreams)
+	return min(slotShare*float64(d.SlotsPerEngine), mostStreams)
 }
 
 // need returns how many engines of each stage the demand keeps well busy.
--- a/internal/policy/stages/stages_test.go
+++ b/internal/policy/stages/stages_test.go
@@ -34,11 +34,11 @@
 		{"none", 0, Demand{}, 0},
 		{"too few to split", 3, Demand{}, 0},
 		{"one of each may crash", 4, Demand{Prefill: 4}, 2},
-		{"no traffic", 12, Demand{Slots: 96}, 6},
-		{"no traffic, few slots", 89, Demand{Slots: 16}, 45},
-		{"long prompts", 12, Demand{Prefill: 5, Streams: 100, Slots: 96}, 6},
-		{"long answers", 12, Demand{Prefill: 2, Streams: 250, Slots: 96}, 3},
-		{"few slots", 89, Demand{Prefill: 18, Streams: 420, Slots: 16}, 36},
+		{"no traffic", 12, Demand{SlotsPerEngine: 96}, 6},
+		{"no traffic, few slots", 89, Demand{SlotsPerEngine: 16}, 45},
+		{"long prompts", 12, Demand{Prefill: 5, Streams: 100, SlotsPerEngine: 96}, 6},
+		{"long answers", 12, Demand{Prefill: 2, Streams: 250, SlotsPerEngine: 96}, 3},
+		{"few slots", 89, Demand{Prefill: 18, Streams: 420, SlotsPerEngine: 16}, 36},
 	} {
 		assert.Equal(t, Prefillers(tc.n, tc.d), tc.want, tc.name)
 	}
@@ -48,7 +48,7 @@
 // needs, and has too few of them for the next burst of prompts. Pattern: more engines
 // than the mix keeps busy, bursts of prompts.
 func TestSpareEnginesGoOnPrefilling(t *testing.T) {
-	calm := Demand{Prefill: 6.5, Streams: 200, Slots: 12}
+	calm := Demand{Prefill: 6.5, Streams: 200, SlotsPerEngine: 12}
 	assert.Equal(t, Prefillers(79, calm), 22)
 	for _, tc := range []struct {
 		name string
@@ -60,14 +60,14 @@
 		{"more, and decode engines to spare", 39, calm, 0},
 		{"more than half", 45, calm, 6},
 		{"too few", 15, calm, -7},
-		{"decode engines needed", 39, Demand{Prefill: 6.5, Streams: 400, Slots: 12}, 25},
-		{"none to spare", 39, Demand{Prefill: 20, Streams: 300, Slots: 12}, 4},
+		{"decode engines needed", 39, Demand{Prefill: 6.5, Streams: 400, SlotsPerEngine: 12}, 25},
+		{"none to spare", 39, Demand{Prefill: 20, Streams: 300, SlotsPerEngine: 12}, 4},
 	} {
 		assert.Equal(t, off(tc.have, 79, tc.d), tc.want, tc.name)
 	}
-	assert.Equal(t, off(170, 999, Demand{Slots: 12}), 0, "a large fleet without traffic")
-	assert.Equal(t, off(10, 999, Demand{Slots: 12}), -38)
-	assert.Equal(t, off(600, 999, Demand{Slots: 12}), 100)
+	assert.Equal(t, off(170, 999, Demand{SlotsPerEngine: 12}), 0, "a large fleet without traffic")
+	assert.Equal(t, off(10, 999, Demand{SlotsPerEngine: 12}), -38)
+	assert.Equal(t, off(600, 999, Demand{SlotsPerEngine: 12}), 100)
 	assert.Equal(t, off(6, 12, Demand{}), 0)
 	assert.Equal(t, off(7, 12, Demand{}), 1, "without traffic")
 }
@@ -165,9 +165,9 @@
 func TestSwingsThatNoChangeCanFollowAreLeftAlone(t *testing.T) {
 	p := NewPlanner()
 	for now := clock.Time(0); now < clock.Time(60*time.Second); now = now.Add(500 * time.Millisecond) {
-		d := Demand{Prefill: 5, Streams: 120, Slots: 96}
+		d := Demand{Prefill: 5, Streams: 120, SlotsPerEngine: 96}
 		if now.Sub(0)/(3*time.Second)%2 == 0 {
-			d = Demand{Prefill: 2, Streams: 250, Slots: 96}
+			d = Demand{Prefill: 2, Streams: 250, SlotsPerEngine: 96}
 		}
 		_, ok := p.Plan(now, fleet(6, 6), d)
 		assert.Assert(t, !ok, "at %s", now.Sub(0))
@@ -178,7 +178,7 @@
 // time, so that the others can carry the load.
 func TestALastingChangeOfTheMixIsFollowedAFewAtATime(t *testing.T) {
 	p := NewPlanner()
-	d := Demand{Prefill: 30, Streams: 420, Slots: 16}
+	d := Demand{Prefill: 30, Streams: 420, SlotsPerEngine: 16}
 	for now := clock.Time(0); now < clock.Time(10*time.Second); now = now.Add(500 * time.Millisecond) {
 		if c, ok := p.Plan(now, fleet(22, 67), d); ok {
 			assert.Equal(t, c.To, catalog.Prefill)
@@ -192,7 +192,7 @@
 // their work, and callers are refused until others have changed.
 func TestMissingDecodeEnginesAreReplacedSoon(t *testing.T) {
 	p := NewPlanner()
-	d := Demand{Prefill: 5, Streams: 190, Slots: 96}
+	d := Demand{Prefill: 5, Streams: 190, SlotsPerEngine: 96}
 	for now := clock.Time(0); now < clock.Time(5*time.Second); now = now.Add(500 * time.Millisecond) {
 		if c, ok := p.Plan(now, fleet(6, 4), d); ok {
 			assert.Equal(t, c.To, catalog.Decode)
@@ -206,7 +206,7 @@
 // were read at decode engines for ten seconds. Pattern: a third of the engines is
 // reclaimed, and as many new ones come.
 func TestNewEnginesAreSentToPrefillAtOnce(t *testing.T) {
-	d := Demand{Prefill: 12, Streams: 300, Slots: 16}
+	d := Demand{Prefill: 12, Streams: 300, SlotsPerEngine: 16}
 	p := NewPlanner()
 	now := clock.Time(time.Hour)
 	engines := fleet(60, 60)
@@ -243,7 +243,7 @@
 	for n := 100; n <= 3000; n += 100 {
 		engines := fleet(0, n)
 		for {
-			c, ok := p.Plan(now, slices.Clone(engines), Demand{Slots: 16})
+			c, ok := p.Plan(now, slices.Clone(engines), Demand{SlotsPerEngine: 16})
 			if !ok {
 				break
 			}
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -43,7 +43,7 @@
 		return 0
 	}
 	d := n.demand()
-	d.Slots = s.Engine.Slots
+	d.SlotsPerEngine = s.Engine.Slots
 	return measured(d, len(v.Open(service)))
 }
 
