--- a/internal/policy/stages/stages.go
+++ b/internal/policy/stages/stages.go
@@ -99,8 +99,8 @@
 	return d.Prefill / prefillLoad, d.Streams / d.perEngine()
 }
 
-// Engines returns how many engines the demand keeps well busy.
-func (d Demand) Engines() float64 {
+// RequiredEngines returns how many engines the demand keeps well busy.
+func (d Demand) RequiredEngines() float64 {
 	p, q := d.need()
 	return p + q
 }
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -52,7 +52,7 @@
 const leastNeed = 0.1
 
 func measured(d stages.Demand, endpoints int) float64 {
-	need := d.Engines()
+	need := d.RequiredEngines()
 	if need < leastNeed*float64(endpoints) {
 		return 0
 	}
