--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -88,7 +88,7 @@
 			continue
 		}
 		delete(u.heard, e.ID)
-		p.Ordered(at, stages.Change{ID: e.ID, To: otherStage(e.Stage)})
+		p.RecordOrder(at, stages.Change{ID: e.ID, To: otherStage(e.Stage)})
 	}
 }
 
@@ -160,7 +160,7 @@
 		u.Leaves(e)
 	}
 	if err != nil || r.Busy || r.Leaving || r.Stage == c.To {
-		p.Ordered(u.Clock.Now(), c) // left alone for a while
+		p.RecordOrder(u.Clock.Now(), c) // left alone for a while
 		entry.WithError(err).WithField("busy", r.Busy).WithField("leaving", r.Leaving).WithField("stage", r.Stage).Info("engine not ordered")
 		return
 	}
@@ -171,7 +171,7 @@
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	err = u.Engine.Order(ctx, e, c.To, r, fence)
-	p.Ordered(u.Clock.Now(), c)
+	p.RecordOrder(u.Clock.Now(), c)
 	if err == nil {
 		u.Ordered(e.ID)
 	}
--- a/internal/policy/stages/stages.go
+++ b/internal/policy/stages/stages.go
@@ -298,5 +298,5 @@
 	return Change{best.ID, to}, true
 }
 
-// Ordered notes that the change was ordered, or may have been.
-func (p *Planner) Ordered(now clock.Time, c Change) { p.ordered[c.ID] = order{c.To, now} }
+// RecordOrder notes that the change was ordered, or may have been.
+func (p *Planner) RecordOrder(now clock.Time, c Change) { p.ordered[c.ID] = order{c.To, now} }
--- a/internal/policy/stages/stages_test.go
+++ b/internal/policy/stages/stages_test.go
@@ -91,7 +91,7 @@
 		if c, ok := p.Plan(now, seen, Demand{}); ok {
 			changes++
 			due[c.ID], to[c.ID] = now.Add(4*time.Second), c.To
-			p.Ordered(now, c)
+			p.RecordOrder(now, c)
 		}
 	}
 	return changes
@@ -152,7 +152,7 @@
 	for now := clock.Time(0); now < clock.Time(20*time.Second); now = now.Add(500 * time.Millisecond) {
 		if c, ok := p.Plan(now, fleet(1, 3), Demand{}); ok {
 			at = append(at, now.Sub(0))
-			p.Ordered(now, c)
+			p.RecordOrder(now, c)
 		}
 	}
 	assert.Equal(t, len(at), 2, "%v", at)
@@ -182,7 +182,7 @@
 	for now := clock.Time(0); now < clock.Time(10*time.Second); now = now.Add(500 * time.Millisecond) {
 		if c, ok := p.Plan(now, fleet(22, 67), d); ok {
 			assert.Equal(t, c.To, catalog.Prefill)
-			p.Ordered(now, c)
+			p.RecordOrder(now, c)
 		}
 	}
 	assert.Equal(t, len(p.ordered), 4)
@@ -196,7 +196,7 @@
 	for now := clock.Time(0); now < clock.Time(5*time.Second); now = now.Add(500 * time.Millisecond) {
 		if c, ok := p.Plan(now, fleet(6, 4), d); ok {
 			assert.Equal(t, c.To, catalog.Decode)
-			p.Ordered(now, c)
+			p.RecordOrder(now, c)
 		}
 	}
 	assert.Equal(t, len(p.ordered), 1)
@@ -225,7 +225,7 @@
 		}
 		assert.Equal(t, c.ID[:3], "new")
 		assert.Equal(t, c.To, catalog.Prefill)
-		p.Ordered(now, c)
+		p.RecordOrder(now, c)
 		turned++
 	}
 	assert.Assert(t, turned >= 6 && turned <= 20, "%d", turned)
@@ -247,7 +247,7 @@
 			if !ok {
 				break
 			}
-			p.Ordered(now, c)
+			p.RecordOrder(now, c)
 			turned++
 		}
 		now = now.Add(100 * time.Millisecond)
