--- a/internal/policy/autoscale/autoscale.go
+++ b/internal/policy/autoscale/autoscale.go
@@ -42,8 +42,8 @@
 	askAgain = 2 * time.Second
 )
 
-// Pool is what takes work in one availability zone.
-type Pool struct {
+// ZonePool is what takes work in one availability zone.
+type ZonePool struct {
 	Zone    string
 	Price   float64 // of a regular endpoint's second
 	Regular int     // endpoints that can't be reclaimed
@@ -92,9 +92,9 @@
 
 // Plan returns the targets of all zones. need is how many endpoints the load keeps well
 // busy, zero if it isn't measured; the fleet then keeps the size that it has.
-func (p *Planner) Plan(now clock.Time, pools []Pool, l Limits, need float64) []Target {
+func (p *Planner) Plan(now clock.Time, pools []ZonePool, l Limits, need float64) []Target {
 	pools = slices.Clone(pools)
-	slices.SortFunc(pools, func(a, b Pool) int { return cmp.Or(cmp.Compare(a.Price, b.Price), cmp.Compare(a.Zone, b.Zone)) })
+	slices.SortFunc(pools, func(a, b ZonePool) int { return cmp.Or(cmp.Compare(a.Price, b.Price), cmp.Compare(a.Zone, b.Zone)) })
 	p.note(now, need)
 	p.resize(now, pools, l)
 	if !l.spot() {
@@ -115,7 +115,7 @@
 
 // resize decides the size of the whole fleet. It grows at once and shrinks late: until
 // the need has been measured for long enough, the fleet that stands is taken for it.
-func (p *Planner) resize(now clock.Time, pools []Pool, l Limits) {
+func (p *Planner) resize(now clock.Time, pools []ZonePool, l Limits) {
 	known := p.known(now)
 	if !known {
 		p.size = max(p.size, standing(pools, l))
@@ -135,7 +135,7 @@
 
 // standing is the size of the fleet of which the pools are a part: while spot endpoints
 // replace the regular ones, both stand, and a zone may have been reclaimed.
-func standing(pools []Pool, l Limits) int {
+func standing(pools []ZonePool, l Limits) int {
 	regular, spot := 0, 0
 	for _, z := range pools {
 		regular += z.Regular
@@ -154,7 +154,7 @@
 }
 
 // spread divides regular endpoints evenly, the cheapest zones first.
-func spread(pools []Pool, l Limits, size int) []Target {
+func spread(pools []ZonePool, l Limits, size int) []Target {
 	out := make([]Target, len(pools))
 	for i, z := range pools {
 		n := (size + len(pools) - 1 - i) / len(pools)
@@ -166,7 +166,7 @@
 // mixed divides the fleet into spot endpoints, as many in each zone, and regular ones in
 // the cheapest. A zone that had no spot ones is expected to have none also when it is
 // asked again: what makes up for it stands meanwhile.
-func (p *Planner) mixed(now clock.Time, pools []Pool, l Limits) []Target {
+func (p *Planner) mixed(now clock.Time, pools []ZonePool, l Limits) []Target {
 	regular := p.regular(pools, l)
 	share := ceilDiv(max(p.size-regular, 0), len(pools))
 	out := make([]Target, len(pools))
@@ -197,14 +197,14 @@
 func ceilDiv(a, b int) int { return (a + b - 1) / b }
 
 // regular is how many endpoints are to be regular ones.
-func (p *Planner) regular(pools []Pool, l Limits) int {
+func (p *Planner) regular(pools []ZonePool, l Limits) int {
 	n := int(math.Ceil(regularShare * float64(p.size)))
 	return max(n, max(l.Min, 1)*len(pools))
 }
 
 // makeUp orders spot endpoints, which may be reclaimed next, for what the fleet lacks in
 // zones that give none or have no room, and regular ones for what the load needs then.
-func (p *Planner) makeUp(pools []Pool, l Limits, out []Target) {
+func (p *Planner) makeUp(pools []ZonePool, l Limits, out []Target) {
 	lacking := p.size - planned(out)
 	for i, z := range pools {
 		if !p.empty(z.Zone) {
@@ -234,7 +234,7 @@
 
 // keepUntilReplaced keeps endpoints of which a zone has too many until those that
 // replace them have come, and the two kinds together within the limits.
-func keepUntilReplaced(pools []Pool, l Limits, out []Target) {
+func keepUntilReplaced(pools []ZonePool, l Limits, out []Target) {
 	lacking := 0
 	for i, z := range pools {
 		out[i].Spot = max(min(out[i].Spot, l.Max-max(out[i].Regular, z.Regular)), 0)
--- a/internal/policy/autoscale/autoscale_test.go
+++ b/internal/policy/autoscale/autoscale_test.go
@@ -17,7 +17,7 @@
 	now     clock.Time
 	planner *Planner
 	limits  Limits
-	pools   []Pool
+	pools   []ZonePool
 	coming  []arrival
 	dry     map[string]bool
 	orders  int
@@ -38,7 +38,7 @@
 func newRegion(regular int) *region {
 	return &region{
 		now: clock.Time(time.Hour), planner: NewPlanner(), limits: limits, dry: map[string]bool{},
-		pools: []Pool{{"a", 1, regular, 0}, {"b", 0.8, regular, 0}, {"c", 1.25, regular, 0}},
+		pools: []ZonePool{{"a", 1, regular, 0}, {"b", 0.8, regular, 0}, {"c", 1.25, regular, 0}},
 	}
 }
 
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -128,7 +128,7 @@
 		if !may {
 			continue
 		}
-		i := slices.IndexFunc(pools, func(p autoscale.Pool) bool { return p.Zone == t.Zone })
+		i := slices.IndexFunc(pools, func(p autoscale.ZonePool) bool { return p.Zone == t.Zone })
 		u.order(ctx, s, Order{s.Name, t.Zone, t.Spot, true}, pools[i].Spot, need)
 		u.order(ctx, s, Order{s.Name, t.Zone, t.Regular, false}, pools[i].Regular, need)
 	}
@@ -136,15 +136,15 @@
 
 // pools returns the zones in which the service has had endpoints, with those that take
 // work now.
-func (k *service) pools(v *catalog.View, s *catalog.Service) []autoscale.Pool {
+func (k *service) pools(v *catalog.View, s *catalog.Service) []autoscale.ZonePool {
 	for _, e := range v.All() {
 		if e.Service == s.Name && !slices.Contains(k.zones, e.Zone) {
 			k.zones = append(k.zones, e.Zone)
 		}
 	}
-	pools := make([]autoscale.Pool, len(k.zones))
+	pools := make([]autoscale.ZonePool, len(k.zones))
 	for i, zone := range k.zones {
-		pools[i] = autoscale.Pool{Zone: zone, Price: cmp.Or(s.Scaling.ZonePrices[zone], 1)}
+		pools[i] = autoscale.ZonePool{Zone: zone, Price: cmp.Or(s.Scaling.ZonePrices[zone], 1)}
 	}
 	for _, e := range v.Open(s.Name) {
 		i := slices.Index(k.zones, e.Zone)
