--- a/internal/policy/autoscale/autoscale.go
+++ b/internal/policy/autoscale/autoscale.go
@@ -78,8 +78,8 @@
 // NewPlanner returns a planner without history.
 func NewPlanner() *Planner { return &Planner{emptyAt: map[string]clock.Time{}} }
 
-// NoneAvailable notes that a zone had no spot endpoints to give.
-func (p *Planner) NoneAvailable(now clock.Time, zone string) { p.emptyAt[zone] = now }
+// RecordSpotUnavailable notes that a zone had no spot endpoints to give.
+func (p *Planner) RecordSpotUnavailable(now clock.Time, zone string) { p.emptyAt[zone] = now }
 
 // Available notes that a zone gives spot endpoints.
 func (p *Planner) Available(zone string) { delete(p.emptyAt, zone) }
--- a/internal/policy/autoscale/autoscale_test.go
+++ b/internal/policy/autoscale/autoscale_test.go
@@ -74,7 +74,7 @@
 func (r *region) follow(i int, t Target) {
 	z := &r.pools[i]
 	if t.Spot > z.Spot && r.dry[z.Zone] {
-		r.planner.NoneAvailable(r.now, z.Zone)
+		r.planner.RecordSpotUnavailable(r.now, z.Zone)
 	} else if r.order(i, true, t.Spot, &z.Spot) {
 		r.planner.Available(z.Zone)
 	}
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -184,7 +184,7 @@
 			u.services[o.Service].planner.Available(o.Zone)
 		}
 	case errors.Is(err, ErrNoneAvailable):
-		u.services[o.Service].planner.NoneAvailable(now, o.Zone)
+		u.services[o.Service].planner.RecordSpotUnavailable(now, o.Zone)
 		delete(u.given, sub)
 	}
 }
