--- a/internal/policy/autoscale/autoscale.go
+++ b/internal/policy/autoscale/autoscale.go
@@ -81,8 +81,8 @@
 // RecordSpotUnavailable notes that a zone had no spot endpoints to give.
 func (p *Planner) RecordSpotUnavailable(now clock.Time, zone string) { p.emptyAt[zone] = now }
 
-// Available notes that a zone gives spot endpoints.
-func (p *Planner) Available(zone string) { delete(p.emptyAt, zone) }
+// RecordSpotAvailable notes that a zone gives spot endpoints.
+func (p *Planner) RecordSpotAvailable(zone string) { delete(p.emptyAt, zone) }
 
 // empty tells whether a zone had none when it was asked last.
 func (p *Planner) empty(zone string) bool {
--- a/internal/policy/autoscale/autoscale_test.go
+++ b/internal/policy/autoscale/autoscale_test.go
@@ -76,7 +76,7 @@
 	if t.Spot > z.Spot && r.dry[z.Zone] {
 		r.planner.RecordSpotUnavailable(r.now, z.Zone)
 	} else if r.order(i, true, t.Spot, &z.Spot) {
-		r.planner.Available(z.Zone)
+		r.planner.RecordSpotAvailable(z.Zone)
 	}
 	r.order(i, false, t.Regular, &z.Regular)
 }
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -181,7 +181,7 @@
 	case err == nil:
 		u.given[sub] = given{o.Count, now}
 		if o.Spot && o.Count > standing {
-			u.services[o.Service].planner.Available(o.Zone)
+			u.services[o.Service].planner.RecordSpotAvailable(o.Zone)
 		}
 	case errors.Is(err, ErrNoneAvailable):
 		u.services[o.Service].planner.RecordSpotUnavailable(now, o.Zone)
