--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -9,49 +9,49 @@
 	"fescuestand/internal/policy/roles"
 )
 
-// lakeshorePrice and cevallosPrice are the sheets' prices in engine seconds,
-// lakeshorePerHour and cevallosPerHour their ceilings.
+// The limits of role changes from the deployments' sheets. Change costs are in
+// engine seconds.
 const (
-	lakeshorePrice   = 5.0
-	lakeshorePerHour = 120
-	cevallosPrice    = 60.0
-	cevallosPerHour  = 60
-	maxAwayShare     = 0.25
-	awayTime         = 15 * time.Second // draining included
+	lakeshoreChangeCost        = 5.0
+	lakeshoreMaxChangesPerHour = 120
+	cevallosChangeCost         = 60.0
+	cevallosMaxChangesPerHour  = 60
+	maxUnavailableShare        = 0.25
+	changeDuration             = 15 * time.Second // draining included
 )
 
 func lakeshoreSheet() roles.Config {
-	return roles.Config{ChangeCost: lakeshorePrice, MaxChangesPerHour: lakeshorePerHour, MaxUnavailableShare: maxAwayShare, ChangeDuration: awayTime}
+	return roles.Config{ChangeCost: lakeshoreChangeCost, MaxChangesPerHour: lakeshoreMaxChangesPerHour, MaxUnavailableShare: maxUnavailableShare, ChangeDuration: changeDuration}
 }
 
 func cevallosSheet() roles.Config {
-	return roles.Config{ChangeCost: cevallosPrice, MaxChangesPerHour: cevallosPerHour, MaxUnavailableShare: maxAwayShare, ChangeDuration: awayTime}
+	return roles.Config{ChangeCost: cevallosChangeCost, MaxChangesPerHour: cevallosMaxChangesPerHour, MaxUnavailableShare: maxUnavailableShare, ChangeDuration: changeDuration}
 }
 
-// plan drives a planner from a view of the event loop.
-type plan struct {
+// planAdapter drives a planner from the views of the load test's event loop.
+type planAdapter struct {
 	planner *roles.Planner
 	setup   loadtest.Setup
-	log     func(clock.Time, roles.Change, roles.HoldReason)
+	record  func(clock.Time, roles.Change, roles.HoldReason)
 }
 
-func planned(cfg roles.Config, log func(clock.Time, roles.Change, roles.HoldReason)) func(loadtest.Setup) loadtest.RolePlan {
+func rolePlanner(cfg roles.Config, record func(clock.Time, roles.Change, roles.HoldReason)) func(loadtest.Setup) loadtest.RolePlan {
 	return func(s loadtest.Setup) loadtest.RolePlan {
 		if s.Config.Planners > 1 {
-			cfg.Self = holder(s.Index)
+			cfg.Self = processName(s.Index)
 		}
-		return &plan{planner: roles.NewPlanner(cfg), setup: s, log: log}
+		return &planAdapter{planner: roles.NewPlanner(cfg), setup: s, record: record}
 	}
 }
 
-func holder(i int) string { return fmt.Sprintf("control-%d", i) }
+func processName(i int) string { return fmt.Sprintf("control-%d", i) }
 
-func (p *plan) Plan(now clock.Time, v *loadtest.View) []loadtest.Change {
+func (p *planAdapter) Plan(now clock.Time, v *loadtest.View) []loadtest.Change {
 	p.planner.Observe(now, p.snapshot(now, v))
 	var out []loadtest.Change
 	for _, c := range p.planner.Plan(now) {
-		if p.log != nil {
-			p.log(now, c, p.planner.HoldReason())
+		if p.record != nil {
+			p.record(now, c, p.planner.HoldReason())
 		}
 		var id int
 		_, _ = fmt.Sscanf(c.Engine, "runner-%d", &id)
@@ -60,7 +60,7 @@
 	return out
 }
 
-func (p *plan) snapshot(now clock.Time, v *loadtest.View) roles.Snapshot {
+func (p *planAdapter) snapshot(now clock.Time, v *loadtest.View) roles.Snapshot {
 	m := p.setup.Config.Model
 	a := v.Arrivals
 	s := roles.Snapshot{
@@ -78,7 +78,7 @@
 	return s
 }
 
-func (p *plan) engine(now clock.Time, v *loadtest.EngineView) roles.Engine {
+func (p *planAdapter) engine(now clock.Time, v *loadtest.EngineView) roles.Engine {
 	e := roles.Engine{
 		Name:      fmt.Sprintf("runner-%03d", v.ID),
 		Role:      roles.Role(v.Role),
@@ -87,13 +87,13 @@
 		ReportAge: -1,
 	}
 	if p.setup.Config.Planners > 1 {
-		e.Holder = holder(v.ID % p.setup.Config.Planners)
+		e.Holder = processName(v.ID % p.setup.Config.Planners)
 	}
 	if v.Report.MeasuredAt > 0 {
 		e.ReportAge = now.Sub(v.Report.MeasuredAt)
 	}
 	for _, c := range v.Report.Cached {
-		e.CachedPieces += c.Pieces
+		e.CachedBlocks += c.Pieces
 	}
 	switch v.State {
 	case loadtest.Draining, loadtest.Changing:
--- a/internal/policy/roles/history.go
+++ b/internal/policy/roles/history.go
@@ -6,23 +6,25 @@
 	"fescuestand/internal/clock"
 )
 
-// history follows the engines from snapshot to snapshot: whose state began
-// when, which changes of role were seen, which order is under way.
+// history tracks the engines from snapshot to snapshot: since when each is in
+// its state, which role changes were observed, which orders are pending.
 type history struct {
-	engines []known // one for each engine of the newest snapshot, in its order
-	changes []clock.Time
-	orders  []order
-	// settled is when the last change had ended by the reports.
-	settled clock.Time
-	// away is how long changes out of a role have taken: a decode engine
-	// drains the streams that it has, a prefill engine little.
-	away [Decode + 1]time.Duration
+	engines []engineRecord // one for each engine of the newest snapshot, in its order
+	changes []clock.Time   // when role changes of the last hour were observed
+	orders  []order        // pending
+	// lastChangeEnd is when a change was last observed in progress or just ended,
+	// or an order completed or timed out.
+	lastChangeEnd clock.Time
+	// changeDurations are the average durations of changes out of each role. A
+	// decode engine drains its streams first; a prefill engine has little to
+	// drain.
+	changeDurations [Decode + 1]time.Duration
 }
 
-// awayGain is the weight of the newest change in that average.
-const awayGain = 0.3
+// durationWeight is the weight of the newest change in that average.
+const durationWeight = 0.3
 
-type known struct {
+type engineRecord struct {
 	name  string
 	role  Role
 	state State
@@ -35,69 +37,71 @@
 	at     clock.Time
 }
 
-// observe compares a snapshot, sorted by name, with what was known.
+// observe compares a snapshot, sorted by name, with the recorded engines and
+// replaces them.
 func (h *history) observe(now clock.Time, engines []Engine) {
-	next := make([]known, 0, len(engines))
+	next := make([]engineRecord, 0, len(engines))
 	i := 0
 	for _, e := range engines {
 		for i < len(h.engines) && h.engines[i].name < e.Name {
 			i++
 		}
-		k := known{name: e.Name, role: e.Role, state: e.State, since: now}
+		record := engineRecord{name: e.Name, role: e.Role, state: e.State, since: now}
 		if i < len(h.engines) && h.engines[i].name == e.Name {
-			k = h.merge(now, h.engines[i], k)
+			record = h.mergeRecord(now, h.engines[i], record)
 		}
-		next = append(next, k)
-		h.close(now, e)
+		next = append(next, record)
+		h.closeOrders(now, e)
 	}
 	h.engines = next
-	h.expire(now)
+	h.expireChanges(now)
 }
 
-func (h *history) merge(now clock.Time, old, k known) known {
-	if old.role != k.role && old.role != Mixed && k.role != Mixed {
+func (h *history) mergeRecord(now clock.Time, old, record engineRecord) engineRecord {
+	if old.role != record.role && old.role != Mixed && record.role != Mixed {
 		h.changes = append(h.changes, now)
 	}
-	if old.state == Changing || old.role != k.role {
-		h.settled = now
+	if old.state == Changing || old.role != record.role {
+		h.lastChangeEnd = now
 	}
-	if old.state == k.state {
-		k.since = old.since
+	if old.state == record.state {
+		record.since = old.since
 	}
-	if old.state == Changing && k.state == Ready && old.role != k.role {
-		h.measure(old.role, now.Sub(old.since))
+	if old.state == Changing && record.state == Ready && old.role != record.role {
+		h.recordDuration(old.role, now.Sub(old.since))
 	}
-	return k
+	return record
 }
 
-func (h *history) measure(from Role, d time.Duration) {
-	if h.away[from] == 0 {
-		h.away[from] = d
+func (h *history) recordDuration(from Role, d time.Duration) {
+	if h.changeDurations[from] == 0 {
+		h.changeDurations[from] = d
 		return
 	}
-	h.away[from] += time.Duration(awayGain * float64(d-h.away[from]))
+	h.changeDurations[from] += time.Duration(durationWeight * float64(d-h.changeDurations[from]))
 }
 
-// close ends the order of an engine whose effect is seen, or which is lost.
-func (h *history) close(now clock.Time, e Engine) {
-	kept := h.orders[:0]
+// closeOrders removes the orders to an engine that have completed or that count
+// as lost.
+func (h *history) closeOrders(now clock.Time, e Engine) {
+	pending := h.orders[:0]
 	for _, o := range h.orders {
 		if o.engine != e.Name {
-			kept = append(kept, o)
+			pending = append(pending, o)
 			continue
 		}
-		done := e.Role == o.to && e.State == Ready
+		completed := e.Role == o.to && e.State == Ready
 		lost := e.State != Changing && now.Sub(o.at) > OrderTimeout
-		if done || lost {
-			h.settled = now
+		if completed || lost {
+			h.lastChangeEnd = now
 			continue
 		}
-		kept = append(kept, o)
+		pending = append(pending, o)
 	}
-	h.orders = kept
+	h.orders = pending
 }
 
-func (h *history) expire(now clock.Time) {
+func (h *history) expireChanges(now clock.Time) {
 	i := 0
 	for i < len(h.changes) && now.Sub(h.changes[i]) >= time.Hour {
 		i++
@@ -105,7 +109,8 @@
 	h.changes = h.changes[i:]
 }
 
-// used counts the changes of the last hour, those under way included.
-func (h *history) used(logged int) int {
+// changesLastHour counts the changes of the last hour, including pending orders.
+// logged is the count from the folded log, which covers other processes.
+func (h *history) changesLastHour(logged int) int {
 	return max(len(h.changes)+len(h.orders), logged)
 }
--- a/internal/policy/roles/hold.go
+++ b/internal/policy/roles/hold.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// HoldReason is why the planner leaves the roles as they are.
+// HoldReason is why the planner orders no change.
 type HoldReason int
 
-// The reasons to hold.
+// The reasons to order no change.
 const (
-	Acts          HoldReason = iota // it does not hold
-	HoldNoDemand              // no arrivals measured yet
-	HoldNoSplit               // fewer than two engines with a role of their own
-	HoldCeiling               // the hour's changes are used up
-	HoldAway                  // the share that may be away is used up
-	HoldInFlight              // a change is under way
-	HoldExplained             // a crash or drain explains the queues
-	HoldStale                 // too many engines without a fresh report
-	HoldSettling              // the last change can't be read from the reports yet
-	HoldLast                  // the other role has one engine left
-	HoldPrice                 // no change is worth its price
-	HoldTurn                  // another process acts
+	NoHold            HoldReason = iota // changes may be ordered
+	HoldNoDemand                        // no arrivals measured yet
+	HoldTooFewEngines                   // fewer than two ready engines with a prefill or decode role
+	HoldHourlyLimit                     // MaxChangesPerHour is used up
+	HoldUnavailable                     // MaxUnavailableShare is used up
+	HoldInFlight                        // a change is in flight
+	HoldRecentOutage                    // a recent crash or drain explains the queues
+	HoldStaleReports                    // too many engines without a fresh report
+	HoldSettling                        // the reports don't reflect the last change yet
+	HoldLastEngine                      // the other role has one engine left
+	HoldChangeCost                      // no change gains more than it costs
+	HoldOtherPlanner                    // another process may move the engines
 )
 
 var holdNames = [...]string{
--- a/internal/policy/roles/measure_test.go
+++ b/internal/policy/roles/measure_test.go
@@ -15,14 +15,15 @@
 	"fescuestand/internal/policy/roles"
 )
 
-// seeds of every figure in docs/MEASUREMENTS.md.
+// seeds are the random seeds behind every figure in docs/MEASUREMENTS.md.
 var seeds = []uint64{1, 2, 3, 4, 5}
 
-// morning is the split that a fixed fleet starts the day with.
-var morning = loadtest.SplitShare(0.42)
+// initialSplit is the split with which a fixed fleet starts.
+var initialSplit = loadtest.SplitShare(0.42)
 
-// entries returns our admission and routing with a role plan of choice.
-func entries(name string, split func(int) []loadtest.Role, plan func(loadtest.Setup) loadtest.RolePlan) func() loadtest.Policy {
+// entryPolicy returns a policy with the admission and routing of this project and
+// the given split and role plan.
+func entryPolicy(name string, split func(int) []loadtest.Role, plan func(loadtest.Setup) loadtest.RolePlan) func() loadtest.Policy {
 	return func() loadtest.Policy {
 		p := policytest.Policy(policytest.Options{Name: name}, split)
 		p.Roles = plan
@@ -30,9 +31,11 @@
 	}
 }
 
-func fixed(p loadtest.Policy) func() loadtest.Policy { return func() loadtest.Policy { return p } }
+func policyFactory(p loadtest.Policy) func() loadtest.Policy {
+	return func() loadtest.Policy { return p }
+}
 
-// row is one policy over all seeds.
+// row holds the results of one policy with all seeds.
 type row struct {
 	name    string
 	results []loadtest.Result
@@ -51,32 +54,32 @@
 	return newStat(r.results, func(x loadtest.Result) float64 { return float64(x.RoleChanges) })
 }
 
-// stat is a median and its spread.
+// stat is the median of a measure and its range.
 type stat struct{ low, median, high float64 }
 
-func newStat(results []loadtest.Result, of func(loadtest.Result) float64) stat {
-	var v []float64
+func newStat(results []loadtest.Result, measure func(loadtest.Result) float64) stat {
+	var values []float64
 	for _, r := range results {
-		v = append(v, of(r))
+		values = append(values, measure(r))
 	}
-	slices.Sort(v)
-	return stat{v[0], v[len(v)/2], v[len(v)-1]}
+	slices.Sort(values)
+	return stat{values[0], values[len(values)/2], values[len(values)-1]}
 }
 
 func (s stat) String() string { return fmt.Sprintf("%.2f (%.2f-%.2f)", s.median, s.low, s.high) }
 
-// measure runs each policy with each seed, side by side.
-func measure(cfg loadtest.Config, policies ...func() loadtest.Policy) []row {
+// runPolicies runs each policy with each seed, concurrently.
+func runPolicies(cfg loadtest.Config, policies ...func() loadtest.Policy) []row {
 	rows := make([]row, len(policies))
 	var wg sync.WaitGroup
-	free := make(chan struct{}, runtime.GOMAXPROCS(0))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, p := range policies {
 		rows[i] = row{name: p().Name, results: make([]loadtest.Result, len(seeds)), model: cfg.Model}
 		for j, seed := range seeds {
 			wg.Go(func() {
-				free <- struct{}{}
+				slots <- struct{}{}
 				rows[i].results[j] = loadtest.Run(cfg, p(), seed)
-				<-free
+				<-slots
 			})
 		}
 	}
@@ -89,7 +92,8 @@
 	return slices.MaxFunc(rows, func(a, b row) int { return cmp.Compare(a.goodput().median, b.goodput().median) })
 }
 
-// staticSplits are the fixed roles from which the best baseline is taken.
+// staticSplits returns the baselines with fixed roles, of which the best is
+// reported.
 func staticSplits() []loadtest.Policy {
 	var out []loadtest.Policy
 	for _, share := range []float64{0.33, 0.42, 0.5, 0.58} {
@@ -106,33 +110,33 @@
 	return append(out, mixed)
 }
 
-// swingRows measures one deployment through the swings of its mix.
+// swingRows measures one deployment through the swings of its request mix.
 func swingRows(cfg loadtest.Config, sheet roles.Config) []row {
 	var all []func() loadtest.Policy
 	for _, p := range staticSplits() {
-		all = append(all, fixed(p))
+		all = append(all, policyFactory(p))
 	}
-	statics := len(all)
+	staticEnd := len(all)
 	for _, share := range []float64{0.33, 0.42, 0.5, 0.58} {
-		all = append(all, entries(fmt.Sprintf("our entries + static %.2f", share), loadtest.SplitShare(share), nil))
+		all = append(all, entryPolicy(fmt.Sprintf("our entries + static %.2f", share), loadtest.SplitShare(share), nil))
 	}
-	all = append(all, entries("our entries + all mixed", loadtest.AllMixed, nil))
-	ownStatics := len(all)
+	all = append(all, entryPolicy("our entries + all mixed", loadtest.AllMixed, nil))
+	ownStaticEnd := len(all)
 	for i, c := range loadtest.Clairvoyants() {
-		all = append(all, entries(fmt.Sprintf("our entries + clairvoyant %d", i), morning, c.New))
+		all = append(all, entryPolicy(fmt.Sprintf("our entries + clairvoyant %d", i), initialSplit, c.New))
 	}
-	seeing := len(all)
-	all = append(all, entries("ours", morning, planned(sheet, nil)))
-	rows := measure(cfg, all...)
-	roundRobin, least := split2(rows[:statics-1])
+	clairvoyantEnd := len(all)
+	all = append(all, entryPolicy("ours", initialSplit, rolePlanner(sheet, nil)))
+	rows := runPolicies(cfg, all...)
+	roundRobin, leastLoaded := splitAlternating(rows[:staticEnd-1])
 	return []row{
-		best(roundRobin), best(least), rows[statics-1],
-		best(rows[statics : ownStatics-1]), rows[ownStatics-1],
-		rows[seeing], best(rows[ownStatics:seeing]),
+		best(roundRobin), best(leastLoaded), rows[staticEnd-1],
+		best(rows[staticEnd : ownStaticEnd-1]), rows[ownStaticEnd-1],
+		rows[clairvoyantEnd], best(rows[ownStaticEnd:clairvoyantEnd]),
 	}
 }
 
-func split2(rows []row) (even, odd []row) {
+func splitAlternating(rows []row) (even, odd []row) {
 	for i, r := range rows {
 		if i%2 == 0 {
 			even = append(even, r)
@@ -143,8 +147,8 @@
 	return even, odd
 }
 
-// show prints to standard output, since a benchmark's log is cut short.
-func show(title string, rows []row) {
+// printTable prints to standard output, since the log of a benchmark is truncated.
+func printTable(title string, rows []row) {
 	fmt.Printf("\n%s, seeds %v, median (spread)\n\n%s\n", title, seeds, table(rows))
 }
 
@@ -154,25 +158,26 @@
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, r := range rows {
 		fmt.Fprintf(&b, "| %s | %v | %v | %v | %s | %.1f, %.1f | %v | %v | %v |\n",
-			r.name, r.goodput(), r.work(), r.changes(), r.lost(), r.onTime(0), r.onTime(1), r.wait(0), r.gap(0), r.wait(1))
+			r.name, r.goodput(), r.work(), r.changes(), r.lateAndRefused(), r.onTime(0), r.onTime(1), r.firstTokenP95(0), r.betweenTokensP95(0), r.firstTokenP95(1))
 	}
 	return b.String()
 }
 
-// lost is the median shares of answers that missed the deadline or an
-// objective, and of refusals.
-func (r row) lost() string {
-	of := func(count func(loadtest.ClassResult) int) float64 {
+// lateAndRefused returns the median percentages of answers that missed the deadline
+// or an objective, and of refusals.
+func (r row) lateAndRefused() string {
+	percent := func(count func(loadtest.ClassResult) int) float64 {
 		return newStat(r.results, func(x loadtest.Result) float64 {
 			offered := x.Count(func(c loadtest.ClassResult) int { return c.Offered })
 			return 100 * float64(x.Count(count)) / float64(offered)
 		}).median
 	}
-	late := of(func(c loadtest.ClassResult) int { return c.Late + c.Slow })
-	return fmt.Sprintf("%.1f, %.1f", late, of(loadtest.ClassResult.RefusedTotal))
+	late := percent(func(c loadtest.ClassResult) int { return c.Late + c.Slow })
+	return fmt.Sprintf("%.1f, %.1f", late, percent(loadtest.ClassResult.RefusedTotal))
 }
 
-// onTime is the share of one class's requests that were answered on time.
+// onTime returns the median percentage of one class's requests that were answered
+// on time.
 func (r row) onTime(class int) float64 {
 	return newStat(r.results, func(x loadtest.Result) float64 {
 		c := x.Classes[class]
@@ -180,59 +185,59 @@
 	}).median
 }
 
-func (r row) wait(class int) time.Duration {
+func (r row) firstTokenP95(class int) time.Duration {
 	return time.Duration(newStat(r.results, func(x loadtest.Result) float64 {
 		return float64(x.Classes[class].FirstToken().P95)
 	}).median)
 }
 
-func (r row) gap(class int) time.Duration {
+func (r row) betweenTokensP95(class int) time.Duration {
 	return time.Duration(newStat(r.results, func(x loadtest.Result) float64 {
 		return float64(x.Classes[class].BetweenTokens().P95)
 	}).median)
 }
 
-// swingLoads are the offered loads of the swings: with some room to spare, and
-// nearly full.
+// swingLoads are the offered loads of the swings, as shares of the capacity: with
+// some headroom, and nearly full.
 var swingLoads = []float64{0.8, 0.9}
 
-// BenchmarkSwings prints the tables of docs/MEASUREMENTS.md for the mix that
-// turns within two minutes and back.
+// BenchmarkSwings prints the tables of docs/MEASUREMENTS.md for a mix that shifts
+// within two minutes and back.
 func BenchmarkSwings(b *testing.B) {
 	for b.Loop() {
 		for _, load := range swingLoads {
 			for _, d := range deployments() {
 				d.cfg.Workload.Load = load
 				rows := swingRows(d.cfg, d.sheet)
-				show(fmt.Sprintf("swings, %s, load %.1f", d.cfg.Name, load), rows)
-				ours, seeing := rows[len(rows)-2], rows[len(rows)-1]
+				printTable(fmt.Sprintf("swings, %s, load %.1f", d.cfg.Name, load), rows)
+				ours, clairvoyant := rows[len(rows)-2], rows[len(rows)-1]
 				name := fmt.Sprintf("%s-%.1f", d.cfg.Name, load)
-				b.ReportMetric(ours.goodput().median/seeing.goodput().median, name+"-of-clairvoyant")
+				b.ReportMetric(ours.goodput().median/clairvoyant.goodput().median, name+"-of-clairvoyant")
 				b.ReportMetric(ours.goodput().median/best(rows[:3]).goodput().median, name+"-of-best-static")
 			}
 		}
 	}
 }
 
-// BenchmarkPrice prints what a price of role changes costs in goodput.
-func BenchmarkPrice(b *testing.B) {
+// BenchmarkChangeCost prints the goodput at different costs of a role change.
+func BenchmarkChangeCost(b *testing.B) {
 	for b.Loop() {
 		for _, load := range swingLoads {
 			for _, d := range deployments() {
 				d.cfg.Workload.Load = load
 				var all []func() loadtest.Policy
-				for _, price := range []float64{0, 5, 10, 20, 40, 60, 80, 120} {
+				for _, cost := range []float64{0, 5, 10, 20, 40, 60, 80, 120} {
 					sheet := d.sheet
-					sheet.ChangeCost = price
-					all = append(all, entries(fmt.Sprintf("price %.0f", price), morning, planned(sheet, nil)))
+					sheet.ChangeCost = cost
+					all = append(all, entryPolicy(fmt.Sprintf("price %.0f", cost), initialSplit, rolePlanner(sheet, nil)))
 				}
-				show(fmt.Sprintf("prices, %s, load %.1f", d.cfg.Name, load), measure(d.cfg, all...))
+				printTable(fmt.Sprintf("prices, %s, load %.1f", d.cfg.Name, load), runPolicies(d.cfg, all...))
 			}
 		}
 	}
 }
 
-// BenchmarkOverload prints goodput over offered load.
+// BenchmarkOverload prints the goodput at different offered loads.
 func BenchmarkOverload(b *testing.B) {
 	for b.Loop() {
 		for _, d := range deployments() {
@@ -241,13 +246,13 @@
 				cfg := d.cfg
 				cfg.Workload.Load = load
 				cfg.Workload.Length = 10 * time.Minute
-				r := measure(cfg, entries("ours", morning, planned(d.sheet, nil)), fixed(loadtest.LeastLoaded(morning)))
+				r := runPolicies(cfg, entryPolicy("ours", initialSplit, rolePlanner(d.sheet, nil)), policyFactory(loadtest.LeastLoaded(initialSplit)))
 				for i := range r {
 					r[i].name = fmt.Sprintf("%s at %.2f", r[i].name, load)
 				}
 				rows = append(rows, r...)
 			}
-			show("overload, "+d.cfg.Name, rows)
+			printTable("overload, "+d.cfg.Name, rows)
 		}
 	}
 }
@@ -261,31 +266,31 @@
 	return []deployment{{loadtest.Lakeshore(), lakeshoreSheet()}, {loadtest.Cevallos(), cevallosSheet()}}
 }
 
-// BenchmarkFaults prints what callers receive through single failures.
+// BenchmarkFaults prints the service that callers receive during single failures.
 func BenchmarkFaults(b *testing.B) {
 	for b.Loop() {
 		for _, d := range deployments() {
 			var rows []row
-			for _, f := range troubles(d.cfg) {
-				r := measure(f.cfg, entries("ours", morning, planned(d.sheet, nil)), fixed(loadtest.LeastLoaded(morning)))
+			for _, f := range faultScenarios(d.cfg) {
+				r := runPolicies(f.cfg, entryPolicy("ours", initialSplit, rolePlanner(d.sheet, nil)), policyFactory(loadtest.LeastLoaded(initialSplit)))
 				for i := range r {
 					r[i].name = f.name + ": " + r[i].name
 				}
 				rows = append(rows, r...)
 			}
-			show("faults, "+d.cfg.Name, rows)
+			printTable("faults, "+d.cfg.Name, rows)
 		}
 	}
 }
 
-type trouble struct {
+type faultScenario struct {
 	name string
 	cfg  loadtest.Config
 }
 
-// troubles are the failures, each from the fourth minute of ten on: the first
-// swing is under way then.
-func troubles(cfg loadtest.Config) []trouble {
+// faultScenarios returns the failures, each from the fourth minute of ten on, when
+// the first swing is in progress.
+func faultScenarios(cfg loadtest.Config) []faultScenario {
 	cfg.Workload.Length = 10 * time.Minute
 	at := 4 * time.Minute
 	var all, third, zone []int
@@ -298,27 +303,27 @@
 			zone = append(zone, i)
 		}
 	}
-	with := func(name string, change func(*loadtest.Config)) trouble {
+	scenario := func(name string, change func(*loadtest.Config)) faultScenario {
 		c := cfg
 		change(&c)
-		return trouble{name, c}
+		return faultScenario{name, c}
 	}
 	fault := func(f loadtest.Fault) func(*loadtest.Config) {
 		return func(c *loadtest.Config) { c.Faults = []loadtest.Fault{f} }
 	}
-	return []trouble{
-		with("none", func(*loadtest.Config) {}),
-		with("burst 10x for 5 s", func(c *loadtest.Config) {
+	return []faultScenario{
+		scenario("none", func(*loadtest.Config) {}),
+		scenario("burst 10x for 5 s", func(c *loadtest.Config) {
 			c.Workload.Bursts = []loadtest.Burst{{At: at, For: 5 * time.Second, Factor: 10}}
 		}),
-		with("reports 10 s late", func(c *loadtest.Config) {
+		scenario("reports 10 s late", func(c *loadtest.Config) {
 			c.Reports.MinLag, c.Reports.MaxLag = 8*time.Second, 10*time.Second
 		}),
-		with("half of the reports missing", func(c *loadtest.Config) { c.Reports.Missing = 0.5 }),
-		with("no reports for 2 min", fault(loadtest.Fault{Kind: loadtest.NoReports, At: at, For: 2 * time.Minute, Engines: all})),
-		with("a third of the engines lost", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, For: time.Hour, Engines: third})),
-		with("a zone gone for 1 min", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, For: time.Minute, Engines: zone})),
-		with("one engine 10x slow", fault(loadtest.Fault{Kind: loadtest.Slow, At: at, For: time.Hour, Engines: []int{1}, Factor: 10})),
-		with("a hot caller, half of all", func(c *loadtest.Config) { c.Workload.HotCaller = 0.5 }),
+		scenario("half of the reports missing", func(c *loadtest.Config) { c.Reports.Missing = 0.5 }),
+		scenario("no reports for 2 min", fault(loadtest.Fault{Kind: loadtest.NoReports, At: at, For: 2 * time.Minute, Engines: all})),
+		scenario("a third of the engines lost", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, For: time.Hour, Engines: third})),
+		scenario("a zone gone for 1 min", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, For: time.Minute, Engines: zone})),
+		scenario("one engine 10x slow", fault(loadtest.Fault{Kind: loadtest.Slow, At: at, For: time.Hour, Engines: []int{1}, Factor: 10})),
+		scenario("a hot caller, half of all", func(c *loadtest.Config) { c.Workload.HotCaller = 0.5 }),
 	}
 }
--- a/internal/policy/roles/pick.go
+++ b/internal/policy/roles/pick.go
@@ -5,48 +5,50 @@
 	"slices"
 )
 
-// own returns the engines of a role that this process may move, the one whose
-// change hurts least first.
-func (p *Planner) own(from Role) []Engine {
-	if !p.cfg.Guards.NoTurn && p.turn(from) != p.cfg.Self {
-		p.hold = HoldTurn
+// candidates returns the engines that this process may move out of a role,
+// starting with the one whose change disrupts its callers least. It sets
+// holdReason if there is none.
+func (p *Planner) candidates(from Role) []Engine {
+	if !p.cfg.Disabled.NoDesignatedPlanner && p.designatedPlanner(from) != p.cfg.Self {
+		p.holdReason = HoldOtherPlanner
 		return nil
 	}
-	var own []Engine
+	var out []Engine
 	for _, e := range p.snap.Engines {
 		if e.Holder == p.cfg.Self && movable(e, from) {
-			own = append(own, e)
+			out = append(out, e)
 		}
 	}
-	if len(own) == 0 {
-		p.hold = HoldTurn
+	if len(out) == 0 {
+		p.holdReason = HoldOtherPlanner
 	}
-	slices.SortFunc(own, lessHurt)
-	return own
+	slices.SortFunc(out, compareDisruption)
+	return out
 }
 
 func movable(e Engine, from Role) bool {
 	return e.Role == from && e.State == Ready && e.ReportAge >= 0 && e.ReportAge <= MaxReportAge
 }
 
-// lessHurt orders engines by what their callers lose: streams that have to
-// drain, requests that have to be sent elsewhere, cache that is computed anew.
-func lessHurt(a, b Engine) int {
+// compareDisruption orders engines by what a change costs their callers: streams
+// that have to drain, requests that have to be sent to another engine, cache
+// blocks that have to be computed again.
+func compareDisruption(a, b Engine) int {
 	return cmp.Or(
 		cmp.Compare(a.Running, b.Running),
 		cmp.Compare(a.Queued, b.Queued),
-		cmp.Compare(a.CachedPieces, b.CachedPieces),
+		cmp.Compare(a.CachedBlocks, b.CachedBlocks),
 		cmp.Compare(a.Name, b.Name),
 	)
 }
 
-// turn returns the process that may move an engine out of a role: the one that
-// holds most ready engines of it, the first by name among equals. Claims and
-// settled roles are the same on every process, whereas loads are not: without
-// a turn, two planners that see one shortage through reports of different age
-// each move an engine of their own, and the pool ends with the shortage on the
-// other side.
-func (p *Planner) turn(from Role) string {
+// designatedPlanner returns the process that may move engines out of a role: the
+// one that holds most of its ready engines, the first by name among equals.
+// Claims and settled roles are the same on every process, but measured loads are
+// not: without a single designated process, two planners that see one shortage
+// through reports of different age would each move an engine of their own, and
+// the pool would end up with the shortage in the other role.
+func (p *Planner) designatedPlanner(from Role) string {
 	type count struct {
 		holder string
 		n      int
@@ -72,6 +74,7 @@
 	return first.holder
 }
 
-// unclaimed engines take no order from anyone, unless authority isn't divided
-// at all and no process has a name.
+// unclaimed reports whether an engine has no holder and so accepts orders from
+// no process. Where authority isn't divided, processes have no names and no
+// engine counts as unclaimed.
 func (p *Planner) unclaimed(e Engine) bool { return e.Holder == "" && p.cfg.Self != "" }
--- a/internal/policy/roles/planner.go
+++ b/internal/policy/roles/planner.go
@@ -8,32 +8,32 @@
 	"fescuestand/internal/clock"
 )
 
-// Planner plans one pool. It isn't safe for concurrent use.
+// Planner plans the role changes of one pool. It isn't safe for concurrent use.
 type Planner struct {
-	cfg     Config
-	snap    Snapshot
-	demand  demand
-	history history
-	hold    HoldReason
-	short   shortage
-	payback time.Duration
+	cfg        Config
+	snap       Snapshot
+	demand     demand
+	history    history
+	holdReason HoldReason
+	shortage   shortage
+	payback    time.Duration
 }
 
-// shortage is the role that lacks engines and since when.
+// shortage is the role to which engines should change, and since when.
 type shortage struct {
 	to    Role
 	since clock.Time
 }
 
-// NewPlanner returns a planner that knows nothing yet.
+// NewPlanner returns a planner without measurements.
 func NewPlanner(cfg Config) *Planner {
-	return &Planner{cfg: cfg, hold: HoldNoDemand}
+	return &Planner{cfg: cfg, holdReason: HoldNoDemand}
 }
 
-// SetConfig takes over a newer sheet.
+// SetConfig replaces the configuration, as after an update of the sheet.
 func (p *Planner) SetConfig(cfg Config) { p.cfg = cfg }
 
-// Observe takes in a snapshot. Call it about once a second.
+// Observe records a snapshot. Call it about once a second.
 func (p *Planner) Observe(now clock.Time, s Snapshot) {
 	s.Engines = slices.Clone(s.Engines)
 	slices.SortFunc(s.Engines, func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
@@ -42,30 +42,30 @@
 	if s.Arrivals.Age > MaxReportAge || s.Rates.PrefillTokensPerSec <= 0 || s.Rates.DecodeTokensPerSec <= 0 {
 		return
 	}
-	backlog := backlogWindow.Seconds()
-	prefill := s.Arrivals.PromptTokensPerSec + s.Queues.PromptTokens/backlog
-	decode := s.Arrivals.OutputTokensPerSec + s.Queues.OutputTokens/backlog
+	backlogSeconds := backlogWindow.Seconds()
+	prefill := s.Arrivals.PromptTokensPerSec + s.Queues.PromptTokens/backlogSeconds
+	decode := s.Arrivals.OutputTokensPerSec + s.Queues.OutputTokens/backlogSeconds
 	p.demand.observe(now, prefill/s.Rates.PrefillTokensPerSec, decode/s.Rates.DecodeTokensPerSec)
 }
 
 // Plan returns the changes to order now, all of them on engines that this
-// process holds. Why there is none is told by Hold.
+// process holds. If there is none, HoldReason returns why.
 func (p *Planner) Plan(now clock.Time) []Change {
-	v := p.look(now)
-	if p.hold = p.mayAct(now, v); p.hold != Acts {
+	counts := p.countEngines(now)
+	if p.holdReason = p.checkGuards(now, counts); p.holdReason != NoHold {
 		return nil
 	}
-	to, reason := p.weigh(now, v)
-	if p.hold != Acts {
+	to, reason := p.chooseChange(now, counts)
+	if p.holdReason != NoHold {
 		return nil
 	}
-	own := p.own(to.other())
+	candidates := p.candidates(to.other())
 	var out []Change
-	for len(out) < min(p.batch(v), len(own)) && p.hold == Acts {
-		reason.Running = own[len(out)].Running
-		out = append(out, Change{Engine: own[len(out)].Name, From: to.other(), To: to, Reason: reason})
-		v = v.moved(to)
-		reason = p.reason(v, to)
+	for len(out) < min(p.maxBatch(counts), len(candidates)) && p.holdReason == NoHold {
+		reason.Running = candidates[len(out)].Running
+		out = append(out, Change{Engine: candidates[len(out)].Name, From: to.other(), To: to, Reason: reason})
+		counts = counts.withMove(to)
+		reason = p.evaluateChange(counts, to)
 	}
 	for _, c := range out {
 		p.history.orders = append(p.history.orders, order{engine: c.Engine, to: to, at: now})
@@ -73,197 +73,206 @@
 	return out
 }
 
-// batch bounds the changes ordered at once: half of the share that may be away,
-// so that the other half is left for crashes. A pool of hundreds would never
-// follow the mix one engine at a time.
-func (p *Planner) batch(v outlook) int {
+// maxBatch bounds the changes ordered at once to half of the share that may be
+// unavailable, which leaves the other half for crashes. With one engine at a
+// time, a pool of hundreds would never follow the mix.
+func (p *Planner) maxBatch(counts engineCounts) int {
 	total := float64(len(p.snap.Engines))
 	n := int(p.cfg.MaxUnavailableShare * total / 2)
-	free := int(p.cfg.MaxUnavailableShare*total) - v.away
-	left := p.cfg.MaxChangesPerHour - p.history.used(p.snap.ChangesLastHour)
-	return min(max(n, 1), max(free, 1), left)
+	headroom := int(p.cfg.MaxUnavailableShare*total) - counts.unavailable
+	remaining := p.cfg.MaxChangesPerHour - p.history.changesLastHour(p.snap.ChangesLastHour)
+	return min(max(n, 1), max(headroom, 1), remaining)
 }
 
-// HoldReason tells why the last call of Plan returned no change.
-func (p *Planner) HoldReason() HoldReason { return p.hold }
+// HoldReason returns why the last call of Plan returned no change.
+func (p *Planner) HoldReason() HoldReason { return p.holdReason }
 
-// outlook is a snapshot counted.
-type outlook struct {
-	split    split
-	prefill  int // ready engines of the role alone
-	decode   int
-	away     int // not ready, whatever the reason
-	changing int
-	recent   int // down or draining for less than CrashGrace
-	stale    int
-	oldest   time.Duration // age of the oldest fresh report of a ready engine
+// engineCounts are the engines of a snapshot, counted by role and state.
+type engineCounts struct {
+	split           split
+	prefill         int // ready prefill engines, without mixed ones
+	decode          int // ready decode engines, without mixed ones
+	unavailable     int // not ready, for whatever reason
+	changing        int
+	inGrace         int           // down or draining for less than CrashGrace
+	stale           int           // ready, but without a fresh report
+	oldestReportAge time.Duration // of the fresh reports of ready engines
 }
 
-// moved returns the outlook with one more engine on its way to a role.
-func (v outlook) moved(to Role) outlook {
-	v.split = v.split.after(to, 1)
-	v.away++
+// withMove returns the counts with one more engine changing to a role.
+func (c engineCounts) withMove(to Role) engineCounts {
+	c.split = c.split.withMoved(to, 1)
+	c.unavailable++
 	if to == Prefill {
-		v.prefill++
-		v.decode--
+		c.prefill++
+		c.decode--
 	} else {
-		v.prefill--
-		v.decode++
+		c.prefill--
+		c.decode++
 	}
-	return v
+	return c
 }
 
-func (p *Planner) look(now clock.Time) outlook {
-	var v outlook
+func (p *Planner) countEngines(now clock.Time) engineCounts {
+	var counts engineCounts
 	for i, e := range p.snap.Engines {
-		v.add(e, now.Sub(p.history.engines[i].since))
+		counts.add(e, now.Sub(p.history.engines[i].since))
 	}
-	return v
+	return counts
 }
 
-func (v *outlook) add(e Engine, since time.Duration) {
+func (c *engineCounts) add(e Engine, timeInState time.Duration) {
 	switch e.State {
 	case Changing:
-		v.changing++
+		c.changing++
 	case Draining, Down:
-		if since < CrashGrace {
-			v.recent++
+		if timeInState < CrashGrace {
+			c.inGrace++
 		}
 	}
 	if e.State != Ready {
-		v.away++
+		c.unavailable++
 		return
 	}
 	if e.ReportAge < 0 || e.ReportAge > MaxReportAge {
-		v.stale++
+		c.stale++
 	} else {
-		v.oldest = max(v.oldest, e.ReportAge)
+		c.oldestReportAge = max(c.oldestReportAge, e.ReportAge)
 	}
 	switch e.Role {
 	case Prefill:
-		v.prefill++
-		v.split.prefill++
+		c.prefill++
+		c.split.prefill++
 	case Decode:
-		v.decode++
-		v.split.decode++
+		c.decode++
+		c.split.decode++
 	case Mixed:
-		v.split.prefill += 0.5
-		v.split.decode += 0.5
+		c.split.prefill += 0.5
+		c.split.decode += 0.5
 	}
 }
 
-// mayAct checks everything but whether a change is worth it.
-func (p *Planner) mayAct(now clock.Time, v outlook) HoldReason {
-	g := p.cfg.Guards
+// checkGuards returns why no change may be ordered now, whatever its gain, or
+// NoHold.
+func (p *Planner) checkGuards(now clock.Time, counts engineCounts) HoldReason {
+	disabled := p.cfg.Disabled
 	total := len(p.snap.Engines)
 	switch {
-	case !p.demand.seen:
+	case !p.demand.measured:
 		return HoldNoDemand
-	case v.prefill+v.decode < 2:
-		return HoldNoSplit
-	case p.history.used(p.snap.ChangesLastHour) >= p.cfg.MaxChangesPerHour:
-		return HoldCeiling
-	case float64(v.away+1) > p.cfg.MaxUnavailableShare*float64(total) && !p.lost(v):
-		return HoldAway
-	case (v.changing > 0 || len(p.history.orders) > 0) && !g.NoSettle:
+	case counts.prefill+counts.decode < 2:
+		return HoldTooFewEngines
+	case p.history.changesLastHour(p.snap.ChangesLastHour) >= p.cfg.MaxChangesPerHour:
+		return HoldHourlyLimit
+	case float64(counts.unavailable+1) > p.cfg.MaxUnavailableShare*float64(total) && !p.onlyLastingOutages(counts):
+		return HoldUnavailable
+	case (counts.changing > 0 || len(p.history.orders) > 0) && !disabled.NoSettleTime:
 		return HoldInFlight
-	case p.emptyRole(v):
-		return Acts
-	case v.recent > 0 && !g.NoGrace:
-		return HoldExplained
-	case float64(v.stale) > StaleShare*float64(total):
-		return HoldStale
-	case !p.settled(now, v):
+	case p.hasEmptyRole(counts):
+		return NoHold
+	case counts.inGrace > 0 && !disabled.NoCrashGrace:
+		return HoldRecentOutage
+	case float64(counts.stale) > MaxStaleShare*float64(total):
+		return HoldStaleReports
+	case !p.reportsSettled(now, counts):
 		return HoldSettling
 	}
-	return Acts
+	return NoHold
 }
 
-// lost reports whether every engine that is away has been so for longer than
-// CrashGrace: the pool is smaller then, and its share is taken of the rest.
-func (p *Planner) lost(v outlook) bool {
-	rest := float64(len(p.snap.Engines) - v.away)
-	return v.changing == 0 && v.recent == 0 && p.cfg.MaxUnavailableShare*rest >= 1
+// onlyLastingOutages reports whether every unavailable engine has been down or
+// draining for longer than CrashGrace, and MaxUnavailableShare of the remaining
+// engines allows a change: the pool counts as smaller then.
+func (p *Planner) onlyLastingOutages(counts engineCounts) bool {
+	remaining := float64(len(p.snap.Engines) - counts.unavailable)
+	return counts.changing == 0 && counts.inGrace == 0 && p.cfg.MaxUnavailableShare*remaining >= 1
 }
 
-// emptyRole reports whether one role has no ready engine while the other can
-// spare one. No request can be served then, so nothing is weighed.
-func (p *Planner) emptyRole(v outlook) bool {
-	return v.split.prefill == 0 && v.decode > 1 || v.split.decode == 0 && v.prefill > 1
+// hasEmptyRole reports whether one role has no ready engine while the other can
+// spare one. No request can be served then, so the change is ordered without
+// comparing gain and cost.
+func (p *Planner) hasEmptyRole(counts engineCounts) bool {
+	return counts.split.prefill == 0 && counts.decode > 1 || counts.split.decode == 0 && counts.prefill > 1
 }
 
-// settled guards against acting on reports from before the last change: they
-// show the queue that the change was made for, and a second one would follow.
-func (p *Planner) settled(now clock.Time, v outlook) bool {
-	if p.history.settled == 0 || p.cfg.Guards.NoSettle {
+// reportsSettled reports whether the fresh reports were measured at least
+// SettleTime after the last change. Earlier reports show the queue that the
+// change was ordered for, and acting on them would order a second one.
+func (p *Planner) reportsSettled(now clock.Time, counts engineCounts) bool {
+	if p.history.lastChangeEnd == 0 || p.cfg.Disabled.NoSettleTime {
 		return true
 	}
-	return now.Sub(p.history.settled)-v.oldest >= Settle
+	return now.Sub(p.history.lastChangeEnd)-counts.oldestReportAge >= SettleTime
 }
 
-// weigh picks the direction of a change and whether it is worth its price.
-func (p *Planner) weigh(now clock.Time, v outlook) (Role, Reason) {
-	prefill, decode := p.forecast(Prefill)
-	to := v.split.shorter(prefill, decode)
-	p.lasting(now, v, to)
-	return to, p.reason(v, to)
+// chooseChange chooses the role that needs another engine and evaluates the
+// change.
+func (p *Planner) chooseChange(now clock.Time, counts engineCounts) (Role, Reason) {
+	prefill, decode := p.forecastDemand(Prefill)
+	to := counts.split.shortRole(prefill, decode)
+	p.updatePayback(now, counts, to)
+	return to, p.evaluateChange(counts, to)
 }
 
-// lasting follows for how long a change to one role would have won work. What
-// has lasted is expected to last for half as long again, so a high price delays the
-// changes that a lasting shift needs and doesn't forbid them.
-func (p *Planner) lasting(now clock.Time, v outlook, to Role) {
-	prefill, decode := p.forecast(to)
-	gain, loss := v.split.weigh(to, prefill, decode, Payback, p.away(to))
-	if gain <= loss || to != p.short.to || p.short.since == 0 {
-		p.short = shortage{to: to, since: now}
+// updatePayback tracks for how long a change to the role would have gained more
+// work than it loses, and extends the payback window by half of that time. A
+// high change cost thus delays the changes that a lasting shift needs, but
+// doesn't prevent them.
+func (p *Planner) updatePayback(now clock.Time, counts engineCounts, to Role) {
+	prefill, decode := p.forecastDemand(to)
+	gain, loss := counts.split.gainAndLoss(to, prefill, decode, PaybackWindow, p.changeDuration(to))
+	if gain <= loss || to != p.shortage.to || p.shortage.since == 0 {
+		p.shortage = shortage{to: to, since: now}
 	}
-	p.payback = min(Payback+now.Sub(p.short.since)/2, MaxPayback)
+	p.payback = min(PaybackWindow+now.Sub(p.shortage.since)/2, MaxPaybackWindow)
 }
 
-// forecast looks ahead just to when a change to a role would begin to serve.
-func (p *Planner) forecast(to Role) (prefill, decode float64) {
-	away := p.away(to)
-	return p.demand.prefill.forecast(away), p.demand.decode.forecast(away)
+// forecastDemand forecasts the demand, in engines, for the time when an engine
+// that begins to change to the role now would begin to serve.
+func (p *Planner) forecastDemand(to Role) (prefill, decode float64) {
+	ahead := p.changeDuration(to)
+	return p.demand.prefill.forecast(ahead), p.demand.decode.forecast(ahead)
 }
 
-// away returns how long a change to a role takes: as measured, or as the sheet
-// says until one was seen.
-func (p *Planner) away(to Role) time.Duration {
-	if d := p.history.away[to.other()]; d > 0 {
+// changeDuration returns how long a change to a role takes: the measured
+// average, or the configured duration until a change was measured.
+func (p *Planner) changeDuration(to Role) time.Duration {
+	if d := p.history.changeDurations[to.other()]; d > 0 {
 		return d
 	}
 	return p.cfg.ChangeDuration
 }
 
-// reason weighs one more change to a role and sets hold if it is not to be made.
-func (p *Planner) reason(v outlook, to Role) Reason {
+// evaluateChange compares gain and cost of one more change to a role, and sets
+// holdReason if the change must not be ordered.
+func (p *Planner) evaluateChange(counts engineCounts, to Role) Reason {
 	r := Reason{
 		Pool:         p.snap.Pool,
-		PrefillReady: v.prefill,
-		DecodeReady:  v.decode,
-		Price:        p.price(),
-		Empty:        p.emptyRole(v),
+		PrefillReady: counts.prefill,
+		DecodeReady:  counts.decode,
+		ChangeCost:   p.changeCost(),
+		EmptyRole:    p.hasEmptyRole(counts),
 	}
-	r.PrefillDemand, r.DecodeDemand = p.forecast(to)
-	r.Gain, r.Loss = v.split.weigh(to, r.PrefillDemand, r.DecodeDemand, p.payback, p.away(to))
-	spare := v.prefill
+	r.PrefillDemand, r.DecodeDemand = p.forecastDemand(to)
+	r.Gain, r.Loss = counts.split.gainAndLoss(to, r.PrefillDemand, r.DecodeDemand, p.payback, p.changeDuration(to))
+	donors := counts.prefill
 	if to == Prefill {
-		spare = v.decode
+		donors = counts.decode
 	}
 	switch {
-	case r.Empty:
-	case spare < 2:
-		p.hold = HoldLast
-	case r.Gain-r.Loss <= r.Price:
-		p.hold = HoldPrice
+	case r.EmptyRole:
+	case donors < 2:
+		p.holdReason = HoldLastEngine
+	case r.Gain-r.Loss <= r.ChangeCost:
+		p.holdReason = HoldChangeCost
 	}
 	return r
 }
 
-// price rises as the hourly ceiling is used up, so that what is left goes to
-// the changes that win most.
-func (p *Planner) price() float64 {
-	left := p.cfg.MaxChangesPerHour - p.history.used(p.snap.ChangesLastHour)
-	return p.cfg.ChangeCost * float64(p.cfg.MaxChangesPerHour) / float64(max(left, 1))
+// changeCost returns the cost of a change in engine seconds. It rises as the
+// hourly limit is used up, so that the remaining changes go to those with the
+// highest gain.
+func (p *Planner) changeCost() float64 {
+	remaining := p.cfg.MaxChangesPerHour - p.history.changesLastHour(p.snap.ChangesLastHour)
+	return p.cfg.ChangeCost * float64(p.cfg.MaxChangesPerHour) / float64(max(remaining, 1))
 }
--- a/internal/policy/roles/planner_test.go
+++ b/internal/policy/roles/planner_test.go
@@ -12,15 +12,16 @@
 	"fescuestand/internal/policy/roles"
 )
 
-// rates make one token a second one engine's work, so that demands in tests
-// read as engines.
+// rates let one engine serve one token a second, so that demands in tests are in
+// engines.
 var rates = roles.Rates{PrefillTokensPerSec: 1, DecodeTokensPerSec: 1}
 
-// pool returns a settled pool whose reports are a second old.
-func pool(prefill, decode int, p, d float64) roles.Snapshot {
+// pool returns a pool without changes in flight whose reports are a second old.
+// prefillDemand and decodeDemand are in engines.
+func pool(prefill, decode int, prefillDemand, decodeDemand float64) roles.Snapshot {
 	s := roles.Snapshot{
 		Pool:     "drafts",
-		Arrivals: roles.Arrivals{PromptTokensPerSec: p, OutputTokensPerSec: d},
+		Arrivals: roles.Arrivals{PromptTokensPerSec: prefillDemand, OutputTokensPerSec: decodeDemand},
 		Rates:    rates,
 	}
 	for i := range prefill + decode {
@@ -34,9 +35,9 @@
 	return s
 }
 
-// feed shows the planner one snapshot each second and returns what it ordered
-// and when.
-func feed(p *roles.Planner, from clock.Time, d time.Duration, s roles.Snapshot) ([]roles.Change, clock.Time) {
+// feedUntilOrder passes the snapshot to the planner each second, and returns the
+// first changes that it orders and when.
+func feedUntilOrder(p *roles.Planner, from clock.Time, d time.Duration, s roles.Snapshot) ([]roles.Change, clock.Time) {
 	for t := from; t < from.Add(d); t = t.Add(time.Second) {
 		p.Observe(t, s)
 		if c := p.Plan(t); len(c) > 0 {
@@ -46,31 +47,31 @@
 	return nil, from.Add(d)
 }
 
-func TestMovesTheEngineThatHurtsLeast(t *testing.T) {
+func TestMovesEngineWithFewestStreams(t *testing.T) {
 	p := roles.NewPlanner(lakeshoreSheet())
-	c, _ := feed(p, 0, time.Minute, pool(4, 8, 6, 3))
+	c, _ := feedUntilOrder(p, 0, time.Minute, pool(4, 8, 6, 3))
 	assert.Equal(t, len(c), 1)
 	assert.Equal(t, c[0].Engine, "runner-011", "the decode engine with the fewest streams")
 	assert.Equal(t, c[0].From, roles.Decode)
 	assert.Equal(t, c[0].To, roles.Prefill)
 	assert.Equal(t, c[0].Reason.PrefillReady, 4)
-	assert.Assert(t, c[0].Reason.Gain-c[0].Reason.Loss > c[0].Reason.Price)
+	assert.Assert(t, c[0].Reason.Gain-c[0].Reason.Loss > c[0].Reason.ChangeCost)
 }
 
-func TestHolds(t *testing.T) {
+func TestHoldReasons(t *testing.T) {
 	balanced := pool(6, 6, 4, 4)
 	short := pool(4, 8, 6, 3)
-	silent := pool(4, 8, 6, 3)
+	unreported := pool(4, 8, 6, 3)
 	for i := range 5 {
-		silent.Engines[i].ReportAge = -1
+		unreported.Engines[i].ReportAge = -1
 	}
-	spent := pool(4, 8, 6, 3)
-	spent.ChangesLastHour = lakeshorePerHour
-	old := pool(4, 8, 6, 3)
-	old.Arrivals.Age = time.Minute
-	held := pool(4, 8, 6, 3)
-	for i := range held.Engines {
-		held.Engines[i].Holder = "another"
+	limitReached := pool(4, 8, 6, 3)
+	limitReached.ChangesLastHour = lakeshoreMaxChangesPerHour
+	staleArrivals := pool(4, 8, 6, 3)
+	staleArrivals.Arrivals.Age = time.Minute
+	foreign := pool(4, 8, 6, 3)
+	for i := range foreign.Engines {
+		foreign.Engines[i].Holder = "another"
 	}
 	strict := lakeshoreSheet()
 	strict.MaxUnavailableShare = 0.05
@@ -82,122 +83,121 @@
 		snap roles.Snapshot
 		want roles.HoldReason
 	}{
-		{"a balanced pool", lakeshoreSheet(), balanced, roles.HoldPrice},
-		{"reports missing", lakeshoreSheet(), silent, roles.HoldStale},
-		{"ceiling reached before a restart", lakeshoreSheet(), spent, roles.HoldCeiling},
-		{"arrivals not measured", lakeshoreSheet(), old, roles.HoldNoDemand},
-		{"nobody may be away", strict, short, roles.HoldAway},
-		{"a role's last engine", lakeshoreSheet(), pool(11, 1, 30, 1), roles.HoldLast},
-		{"one engine", lakeshoreSheet(), pool(1, 0, 5, 5), roles.HoldNoSplit},
-		{"engines held by another process", named, held, roles.HoldTurn},
+		{"a balanced pool", lakeshoreSheet(), balanced, roles.HoldChangeCost},
+		{"reports missing", lakeshoreSheet(), unreported, roles.HoldStaleReports},
+		{"hourly limit reached before a restart", lakeshoreSheet(), limitReached, roles.HoldHourlyLimit},
+		{"arrivals not measured", lakeshoreSheet(), staleArrivals, roles.HoldNoDemand},
+		{"no engine may be unavailable", strict, short, roles.HoldUnavailable},
+		{"a role's last engine", lakeshoreSheet(), pool(11, 1, 30, 1), roles.HoldLastEngine},
+		{"one engine", lakeshoreSheet(), pool(1, 0, 5, 5), roles.HoldTooFewEngines},
+		{"engines held by another process", named, foreign, roles.HoldOtherPlanner},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := roles.NewPlanner(c.cfg)
-			got, _ := feed(p, 0, 2*time.Minute, c.snap)
+			got, _ := feedUntilOrder(p, 0, 2*time.Minute, c.snap)
 			assert.Equal(t, len(got), 0)
 			assert.Equal(t, p.HoldReason(), c.want, p.HoldReason().String())
 		})
 	}
 }
 
-// Callers of long prompts wait longer for a first token although the mix has not
-// changed: two prefill engines crashed and restart. The queue before the other
-// two is theirs. A planner that reads it as a shift takes a decode engine away,
-// and when the two are back the pool lacks one for decode.
-func TestCrashExplainsTheQueue(t *testing.T) {
+// Guards against a planner that takes the queue caused by two crashed prefill
+// engines for a shift of the mix. It would move a decode engine, and once the two
+// have restarted the pool would lack one for decode.
+func TestNoChangeDuringCrashGrace(t *testing.T) {
 	crashed := pool(6, 6, 5, 3.5)
 	crashed.Engines[0].State = roles.Down
 	crashed.Engines[1].State = roles.Down
-	after := func(g roles.Guards) int {
+	ordersDuringCrash := func(g roles.Guards) int {
 		cfg := lakeshoreSheet()
 		cfg.MaxUnavailableShare = 0.5
-		cfg.Guards = g
+		cfg.Disabled = g
 		p := roles.NewPlanner(cfg)
-		none, now := feed(p, 0, 30*time.Second, pool(6, 6, 5, 3.5))
+		none, now := feedUntilOrder(p, 0, 30*time.Second, pool(6, 6, 5, 3.5))
 		assert.Equal(t, len(none), 0)
-		c, _ := feed(p, now, 20*time.Second, crashed)
+		c, _ := feedUntilOrder(p, now, 20*time.Second, crashed)
 		return len(c)
 	}
-	assert.Equal(t, after(roles.Guards{}), 0)
-	assert.Equal(t, after(roles.Guards{NoGrace: true}), 1, "guard off")
+	assert.Equal(t, ordersDuringCrash(roles.Guards{}), 0)
+	assert.Equal(t, ordersDuringCrash(roles.Guards{NoCrashGrace: true}), 1, "guard disabled")
 }
 
-// A third of the engines is withdrawn, most of them from one role, and nobody
-// brings them back. Holding on would leave callers of long prompts with two
-// prefill engines for good.
-func TestEnginesLostForGoodAreSplitAnew(t *testing.T) {
+// Guards against waiting for engines that never return: a third of the engines is
+// withdrawn, most of them from one role, which would leave callers of long prompts
+// with two prefill engines permanently.
+func TestPoolIsSplitAgainAfterPermanentLoss(t *testing.T) {
 	p := roles.NewPlanner(lakeshoreSheet())
-	_, now := feed(p, 0, 30*time.Second, pool(6, 6, 5, 5))
+	_, now := feedUntilOrder(p, 0, 30*time.Second, pool(6, 6, 5, 5))
 	lost := pool(6, 6, 4, 3.5)
 	for i := range 4 {
 		lost.Engines[i].State = roles.Down
 	}
-	c, at := feed(p, now, 5*time.Minute, lost)
+	c, at := feedUntilOrder(p, now, 5*time.Minute, lost)
 	assert.Equal(t, len(c), 1)
 	assert.Equal(t, c[0].To, roles.Prefill)
 	assert.Assert(t, at.Sub(now) >= roles.CrashGrace)
 }
 
-// Every prefill engine is down: no caller gets a first token, and the price and
-// the grace are not asked.
-func TestRoleWithoutEnginesIsFilledAtOnce(t *testing.T) {
+// Guards against a pool that serves no request: every prefill engine is down, so the
+// change is ordered regardless of its cost and of CrashGrace.
+func TestEmptyRoleIsFilledImmediately(t *testing.T) {
 	p := roles.NewPlanner(cevallosSheet())
-	_, now := feed(p, 0, 10*time.Second, pool(2, 8, 1, 5))
-	gone := pool(2, 8, 1, 5)
-	gone.Engines[0].State = roles.Down
-	gone.Engines[1].State = roles.Down
-	c, at := feed(p, now, 5*time.Second, gone)
-	assert.Equal(t, len(c), 0, "two of ten away, and a quarter may be")
+	_, now := feedUntilOrder(p, 0, 10*time.Second, pool(2, 8, 1, 5))
+	noPrefill := pool(2, 8, 1, 5)
+	noPrefill.Engines[0].State = roles.Down
+	noPrefill.Engines[1].State = roles.Down
+	c, at := feedUntilOrder(p, now, 5*time.Second, noPrefill)
+	assert.Equal(t, len(c), 0, "two of ten are unavailable, and the limit is a quarter")
 	cfg := cevallosSheet()
 	cfg.MaxUnavailableShare = 0.3
 	p.SetConfig(cfg)
-	c, _ = feed(p, at, 5*time.Second, gone)
+	c, _ = feedUntilOrder(p, at, 5*time.Second, noPrefill)
 	assert.Equal(t, len(c), 1)
-	assert.Assert(t, c[0].Reason.Empty)
+	assert.Assert(t, c[0].Reason.EmptyRole)
 }
 
-// A change has just ended. The reports at hand were measured before it and still
-// show the shortage, and the next ones are seconds away. A planner that acts on
-// them moves a second engine for the first one's reason, then both back.
-func TestWaitsForReportsFromAfterTheChange(t *testing.T) {
-	second := func(g roles.Guards) time.Duration {
+// Guards against a second change for the same shortage: just after a change, the
+// newest reports were measured before it and still show the shortage. Acting on
+// them would move a second engine, and later both back.
+func TestWaitsForReportsMeasuredAfterChange(t *testing.T) {
+	secondOrderAfter := func(g roles.Guards) time.Duration {
 		cfg := lakeshoreSheet()
-		cfg.Guards = g
+		cfg.Disabled = g
 		p := roles.NewPlanner(cfg)
-		c, now := feed(p, 0, time.Minute, pool(4, 8, 8, 3))
+		c, now := feedUntilOrder(p, 0, time.Minute, pool(4, 8, 8, 3))
 		assert.Equal(t, len(c), 1)
-		done := pool(4, 8, 8, 3)
-		last := len(done.Engines) - 1
-		done.Engines[last].State = roles.Changing
-		_, now = feed(p, now.Add(time.Second), 5*time.Second, done)
-		done.Engines[last].State = roles.Ready
-		done.Engines[last].Role = roles.Prefill
-		done.Engines[last].ReportAge = 2 * time.Second
-		_, at := feed(p, now, time.Minute, done)
+		changed := pool(4, 8, 8, 3)
+		last := len(changed.Engines) - 1
+		changed.Engines[last].State = roles.Changing
+		_, now = feedUntilOrder(p, now.Add(time.Second), 5*time.Second, changed)
+		changed.Engines[last].State = roles.Ready
+		changed.Engines[last].Role = roles.Prefill
+		changed.Engines[last].ReportAge = 2 * time.Second
+		_, at := feedUntilOrder(p, now, time.Minute, changed)
 		return at.Sub(now)
 	}
-	assert.Assert(t, second(roles.Guards{}) >= roles.Settle+2*time.Second)
-	assert.Assert(t, second(roles.Guards{NoSettle: true}) < time.Second, "guard off")
+	assert.Assert(t, secondOrderAfter(roles.Guards{}) >= roles.SettleTime+2*time.Second)
+	assert.Assert(t, secondOrderAfter(roles.Guards{NoSettleTime: true}) < time.Second, "guard disabled")
 }
 
-func TestLostOrderIsForgotten(t *testing.T) {
+func TestLostOrderExpires(t *testing.T) {
 	p := roles.NewPlanner(lakeshoreSheet())
 	s := pool(4, 8, 6, 3)
-	first, now := feed(p, 0, time.Minute, s)
+	first, now := feedUntilOrder(p, 0, time.Minute, s)
 	assert.Equal(t, len(first), 1)
-	again, at := feed(p, now.Add(time.Second), time.Minute, s)
-	assert.Equal(t, len(again), 1)
+	retried, at := feedUntilOrder(p, now.Add(time.Second), time.Minute, s)
+	assert.Equal(t, len(retried), 1)
 	assert.Assert(t, at.Sub(now) >= roles.OrderTimeout)
 }
 
 func TestLargePoolMovesInBatches(t *testing.T) {
 	p := roles.NewPlanner(lakeshoreSheet())
-	c, _ := feed(p, 0, time.Minute, pool(40, 80, 60, 30))
+	c, _ := feedUntilOrder(p, 0, time.Minute, pool(40, 80, 60, 30))
 	assert.Assert(t, len(c) > 5, "%d", len(c))
-	assert.Assert(t, len(c) <= int(maxAwayShare*120/2))
+	assert.Assert(t, len(c) <= int(maxUnavailableShare*120/2))
 }
 
-func TestOrdersKeepTheSheetsLimits(t *testing.T) {
+func TestOrdersStayWithinSheetLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := lakeshoreSheet()
 		cfg.ChangeCost = 0
@@ -212,13 +212,13 @@
 			p.Observe(now, s)
 			changes := p.Plan(now)
 			total += len(changes)
-			obey(t, cfg, &s, changes)
+			checkAndApply(t, cfg, &s, changes)
 		}
 		assert.Assert(t, total <= cfg.MaxChangesPerHour)
 	})
 }
 
-// disturb changes the demand and one engine at random.
+// disturb changes the demand, and the holder and state of one engine, at random.
 func disturb(t *rapid.T, s *roles.Snapshot) {
 	s.Arrivals.PromptTokensPerSec = rapid.Float64Range(0, 12).Draw(t, "prefill demand")
 	s.Arrivals.OutputTokensPerSec = rapid.Float64Range(0, 12).Draw(t, "decode demand")
@@ -230,13 +230,13 @@
 	e.State = rapid.SampledFrom([]roles.State{roles.Ready, roles.Ready, roles.Ready, roles.Down, roles.Draining}).Draw(t, "state")
 }
 
-// obey checks each order against the snapshot that it was made from and starts
-// carrying it out.
-func obey(t *rapid.T, cfg roles.Config, s *roles.Snapshot, changes []roles.Change) {
-	away, ready := 0, [roles.Decode + 1]int{}
+// checkAndApply checks the orders against the snapshot from which they were planned,
+// and sets the new roles in it.
+func checkAndApply(t *rapid.T, cfg roles.Config, s *roles.Snapshot, changes []roles.Change) {
+	unavailable, ready := 0, [roles.Decode + 1]int{}
 	for _, e := range s.Engines {
 		if e.State != roles.Ready {
-			away++
+			unavailable++
 			continue
 		}
 		ready[e.Role]++
@@ -250,12 +250,12 @@
 			assert.Equal(t, e.State, roles.Ready)
 			assert.Equal(t, e.Role, c.From)
 			assert.Equal(t, e.Holder, "a")
-			assert.Assert(t, ready[c.From] > 1, "a role's last engine")
+			assert.Assert(t, ready[c.From] > 1, "the last engine of a role was moved")
 			ready[c.From]--
 			e.Role = c.To
 		}
 	}
-	if len(changes) > 0 && away == 0 {
+	if len(changes) > 0 && unavailable == 0 {
 		assert.Assert(t, float64(len(changes)) <= cfg.MaxUnavailableShare*float64(len(s.Engines)))
 	}
 }
--- a/internal/policy/roles/reports_test.go
+++ b/internal/policy/roles/reports_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// BenchmarkReportsEvery prints what rarer load reports cost in goodput. They
-// are most of what an entry spends at rest, so it asks as seldom as callers
-// don't feel it.
-func BenchmarkReportsEvery(b *testing.B) {
+// BenchmarkReportInterval prints the goodput at different intervals of load reports.
+// Polling them is most of the work of an idle entry, so the interval is as long as
+// it can be without an effect on callers.
+func BenchmarkReportInterval(b *testing.B) {
 	for b.Loop() {
 		for _, d := range deployments() {
 			var rows []row
-			for _, every := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
+			for _, interval := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
 				cfg := d.cfg
 				cfg.Workload.Length = 10 * time.Minute
-				cfg.Reports.Every = every
-				r := measure(cfg, entries("ours", morning, planned(d.sheet, nil)))
-				r[0].name = fmt.Sprintf("reports each %s", every)
+				cfg.Reports.Every = interval
+				r := runPolicies(cfg, entryPolicy("ours", initialSplit, rolePlanner(d.sheet, nil)))
+				r[0].name = fmt.Sprintf("reports each %s", interval)
 				rows = append(rows, r...)
 			}
-			show("reports, "+d.cfg.Name, rows)
+			printTable("reports, "+d.cfg.Name, rows)
 		}
 	}
 }
--- a/internal/policy/roles/snapshot.go
+++ b/internal/policy/roles/snapshot.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Role is the part of the work that an engine takes.
+// Role is the part of a request that an engine executes.
 type Role int
 
-// The roles. A mixed engine takes both parts; the planner never moves it.
+// The roles. A mixed engine executes both parts; the planner never moves it.
 const (
 	Mixed Role = iota
 	Prefill
@@ -34,15 +34,15 @@
 	return Prefill
 }
 
-// State is what an engine is doing.
+// State is the state of an engine.
 type State int
 
 // The states of an engine.
 const (
 	Ready    State = iota
-	Changing       // drains for a role change or is away for it
+	Changing       // drains for a role change or is executing it
 	Draining       // drains for any other planned reason
-	Down           // crashed, cut off or withdrawn
+	Down           // crashed, unreachable or withdrawn
 )
 
 func (s State) String() string {
@@ -59,7 +59,7 @@
 	return fmt.Sprintf("state(%d)", int(s))
 }
 
-// Snapshot is one pool as a control process knows it.
+// Snapshot is the state of one pool as a control process has it.
 type Snapshot struct {
 	Pool     string
 	Engines  []Engine
@@ -67,47 +67,48 @@
 	Queues   Queues
 	Rates    Rates
 	// ChangesLastHour is the count of the pool's role changes in the folded
-	// log; zero leaves the planner with those that it has seen itself.
+	// log. With zero the planner counts only the changes that it has observed.
 	ChangesLastHour int
 }
 
 // Engine is one engine of the pool.
 type Engine struct {
 	Name   string
-	Holder string // the control process with authority over it
+	Holder string // the control process that holds the claim to order changes on it
 	Role   Role
 	State  State
-	// Running and Queued count streams and waiting requests, CachedPieces the
-	// pieces of prefix cache that a change would lose.
+	// Running counts streams, Queued waiting requests, and CachedBlocks the
+	// blocks of prefix cache that a change would lose.
 	Running      int
 	Queued       int
-	CachedPieces int
-	// ReportAge is the time since the newest report was measured; negative
-	// means that there is none.
+	CachedBlocks int
+	// ReportAge is the time since the newest report was measured, negative if
+	// there is no report.
 	ReportAge time.Duration
 }
 
-// Arrivals is the demand that callers offer, refused requests included: a split
-// that is judged by what it let in would never learn what it turns away.
+// Arrivals is the load that callers offer, including refused requests: with the
+// admitted load alone, the planner would not see the demand that the present
+// split refuses.
 type Arrivals struct {
-	PromptTokensPerSec float64 // that no cache holds
+	PromptTokensPerSec float64 // without tokens that are in a cache
 	OutputTokensPerSec float64 // estimated from finished answers
 	Age                time.Duration
 }
 
-// Queues is the work that waits, at entries and engines.
+// Queues is the work queued at entries and engines.
 type Queues struct {
 	PromptTokens float64
 	OutputTokens float64
 }
 
-// Rates are what one engine of a role serves when it is busy, measured.
+// Rates are the measured throughputs of one busy engine of each role.
 type Rates struct {
 	PrefillTokensPerSec float64
 	DecodeTokensPerSec  float64
 }
 
-// Change is one order to an engine.
+// Change is an order to an engine to change its role.
 type Change struct {
 	Engine string
 	From   Role
@@ -115,22 +116,22 @@
 	Reason Reason
 }
 
-// Reason explains a change in figures, for the log.
+// Reason holds the figures that justify a change, for the log.
 type Reason struct {
 	Pool          string
-	PrefillDemand float64 // engines' worth of work, forecast
+	PrefillDemand float64 // forecast, in engines
 	DecodeDemand  float64
 	PrefillReady  int
 	DecodeReady   int
-	Gain          float64 // engine seconds
+	Gain          float64 // engine seconds, as Loss and ChangeCost
 	Loss          float64
-	Price         float64
+	ChangeCost    float64
 	Running       int  // streams that drain first
-	Empty         bool // the role had no engine left, so the price was not asked
+	EmptyRole     bool // the role had no ready engine, so the cost was ignored
 }
 
 // String returns key=value pairs.
 func (r Reason) String() string {
 	return fmt.Sprintf("pool=%s prefill_demand=%.2f decode_demand=%.2f prefill_ready=%d decode_ready=%d gain_s=%.1f loss_s=%.1f price_s=%.1f running=%d empty=%t",
-		r.Pool, r.PrefillDemand, r.DecodeDemand, r.PrefillReady, r.DecodeReady, r.Gain, r.Loss, r.Price, r.Running, r.Empty)
+		r.Pool, r.PrefillDemand, r.DecodeDemand, r.PrefillReady, r.DecodeReady, r.Gain, r.Loss, r.ChangeCost, r.Running, r.EmptyRole)
 }
