--- a/internal/policy/stages/stages.go
+++ b/internal/policy/stages/stages.go
@@ -1,14 +1,15 @@
-// Package stages decides how many engines of a service prefill and how many
-// decode, and which one changes.
+// Package stages decides how many engines of a service are in the prefill stage
+// and how many in the decode stage, and which engine changes its stage next.
 //
-// Load pattern: the work of the prompts and the work of the outputs of a mix
-// take different shares of the engines, and the shares with which a fleet
-// comes up need not fit. An engine that decodes can prefill, at half the speed
-// and between the tokens of its streams, each of which then becomes several
-// times slower: with too few prefill engines the first events are late and so
-// are the events after them. A change takes an engine away for seconds and has
-// a price, so that a split is corrected only while it is off by a whole engine
-// and stays so.
+// Load pattern: the prompts and the outputs of a request mix need different
+// shares of the engines, and the initial split of a fleet need not match them. A
+// decode engine can also prefill, but at half the speed and between the tokens of
+// its streams, each of which becomes several times slower: with too few prefill
+// engines, both the first events and the later ones are late.
+//
+// Approach: a change of stage makes an engine unavailable for seconds and has a
+// cost, so the planner corrects a split only if it is wrong by at least a whole
+// engine and stays wrong for some time.
 //
 // The package does no I/O and reads no clock.
 package stages
@@ -24,112 +25,116 @@
 )
 
 const (
-	// prefillLoad is the share of their time that prefill engines are to be
-	// busy: above it their queues, which are in order of arrival, grow with
-	// each burst to several prompts.
-	prefillLoad = 0.65
-	// slotShare of an engine's slots, and mostStreams, is how many streams a
-	// decode engine is to have: above the first requests wait for a slot, above
-	// the second each token takes over 5 ms.
-	slotShare   = 0.65
-	mostStreams = 32
-	// mostPrefill is the largest share that prefills. Decode engines can do
-	// what prefill engines do, more slowly, but not the other way round: a
-	// fleet that follows a mix of long prompts further and then loses decode
-	// engines refuses requests until it has changed back.
-	mostPrefill = 0.5
-	// decodeMargin times the decode engines that the streams need are kept before an
-	// engine more than needed goes on prefilling: a burst brings as many streams more.
-	decodeMargin = 1.25
-	// mostUnseen engines at most are made to prefill while there is no traffic: they
-	// carry what comes first, and a fleet of thousands isn't turned round for a mix
-	// that nobody has seen.
-	mostUnseen = 48
-	// leastDemand of the engines must be needed for a mix to count as measured.
-	leastDemand = 0.1
-	// leastOfStage engines keep each stage, so that one may crash.
-	leastOfStage = 2
-	// leastEngines is the smallest service that is split: with fewer a stage
-	// would have one engine only.
-	leastEngines = 2 * leastOfStage
-	// tolerated is the share of the engines by which prefill engines may be too
-	// few while there is traffic: a change takes an engine away for 3 s, longer
-	// than many swings of the mix last. Decode engines that are too few are
-	// replaced sooner, since nothing else can do their work.
-	tolerated = 0.1
-	// settled is how long a split must be off before an engine changes; while
-	// there is traffic lacking is how long for want of decode engines, and
-	// persistent for want of prefill engines.
-	settled    = 2 * time.Second
-	lacking    = 3500 * time.Millisecond
-	persistent = 5 * time.Second
-	// maxAway is the share of the engines that may be on their way to another
-	// stage while there is traffic.
-	maxAway = 0.05
-	// newFor is how long an engine counts as a new one, which a change of stage costs
-	// nothing: it has no requests yet and nothing cached.
-	newFor = 3 * time.Second
-	// newLoad is how many requests a new engine may have got already.
-	newLoad = 2
-	// newAway is the share of the engines that may be on their way to another stage
-	// for new ones to be sent there too.
-	newAway = 0.25
-	// orderLife is how long an order is believed in: a change takes 3 s and
-	// shows in the engine's entry within another.
-	orderLife = 8 * time.Second
+	// targetPrefillUtilization is the share of time that prefill engines should be
+	// busy. Above it their FIFO queues grow to several prompts with each burst.
+	targetPrefillUtilization = 0.65
+	// targetSlotUtilization, as a share of an engine's slots, and
+	// maxStreamsPerEngine limit the streams that a decode engine should have: above
+	// the first limit requests wait for a slot, above the second each token takes
+	// over 5 ms.
+	targetSlotUtilization = 0.65
+	maxStreamsPerEngine   = 32
+	// maxPrefillShare is the largest share of the engines in the prefill stage.
+	// Decode engines can do the work of prefill engines, more slowly, but not the
+	// other way round: a fleet that follows a mix of long prompts beyond this share
+	// and then loses decode engines refuses requests until engines have changed back.
+	maxPrefillShare = 0.5
+	// decodeHeadroomFactor times the decode engines that the streams need are kept
+	// before surplus prefill engines may stay: a burst adds that many streams.
+	decodeHeadroomFactor = 1.25
+	// maxPrefillUnmeasured limits the engines that are assigned to prefill while
+	// there is no traffic. They serve the first requests, and a fleet of thousands
+	// isn't reassigned for a mix that has not been measured.
+	maxPrefillUnmeasured = 48
+	// minDemandShare is the share of the engines that must be needed for a mix to
+	// count as measured.
+	minDemandShare = 0.1
+	// minPerStage is the minimum number of engines in each stage, so that one of
+	// them may crash.
+	minPerStage = 2
+	// minSplitEngines is the smallest service that is split: with fewer engines, a
+	// stage would have only one.
+	minSplitEngines = 2 * minPerStage
+	// toleratedShare is the shortage of prefill engines, as a share of the engines,
+	// that is tolerated while there is traffic: a change makes an engine unavailable
+	// for 3 s, longer than many swings of the mix last. Missing decode engines are
+	// replaced sooner, since no other engine can do their work.
+	toleratedShare = 0.1
+	// A split must be wrong for a delay before an engine changes: idleDelay without
+	// traffic, and with traffic decodeShortageDelay if decode engines are missing and
+	// prefillShortageDelay if prefill engines are.
+	idleDelay            = 2 * time.Second
+	decodeShortageDelay  = 3500 * time.Millisecond
+	prefillShortageDelay = 5 * time.Second
+	// maxChangingShare is the share of the engines that may be changing stage at the
+	// same time while there is traffic.
+	maxChangingShare = 0.05
+	// maxNewAge is how long an engine counts as new. Changing the stage of a new
+	// engine costs nothing: it has no requests and no cache yet.
+	maxNewAge = 3 * time.Second
+	// maxNewLoad is how many requests a new engine may already have.
+	maxNewLoad = 2
+	// maxNewChangingShare is the share of the engines changing stage from which no
+	// further new engines are reassigned.
+	maxNewChangingShare = 0.25
+	// orderTimeout is how long an order counts as pending: a change takes 3 s and
+	// then appears in the engine's catalog entry, well within this time.
+	orderTimeout = 8 * time.Second
 )
 
-// Demand is what the traffic of a service needs.
+// Demand is the demand of a service's traffic.
 type Demand struct {
-	Prefill float64 // prefill engines that would be busy all the time
-	Streams float64 // streams at a time
-	SlotsPerEngine   int     // of an engine, zero if not known
+	Prefill        float64 // prefill engines that would be busy all the time
+	Streams        float64 // concurrent streams
+	SlotsPerEngine int     // zero if unknown
 }
 
-// perEngine is how many streams a decode engine is to have.
-func (d Demand) perEngine() float64 {
+// streamsPerEngine returns how many streams a decode engine should have.
+func (d Demand) streamsPerEngine() float64 {
 	if d.SlotsPerEngine == 0 {
-		return mostStreams
+		return maxStreamsPerEngine
 	}
-	return min(slotShare*float64(d.SlotsPerEngine), mostStreams)
+	return min(targetSlotUtilization*float64(d.SlotsPerEngine), maxStreamsPerEngine)
 }
 
-// need returns how many engines of each stage the demand keeps well busy.
-func (d Demand) need() (prefill, decode float64) {
-	return d.Prefill / prefillLoad, d.Streams / d.perEngine()
+// requiredByStage returns how many engines of each stage the demand keeps at their
+// target utilization.
+func (d Demand) requiredByStage() (prefill, decode float64) {
+	return d.Prefill / targetPrefillUtilization, d.Streams / d.streamsPerEngine()
 }
 
-// RequiredEngines returns how many engines the demand keeps well busy.
+// RequiredEngines returns how many engines the demand keeps at their target
+// utilization.
 func (d Demand) RequiredEngines() float64 {
-	p, q := d.need()
-	return p + q
+	prefill, decode := d.requiredByStage()
+	return prefill + decode
 }
 
-// measured tells whether there is enough traffic to go by.
+// measured reports whether there is enough traffic to measure the mix.
 func (d Demand) measured(engines int) bool {
-	p, q := d.need()
-	return p+q > leastDemand*float64(engines)
+	prefill, decode := d.requiredByStage()
+	return prefill+decode > minDemandShare*float64(engines)
 }
 
-// share of the engines that is to prefill. Without traffic to measure, as many are to
-// prefill as ever may: too few decode engines are replaced soon once traffic shows it,
-// and too few prefill engines only in the time of many changes.
-func (d Demand) share(engines int) float64 {
+// prefillShare returns the share of the engines that should prefill. Without measured
+// traffic it is the maximum: once there is traffic, missing decode engines are replaced
+// quickly, but missing prefill engines only over the time of many changes.
+func (d Demand) prefillShare(engines int) float64 {
 	if !d.measured(engines) {
-		return mostPrefill
+		return maxPrefillShare
 	}
-	p, q := d.need()
-	return min(p/(p+q), mostPrefill)
+	prefill, decode := d.requiredByStage()
+	return min(prefill/(prefill+decode), maxPrefillShare)
 }
 
-// Engine is one engine as it is known.
+// Engine is the recorded state of one engine.
 type Engine struct {
 	ID    string
 	Stage catalog.Stage
-	Load  int // requests at it
+	Load  int // requests at the engine
 }
 
-// Change is an engine that is to change its stage.
+// Change is a change of an engine's stage.
 type Change struct {
 	ID string
 	To catalog.Stage
@@ -137,10 +142,10 @@
 
 // Planner plans one service. It isn't safe for concurrent use.
 type Planner struct {
-	ordered map[string]order
-	off     clock.Time            // since when the split is off
-	wrong   int                   // by how many engines, negative for too few that prefill
-	seen    map[string]clock.Time // when engines were first seen, zero if with the first
+	pending   map[string]order
+	wrongFrom clock.Time            // since when the split has been wrong
+	surplus   int                   // prefill engines too many, negative if too few
+	firstSeen map[string]clock.Time // by engine, zero for those of the first call of Plan
 }
 
 type order struct {
@@ -149,154 +154,157 @@
 }
 
 // NewPlanner returns a planner without history.
-func NewPlanner() *Planner { return &Planner{ordered: map[string]order{}} }
+func NewPlanner() *Planner { return &Planner{pending: map[string]order{}} }
 
-// Prefillers is how many of n engines are to prefill.
-func Prefillers(n int, d Demand) int {
-	if n < leastEngines {
+// PrefillEngines returns how many of n engines should prefill.
+func PrefillEngines(n int, d Demand) int {
+	if n < minSplitEngines {
 		return 0
 	}
-	p := int(math.Round(d.share(n) * float64(n)))
-	return min(max(p, leastOfStage), n-leastOfStage)
+	p := int(math.Round(d.prefillShare(n) * float64(n)))
+	return min(max(p, minPerStage), n-minPerStage)
 }
 
-// off is by how many engines too many prefill, negative for too few. Where there are
-// more engines than the demand keeps well busy, those that prefill beyond it are left:
-// a burst of prompts makes first events late sooner than one of streams.
-func off(have, n int, d Demand) int {
-	least, most := bounds(n, d)
+// prefillSurplus returns by how many engines too many prefill, negative if too few. If
+// there are more engines than the demand needs, surplus prefill engines are kept: a burst
+// of prompts delays first events sooner than a burst of streams does.
+func prefillSurplus(prefill, n int, d Demand) int {
+	minPrefill, maxPrefill := prefillBounds(n, d)
 	switch {
-	case have < least:
-		return have - least
-	case have > most:
-		return have - most
+	case prefill < minPrefill:
+		return prefill - minPrefill
+	case prefill > maxPrefill:
+		return prefill - maxPrefill
 	}
 	return 0
 }
 
-// bounds returns how many of n engines are to prefill at least and at most.
-func bounds(n int, d Demand) (least, most int) {
-	least = Prefillers(n, d)
+// prefillBounds returns how many of n engines should prefill at least and at most.
+func prefillBounds(n int, d Demand) (minPrefill, maxPrefill int) {
+	minPrefill = PrefillEngines(n, d)
 	if !d.measured(n) {
-		return min(least, mostUnseen), least
+		return min(minPrefill, maxPrefillUnmeasured), minPrefill
 	}
-	_, decode := d.need()
-	spare := min(n-int(math.Ceil(decodeMargin*decode)), int(mostPrefill*float64(n)))
-	return least, max(least, min(spare, n-leastOfStage))
+	_, decode := d.requiredByStage()
+	spare := min(n-int(math.Ceil(decodeHeadroomFactor*decode)), int(maxPrefillShare*float64(n)))
+	return minPrefill, max(minPrefill, min(spare, n-minPerStage))
 }
 
-// slackOf is by how many of n engines too few may prefill while there is traffic.
-func slackOf(n int) int { return max(int(tolerated*float64(n)), 1) }
+// toleratedShortage returns how many of n engines may be missing from prefill while there
+// is traffic.
+func toleratedShortage(n int) int { return max(int(toleratedShare*float64(n)), 1) }
 
 // Plan returns the engine to change now, if any.
 func (p *Planner) Plan(now clock.Time, engines []Engine, d Demand) (Change, bool) {
-	have := 0
+	prefill := 0
 	for i := range engines {
-		engines[i].Stage = p.stageOf(now, &engines[i])
+		engines[i].Stage = p.effectiveStage(now, &engines[i])
 		if engines[i].Stage == catalog.Prefill {
-			have++
+			prefill++
 		}
 	}
 	n := len(engines)
-	p.see(now, engines)
-	if c, ok := p.turnNew(now, engines, have, d); ok {
+	p.trackFirstSeen(now, engines)
+	if c, ok := p.reassignNew(now, engines, prefill, d); ok {
 		return c, true
 	}
-	wrong := off(have, n, d)
-	slack, wait, away := 0, settled, n
+	surplus := prefillSurplus(prefill, n, d)
+	tolerance, delay, maxPending := 0, idleDelay, n
 	switch {
-	case d.measured(n) && wrong < 0:
-		slack, wait, away = slackOf(n), persistent, max(int(maxAway*float64(n)), 1)
+	case d.measured(n) && surplus < 0:
+		tolerance, delay, maxPending = toleratedShortage(n), prefillShortageDelay, max(int(maxChangingShare*float64(n)), 1)
 	case d.measured(n):
-		wait = lacking
+		delay = decodeShortageDelay
 	}
-	if n < leastEngines || !p.persists(now, wrong, slack, wait) || len(p.ordered) >= away {
+	if n < minSplitEngines || !p.isPersistent(now, surplus, tolerance, delay) || len(p.pending) >= maxPending {
 		return Change{}, false
 	}
-	return p.pick(engines, wrong)
+	return p.pickEngine(engines, surplus)
 }
 
-// see notes which engines are new, and forgets those that have gone.
-func (p *Planner) see(now clock.Time, engines []Engine) {
-	seen := make(map[string]clock.Time, len(engines))
+// trackFirstSeen records when each engine was first seen, and drops engines that are no
+// longer listed.
+func (p *Planner) trackFirstSeen(now clock.Time, engines []Engine) {
+	firstSeen := make(map[string]clock.Time, len(engines))
 	for _, e := range engines {
-		at, known := p.seen[e.ID]
-		if !known && p.seen != nil {
+		at, seen := p.firstSeen[e.ID]
+		if !seen && p.firstSeen != nil {
 			at = now
 		}
-		seen[e.ID] = at
+		firstSeen[e.ID] = at
 	}
-	p.seen = seen
+	p.firstSeen = firstSeen
 }
 
-// turnNew returns a new engine that is to prefill. Engines that replace others come in
-// shares that needn't fit the mix; to turn them at once spares those that work.
-func (p *Planner) turnNew(now clock.Time, engines []Engine, have int, d Demand) (Change, bool) {
+// reassignNew returns a new engine that should change to prefill. The stages of
+// replacement engines need not match the mix, and reassigning them immediately avoids
+// changes of engines that have work.
+func (p *Planner) reassignNew(now clock.Time, engines []Engine, prefill int, d Demand) (Change, bool) {
 	n := len(engines)
-	least, most := bounds(n, d)
+	minPrefill, maxPrefill := prefillBounds(n, d)
 	if !d.measured(n) {
-		most = least
+		maxPrefill = minPrefill
 	}
-	if n < leastEngines || most-have <= slackOf(n) || float64(len(p.ordered)) >= newAway*float64(n) {
+	if n < minSplitEngines || maxPrefill-prefill <= toleratedShortage(n) || float64(len(p.pending)) >= maxNewChangingShare*float64(n) {
 		return Change{}, false
 	}
 	for _, e := range engines {
-		at := p.seen[e.ID]
-		if _, moving := p.ordered[e.ID]; !moving && e.Stage == catalog.Decode && e.Load <= newLoad && at != 0 && now.Sub(at) <= newFor {
+		at := p.firstSeen[e.ID]
+		if _, changing := p.pending[e.ID]; !changing && e.Stage == catalog.Decode && e.Load <= maxNewLoad && at != 0 && now.Sub(at) <= maxNewAge {
 			return Change{e.ID, catalog.Prefill}, true
 		}
 	}
 	return Change{}, false
 }
 
-// persists tells whether the split has been off in one direction, by more than
-// slack, for a while. Once it has, it is corrected until it fits.
-func (p *Planner) persists(now clock.Time, wrong, slack int, wait time.Duration) bool {
-	same := p.wrong != 0 && (p.wrong > 0) == (wrong > 0)
-	if wrong == 0 || !same && max(wrong, -wrong) <= slack {
-		p.wrong = 0
+// isPersistent reports whether the split has been wrong in one direction for the delay,
+// starting with an error above the tolerance. It is then corrected until it matches.
+func (p *Planner) isPersistent(now clock.Time, surplus, tolerance int, delay time.Duration) bool {
+	sameDirection := p.surplus != 0 && (p.surplus > 0) == (surplus > 0)
+	if surplus == 0 || !sameDirection && max(surplus, -surplus) <= tolerance {
+		p.surplus = 0
 		return false
 	}
-	if !same {
-		p.off = now
+	if !sameDirection {
+		p.wrongFrom = now
 	}
-	p.wrong = wrong
-	return now.Sub(p.off) >= wait
+	p.surplus = surplus
+	return now.Sub(p.wrongFrom) >= delay
 }
 
-// stageOf is the stage that an engine is in or on its way to.
-func (p *Planner) stageOf(now clock.Time, e *Engine) catalog.Stage {
-	o, ok := p.ordered[e.ID]
+// effectiveStage returns the stage that an engine is in or changing to.
+func (p *Planner) effectiveStage(now clock.Time, e *Engine) catalog.Stage {
+	o, ok := p.pending[e.ID]
 	if !ok {
 		return e.Stage
 	}
-	if now.Sub(o.at) > orderLife || e.Stage == o.to {
-		delete(p.ordered, e.ID)
+	if now.Sub(o.at) > orderTimeout || e.Stage == o.to {
+		delete(p.pending, e.ID)
 		return e.Stage
 	}
 	return o.to
 }
 
-// pick returns the engine with the least to lose.
-func (p *Planner) pick(engines []Engine, wrong int) (Change, bool) {
+// pickEngine returns the change of the engine with the fewest requests.
+func (p *Planner) pickEngine(engines []Engine, surplus int) (Change, bool) {
 	from, to := catalog.Decode, catalog.Prefill
-	if wrong > 0 {
+	if surplus > 0 {
 		from, to = to, from
 	}
-	var list []Engine
+	var candidates []Engine
 	for _, e := range engines {
-		if _, moving := p.ordered[e.ID]; e.Stage == from && !moving {
-			list = append(list, e)
+		if _, changing := p.pending[e.ID]; e.Stage == from && !changing {
+			candidates = append(candidates, e)
 		}
 	}
-	if len(list) == 0 {
+	if len(candidates) == 0 {
 		return Change{}, false
 	}
-	best := slices.MinFunc(list, func(a, b Engine) int {
+	best := slices.MinFunc(candidates, func(a, b Engine) int {
 		return cmp.Or(cmp.Compare(a.Load, b.Load), cmp.Compare(a.ID, b.ID))
 	})
 	return Change{best.ID, to}, true
 }
 
-// RecordOrder notes that the change was ordered, or may have been.
-func (p *Planner) RecordOrder(now clock.Time, c Change) { p.ordered[c.ID] = order{c.To, now} }
+// RecordOrder records that a change was ordered, or may have been.
+func (p *Planner) RecordOrder(now clock.Time, c Change) { p.pending[c.ID] = order{c.To, now} }
--- a/internal/policy/stages/stages_test.go
+++ b/internal/policy/stages/stages_test.go
@@ -24,7 +24,7 @@
 	return out
 }
 
-func TestPrefillers(t *testing.T) {
+func TestPrefillEngines(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		n    int
@@ -33,48 +33,47 @@
 	}{
 		{"none", 0, Demand{}, 0},
 		{"too few to split", 3, Demand{}, 0},
-		{"one of each may crash", 4, Demand{Prefill: 4}, 2},
+		{"minimum of each stage", 4, Demand{Prefill: 4}, 2},
 		{"no traffic", 12, Demand{SlotsPerEngine: 96}, 6},
 		{"no traffic, few slots", 89, Demand{SlotsPerEngine: 16}, 45},
 		{"long prompts", 12, Demand{Prefill: 5, Streams: 100, SlotsPerEngine: 96}, 6},
 		{"long answers", 12, Demand{Prefill: 2, Streams: 250, SlotsPerEngine: 96}, 3},
 		{"few slots", 89, Demand{Prefill: 18, Streams: 420, SlotsPerEngine: 16}, 36},
 	} {
-		assert.Equal(t, Prefillers(tc.n, tc.d), tc.want, tc.name)
+		assert.Equal(t, PrefillEngines(tc.n, tc.d), tc.want, tc.name)
 	}
 }
 
-// Guards against a fleet that follows a calm mix down to as few prefill engines as it
-// needs, and has too few of them for the next burst of prompts. Pattern: more engines
-// than the mix keeps busy, bursts of prompts.
-func TestSpareEnginesGoOnPrefilling(t *testing.T) {
-	calm := Demand{Prefill: 6.5, Streams: 200, SlotsPerEngine: 12}
-	assert.Equal(t, Prefillers(79, calm), 22)
+// Guards against too few prefill engines for a burst of prompts: a fleet larger than its
+// demand would reduce them to the minimum that the mix needs between bursts.
+func TestSparePrefillEnginesAreKept(t *testing.T) {
+	lowDemand := Demand{Prefill: 6.5, Streams: 200, SlotsPerEngine: 12}
+	assert.Equal(t, PrefillEngines(79, lowDemand), 22)
 	for _, tc := range []struct {
-		name string
-		have int
-		d    Demand
-		want int
+		name    string
+		prefill int
+		d       Demand
+		want    int
 	}{
-		{"as many as needed", 22, calm, 0},
-		{"more, and decode engines to spare", 39, calm, 0},
-		{"more than half", 45, calm, 6},
-		{"too few", 15, calm, -7},
-		{"decode engines needed", 39, Demand{Prefill: 6.5, Streams: 400, SlotsPerEngine: 12}, 25},
-		{"none to spare", 39, Demand{Prefill: 20, Streams: 300, SlotsPerEngine: 12}, 4},
+		{"as many as needed", 22, lowDemand, 0},
+		{"more than needed, spare decode engines", 39, lowDemand, 0},
+		{"more than half", 45, lowDemand, 6},
+		{"too few", 15, lowDemand, -7},
+		{"more decode engines needed", 39, Demand{Prefill: 6.5, Streams: 400, SlotsPerEngine: 12}, 25},
+		{"no spare engines", 39, Demand{Prefill: 20, Streams: 300, SlotsPerEngine: 12}, 4},
 	} {
-		assert.Equal(t, off(tc.have, 79, tc.d), tc.want, tc.name)
+		assert.Equal(t, prefillSurplus(tc.prefill, 79, tc.d), tc.want, tc.name)
 	}
-	assert.Equal(t, off(170, 999, Demand{SlotsPerEngine: 12}), 0, "a large fleet without traffic")
-	assert.Equal(t, off(10, 999, Demand{SlotsPerEngine: 12}), -38)
-	assert.Equal(t, off(600, 999, Demand{SlotsPerEngine: 12}), 100)
-	assert.Equal(t, off(6, 12, Demand{}), 0)
-	assert.Equal(t, off(7, 12, Demand{}), 1, "without traffic")
+	assert.Equal(t, prefillSurplus(170, 999, Demand{SlotsPerEngine: 12}), 0, "a large fleet without traffic")
+	assert.Equal(t, prefillSurplus(10, 999, Demand{SlotsPerEngine: 12}), -38)
+	assert.Equal(t, prefillSurplus(600, 999, Demand{SlotsPerEngine: 12}), 100)
+	assert.Equal(t, prefillSurplus(6, 12, Demand{}), 0)
+	assert.Equal(t, prefillSurplus(7, 12, Demand{}), 1, "without traffic")
 }
 
-// settle plays a fleet whose engines take three seconds to change and returns
-// how many changes it took.
-func settle(t *testing.T, engines []Engine, span time.Duration) int {
+// simulateFleet runs the planner on a fleet whose engines take three seconds to change,
+// and returns the number of changes ordered.
+func simulateFleet(t *testing.T, engines []Engine, span time.Duration) int {
 	t.Helper()
 	p := NewPlanner()
 	due := map[string]clock.Time{}
@@ -87,8 +86,8 @@
 				delete(due, e.ID)
 			}
 		}
-		seen := append([]Engine(nil), engines...)
-		if c, ok := p.Plan(now, seen, Demand{}); ok {
+		reported := append([]Engine(nil), engines...)
+		if c, ok := p.Plan(now, reported, Demand{}); ok {
 			changes++
 			due[c.ID], to[c.ID] = now.Add(4*time.Second), c.To
 			p.RecordOrder(now, c)
@@ -107,16 +106,16 @@
 	return n
 }
 
-// A fleet comes up with a third of its engines prefilling. Each order is seen in
-// the engine's entry only seconds later; a planner that looked at the entries
-// alone would order one engine after the other until all had changed.
-func TestAFleetIsSplitOnce(t *testing.T) {
+// Guards against changing all engines one after the other: each order appears in the
+// engine's catalog entry only seconds later, so a planner that ignored its pending orders
+// would go on ordering. The fleet starts with a third of its engines prefilling.
+func TestPendingOrdersCountAsChanged(t *testing.T) {
 	engines := fleet(4, 8)
-	assert.Equal(t, settle(t, engines, 30*time.Second), 2)
+	assert.Equal(t, simulateFleet(t, engines, 30*time.Second), 2)
 	assert.Equal(t, count(engines, catalog.Prefill), 6)
 }
 
-func TestTheIdlestEngineChanges(t *testing.T) {
+func TestLeastLoadedEngineChanges(t *testing.T) {
 	engines := fleet(4, 8)
 	for i := range engines {
 		engines[i].Load = 5
@@ -124,15 +123,15 @@
 	engines[9].Load = 1
 	p := NewPlanner()
 	_, ok := p.Plan(0, engines, Demand{})
-	assert.Assert(t, !ok, "a split that has just become wrong")
-	c, ok := p.Plan(clock.Time(settled), engines, Demand{})
+	assert.Assert(t, !ok, "the split has only just become wrong")
+	c, ok := p.Plan(clock.Time(idleDelay), engines, Demand{})
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, c, Change{"e09", catalog.Prefill})
 }
 
-// An engine crashes and is back two seconds later. Each change takes an engine
-// away for longer than that.
-func TestAShortLossChangesNothing(t *testing.T) {
+// Guards against changes for a brief loss: an engine crashes and is back two seconds
+// later, sooner than a change would complete.
+func TestBriefEngineLossCausesNoChange(t *testing.T) {
 	p := NewPlanner()
 	for now := clock.Time(0); now < clock.Time(20*time.Second); now = now.Add(500 * time.Millisecond) {
 		engines := fleet(6, 6)
@@ -144,9 +143,9 @@
 	}
 }
 
-// An order gets no answer, and the engine never changes. It counts as changed
-// for a while and is then ordered again.
-func TestALostOrderIsRepeatedLater(t *testing.T) {
+// Guards against an engine that stays in the wrong stage after a lost order: the order
+// gets no answer, counts as pending until it times out, and is then given again.
+func TestLostOrderIsRetried(t *testing.T) {
 	p := NewPlanner()
 	var at []time.Duration
 	for now := clock.Time(0); now < clock.Time(20*time.Second); now = now.Add(500 * time.Millisecond) {
@@ -156,13 +155,13 @@
 		}
 	}
 	assert.Equal(t, len(at), 2, "%v", at)
-	assert.Assert(t, at[1]-at[0] > orderLife)
+	assert.Assert(t, at[1]-at[0] > orderTimeout)
 }
 
-// The mix swings between long prompts and long answers every three seconds, as
-// long as a change of an engine takes. Following it, the engines would always be
-// on their way to where they were needed before.
-func TestSwingsThatNoChangeCanFollowAreLeftAlone(t *testing.T) {
+// Guards against following swings that are too short: the mix alternates between long
+// prompts and long answers every three seconds, as long as a change takes, so each engine
+// would reach its new stage after the demand for it had ended.
+func TestShortSwingsCauseNoChange(t *testing.T) {
 	p := NewPlanner()
 	for now := clock.Time(0); now < clock.Time(60*time.Second); now = now.Add(500 * time.Millisecond) {
 		d := Demand{Prefill: 5, Streams: 120, SlotsPerEngine: 96}
@@ -174,9 +173,9 @@
 	}
 }
 
-// The mix changes for good while all engines are busy. They change a few at a
-// time, so that the others can carry the load.
-func TestALastingChangeOfTheMixIsFollowedAFewAtATime(t *testing.T) {
+// Guards against too many concurrent changes: the mix shifts permanently while all
+// engines are busy, and the engines that are not changing have to carry the load.
+func TestLastingMixShiftIsFollowedGradually(t *testing.T) {
 	p := NewPlanner()
 	d := Demand{Prefill: 30, Streams: 420, SlotsPerEngine: 16}
 	for now := clock.Time(0); now < clock.Time(10*time.Second); now = now.Add(500 * time.Millisecond) {
@@ -185,11 +184,12 @@
 			p.RecordOrder(now, c)
 		}
 	}
-	assert.Equal(t, len(p.ordered), 4)
+	assert.Equal(t, len(p.pending), 4)
 }
 
-// Two decode engines are taken away while prompts are long. Nothing else can do
-// their work, and callers are refused until others have changed.
+// Guards against a slow replacement of decode engines: two are lost while prompts are
+// long, no other engine can do their work, and callers are refused until engines have
+// changed.
 func TestMissingDecodeEnginesAreReplacedSoon(t *testing.T) {
 	p := NewPlanner()
 	d := Demand{Prefill: 5, Streams: 190, SlotsPerEngine: 96}
@@ -199,13 +199,12 @@
 			p.RecordOrder(now, c)
 		}
 	}
-	assert.Equal(t, len(p.ordered), 1)
+	assert.Equal(t, len(p.pending), 1)
 }
 
-// Guards against a zone whose engines are replaced by ones that nearly all decode: prompts
-// were read at decode engines for ten seconds. Pattern: a third of the engines is
-// reclaimed, and as many new ones come.
-func TestNewEnginesAreSentToPrefillAtOnce(t *testing.T) {
+// Guards against replacement engines that nearly all decode: after a third of the engines
+// was reclaimed and replaced, prompts were prefilled on decode engines for ten seconds.
+func TestNewEnginesAreAssignedToPrefill(t *testing.T) {
 	d := Demand{Prefill: 12, Streams: 300, SlotsPerEngine: 16}
 	p := NewPlanner()
 	now := clock.Time(time.Hour)
@@ -217,7 +216,7 @@
 	for i := range 40 {
 		engines = append(engines, Engine{ID: fmt.Sprintf("new%02d", i), Stage: catalog.Decode})
 	}
-	turned := 0
+	reassigned := 0
 	for {
 		c, ok := p.Plan(now, engines, d)
 		if !ok {
@@ -226,20 +225,21 @@
 		assert.Equal(t, c.ID[:3], "new")
 		assert.Equal(t, c.To, catalog.Prefill)
 		p.RecordOrder(now, c)
-		turned++
+		reassigned++
 	}
-	assert.Assert(t, turned >= 6 && turned <= 20, "%d", turned)
-	now = now.Add(newFor + time.Second)
-	engines = engines[turned:]
+	assert.Assert(t, reassigned >= 6 && reassigned <= 20, "%d", reassigned)
+	now = now.Add(maxNewAge + time.Second)
+	engines = engines[reassigned:]
 	_, changed = p.Plan(now, engines, d)
-	assert.Assert(t, !changed, "an engine that isn't new any more is left alone")
+	assert.Assert(t, !changed, "an engine that is no longer new keeps its stage")
 }
 
-// Guards against thousands of engines that start one after the other and are all turned for a mix that nobody has seen.
-func TestALargeFleetThatComesUpSlowlyIsNotTurnedRound(t *testing.T) {
+// Guards against reassigning thousands of engines, which start one after the other, for a
+// mix that has not been measured yet.
+func TestSlowlyStartingFleetReassignsFewEngines(t *testing.T) {
 	p := NewPlanner()
 	now := clock.Time(time.Hour)
-	turned := 0
+	reassigned := 0
 	for n := 100; n <= 3000; n += 100 {
 		engines := fleet(0, n)
 		for {
@@ -248,9 +248,9 @@
 				break
 			}
 			p.RecordOrder(now, c)
-			turned++
+			reassigned++
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
-	assert.Assert(t, turned <= mostUnseen, "%d", turned)
+	assert.Assert(t, reassigned <= maxPrefillUnmeasured, "%d", reassigned)
 }
