--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -60,7 +60,7 @@
 type planner struct {
 	roles *roles.Planner
 	rates map[string]entryRate // by entry VM
-	hold  roles.Hold
+	hold  roles.HoldReason
 }
 
 // rateTimeout drops the rate of an entry that has gone silent: its callers
@@ -87,8 +87,8 @@
 // planRoles lets the planner look at a pool and act.
 func (s *state) planRoles(p *pool) {
 	cfg := roles.Config{
-		Self: s.opt.VM, Price: p.spec.Roles.ChangePrice, PerHour: p.spec.Roles.MaxChangesPerHour,
-		MaxAwayShare: p.spec.MaxAwayShare, Away: expectedAway,
+		Self: s.opt.VM, ChangeCost: p.spec.Roles.ChangePrice, MaxChangesPerHour: p.spec.Roles.MaxChangesPerHour,
+		MaxUnavailableShare: p.spec.MaxAwayShare, ChangeDuration: expectedAway,
 	}
 	if p.plan == nil {
 		p.plan = &planner{roles: roles.NewPlanner(cfg), rates: map[string]entryRate{}}
@@ -103,7 +103,7 @@
 		log.WithField("engine", c.Engine).WithField("to", c.To.String()).WithField("why", c.Reason.String()).Info("role planned")
 		p.roles[c.Engine] = driver.Role(c.To.String())
 	}
-	if h := p.plan.roles.Hold(); h != p.plan.hold {
+	if h := p.plan.roles.HoldReason(); h != p.plan.hold {
 		p.plan.hold = h
 		log.WithField("pool", p.spec.Name).WithField("hold", h).Debug("role planner")
 	}
@@ -185,7 +185,7 @@
 		a.OutputTokensPerSec += r.output
 		q.PromptTokens += r.waiting
 	}
-	a.Age = roles.StaleAfter + 1
+	a.Age = roles.MaxReportAge + 1
 	if oldest > 0 {
 		a.Age = now.Sub(oldest)
 	}
