--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -120,7 +120,7 @@
 	store.SetEndpoint(&catalog.Endpoint{ID: "call", Service: "plain", Sequence: 1})
 	for i := range n {
 		v := &vm{deployment: d, started: time.Now(), planner: place.New("z", uint64(i))}
-		v.planner.Follow(store.View())
+		v.planner.SetView(store.View())
 		srv := httptest.NewServer(&Share{v.planner})
 		t.Cleanup(srv.Close)
 		v.addr = strings.TrimPrefix(srv.URL, "http://")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -127,7 +127,7 @@
 	for {
 		changed := g.o.Catalog.Changed()
 		v := g.o.Catalog.View()
-		g.o.Planner.Follow(v)
+		g.o.Planner.SetView(v)
 		g.o.Pressure.Follow(g.o.Clock.Now(), v)
 		keep := map[string]bool{}
 		for _, e := range v.All() {
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -217,7 +217,7 @@
 // endpoint makes b known, and waits until it is used for placement.
 func (w *world) endpoint(id string, stage catalog.Stage, b *backend) {
 	w.store.SetEndpoint(&catalog.Endpoint{ID: id, Service: "s", Address: b.addr, Zone: "z", Stage: stage, Slots: 8, Born: 1, Sequence: 1})
-	w.gateway.o.Planner.Follow(w.store.View())
+	w.gateway.o.Planner.SetView(w.store.View())
 }
 
 // request does a request with headers given as pairs.
--- a/internal/policy/place/cache_test.go
+++ b/internal/policy/place/cache_test.go
@@ -30,7 +30,7 @@
 		e.Born = 7
 		s.SetEndpoint(e)
 	}
-	w.p.Follow(s.View())
+	w.p.SetView(s.View())
 	assert.Equal(t, w.plan(t, 0, pr).Cached, 0)
 }
 
@@ -44,11 +44,11 @@
 		s.SetEndpoint(e)
 	}
 	p := New("z", 1)
-	p.Follow(s.View())
+	p.SetView(s.View())
 	early, late := prompt(1, 5000, 300), prompt(2, 5000, 300)
 	p.HearCached(Key("p0"), early.Parts)
 	s.SetConfig(catalog.NewConfig(1, nil, []*catalog.Service{{Name: "labels", Engine: &catalog.Engine{CacheTokens: 12_000}}}))
-	p.Follow(s.View())
+	p.SetView(s.View())
 	p.HearCached(Key("p0"), late.Parts)
 	assert.Equal(t, p.known["p0"].cache.prefix(early.Parts), 0, "the memory that is declared holds one of both")
 	assert.Equal(t, p.known["p0"].cache.prefix(late.Parts), 5300)
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -105,9 +105,9 @@
 	at       clock.Time
 }
 
-// Follow takes the endpoints of a view. What is believed of an endpoint ends
+// SetView takes the endpoints of a view. What is believed of an endpoint ends
 // with its process.
-func (p *Planner) Follow(v *catalog.View) {
+func (p *Planner) SetView(v *catalog.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	next := make(map[string]*state, len(v.All()))
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -39,7 +39,7 @@
 		s.SetEndpoint(e)
 	}
 	w := &world{p: New("z", 1)}
-	w.p.Follow(s.View())
+	w.p.SetView(s.View())
 	w.open = s.View().Open("labels")
 	return w
 }
