--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -166,7 +166,7 @@
 		})
 	}
 	d := b.GetDemand()
-	x.Planner.Hear(now, from, reports, place.Demand{
+	x.Planner.ReceiveReport(now, from, reports, place.Demand{
 		Prefill: float64(d.GetPrefillMs()) / 1000, Streams: float64(d.GetCentiStreams()) / 100,
 	})
 	x.Pressure.Hear(now, from, float64(b.GetRequests()), toldOf(b.GetNotices()))
--- a/internal/policy/place/health_test.go
+++ b/internal/policy/place/health_test.go
@@ -84,6 +84,6 @@
 	w.p.Send(0, a, Job{})
 	b := w.p.Endpoint(0, w.open, nil)
 	assert.Assert(t, a.ID != b.ID)
-	w.p.Hear(0, "peer", []Report{{Endpoint: Key(b.ID), Running: 5}}, Demand{})
+	w.p.ReceiveReport(0, "peer", []Report{{Endpoint: Key(b.ID), Running: 5}}, Demand{})
 	assert.Equal(t, w.p.Endpoint(0, w.open, nil).ID, a.ID)
 }
--- a/internal/policy/place/peers.go
+++ b/internal/policy/place/peers.go
@@ -48,8 +48,8 @@
 	return out
 }
 
-// Hear takes a peer's counts and demand.
-func (p *Planner) Hear(now clock.Time, vm string, reports []Report, d Demand) {
+// ReceiveReport takes a peer's counts and demand.
+func (p *Planner) ReceiveReport(now clock.Time, vm string, reports []Report, d Demand) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	of := make(map[uint32]Report, len(reports))
