--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -128,7 +128,7 @@
 			Clock: clock.Boot{}, Planner: v.planner, Catalog: store, Members: v, Engines: d, Own: v.addr, NothingCached: first,
 			Tell: func(c *wire.CachedPrefix) {
 				for _, other := range d.vms {
-					other.planner.HearCached(c.GetEndpoint(), Parts(c))
+					other.planner.RecordCached(c.GetEndpoint(), Parts(c))
 				}
 			},
 		}
@@ -191,7 +191,7 @@
 	known, fresh := d.vms[1], d.vms[0]
 	known.informed = true
 	for i, id := range []string{"a", "b"} {
-		known.planner.HearCached(place.Key(id), parts(10+i))
+		known.planner.RecordCached(place.Key(id), parts(10+i))
 	}
 	fresh.run(t)
 	assert.Equal(t, len(d.asked), 0, fmt.Sprint(d.asked))
@@ -211,7 +211,7 @@
 	d := start(t, 2, true, nil, "a")
 	known, fresh := d.vms[1], d.vms[0]
 	known.informed = true
-	known.planner.HearCached(place.Key("a"), parts(10))
+	known.planner.RecordCached(place.Key("a"), parts(10))
 	fresh.outside = true
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -181,7 +181,7 @@
 			continue
 		}
 		for _, c := range all.GetEngines() {
-			u.Planner.HearCached(c.GetEndpoint(), Parts(c))
+			u.Planner.RecordCached(c.GetEndpoint(), Parts(c))
 		}
 		return true
 	}
@@ -225,7 +225,7 @@
 		n := min(len(parts), chunkParts)
 		chunk := parts[:n]
 		parts = parts[n:]
-		u.Planner.HearCached(place.Key(e.ID), chunk)
+		u.Planner.RecordCached(place.Key(e.ID), chunk)
 		u.Tell(Prefix(e, chunk))
 		if sent%chunksAtOnce == 0 && !clock.Sleep(ctx, chunkPause) {
 			return
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -175,6 +175,6 @@
 		x.Ordered(id)
 	}
 	for _, c := range b.GetCached() {
-		x.Planner.HearCached(c.GetEndpoint(), cachesync.Parts(c))
+		x.Planner.RecordCached(c.GetEndpoint(), cachesync.Parts(c))
 	}
 }
--- a/internal/policy/place/cache_test.go
+++ b/internal/policy/place/cache_test.go
@@ -23,7 +23,7 @@
 func TestABornAgainEngineHasNothingCached(t *testing.T) {
 	w := newWorld(t, split(2, 2)...)
 	pr := prompt(1, 5000, 300)
-	w.p.HearCached(Key("p0"), pr.Parts)
+	w.p.RecordCached(Key("p0"), pr.Parts)
 	assert.Equal(t, w.plan(t, 0, pr).Cached, 5300)
 	s := catalog.NewStore(&clock.Manual{})
 	for _, e := range split(2, 2) {
@@ -46,12 +46,12 @@
 	p := New("z", 1)
 	p.SetView(s.View())
 	early, late := prompt(1, 5000, 300), prompt(2, 5000, 300)
-	p.HearCached(Key("p0"), early.Parts)
+	p.RecordCached(Key("p0"), early.Parts)
 	s.SetConfig(catalog.NewConfig(1, nil, []*catalog.Service{{Name: "labels", Engine: &catalog.Engine{CacheTokens: 12_000}}}))
 	p.SetView(s.View())
-	p.HearCached(Key("p0"), late.Parts)
+	p.RecordCached(Key("p0"), late.Parts)
 	assert.Equal(t, p.known["p0"].cache.prefix(early.Parts), 0, "the memory that is declared holds one of both")
 	assert.Equal(t, p.known["p0"].cache.prefix(late.Parts), 5300)
-	p.HearCached(Key("p1"), early.Parts)
+	p.RecordCached(Key("p1"), early.Parts)
 	assert.Equal(t, p.known["p1"].cache.prefix(early.Parts), 5300)
 }
--- a/internal/policy/place/peers.go
+++ b/internal/policy/place/peers.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// HearCached notes that a peer's request left parts cached at an endpoint.
-func (p *Planner) HearCached(endpoint uint32, parts []Part) {
+// RecordCached notes that a peer's request left parts cached at an endpoint.
+func (p *Planner) RecordCached(endpoint uint32, parts []Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[p.keys[endpoint]]; s != nil {
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -123,7 +123,7 @@
 	if first.Prefill.ID == other {
 		other = "p1"
 	}
-	w.p.HearCached(Key(other), pr.Parts)
+	w.p.RecordCached(Key(other), pr.Parts)
 	next := &Prompt{Parts: []Part{{1, 5000}, {99, 3000}}, Tokens: 8000}
 	plan := w.plan(t, 0, next)
 	assert.Equal(t, plan.Prefill.ID, other)
@@ -181,7 +181,7 @@
 // a tenth of a second, while the idle engine could have had it in a fiftieth.
 func TestAnIdleEngineFetchesWhatABusyOneHas(t *testing.T) {
 	w := newWorld(t, split(3, 3)...)
-	w.p.HearCached(Key("p1"), prompt(1, 13_000, 2000).Parts)
+	w.p.RecordCached(Key("p1"), prompt(1, 13_000, 2000).Parts)
 	question := &Prompt{Parts: []Part{{1, 13_000}, {99, 2000}}, Tokens: 15_000}
 	assert.Assert(t, w.plan(t, 0, question).Source == nil, "the engine itself is idle")
 	w.p.Send(0, w.p.known["p1"].ep, Job{Work: 500 * ms})
@@ -200,7 +200,7 @@
 	far.Zone = "elsewhere"
 	w := newWorld(t, far, near, idle, engine("d0", catalog.Decode))
 	for _, e := range []*catalog.Endpoint{far, near} {
-		w.p.HearCached(Key(e.ID), prompt(1, 13_000, 2000).Parts)
+		w.p.RecordCached(Key(e.ID), prompt(1, 13_000, 2000).Parts)
 		w.p.Send(0, e, Job{Work: 500 * ms})
 	}
 	plan := w.plan(t, 0, &Prompt{Parts: []Part{{1, 13_000}, {99, 2000}}, Tokens: 15_000})
