--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -204,7 +204,7 @@
 // of which another VM has told a list isn't asked again.
 func (u *Unit) askEngines(ctx context.Context, engines []*catalog.Endpoint) {
 	for _, e := range engines {
-		if ownerOf(e.ID, u.Members.Heard()) != u.Own || u.Planner.CachedParts(e.ID) >= chunkParts {
+		if ownerOf(e.ID, u.Members.Heard()) != u.Own || u.Planner.CachedPartCount(e.ID) >= chunkParts {
 			continue
 		}
 		parts, err := u.list(ctx, e)
--- a/internal/policy/place/peers.go
+++ b/internal/policy/place/peers.go
@@ -94,9 +94,9 @@
 	return out
 }
 
-// CachedParts is how many parts the engine with the given id is believed to have
+// CachedPartCount is how many parts the engine with the given id is believed to have
 // cached, of those that are worth steering for.
-func (p *Planner) CachedParts(id string) int {
+func (p *Planner) CachedPartCount(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[id]; s != nil {
