--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -166,7 +166,7 @@
 	case ans.NotRun:
 		resp.Close()
 		if ans.Gone {
-			x.g.o.Planner.Gone(x.now(), s.Endpoint)
+			x.g.o.Planner.MarkStale(x.now(), s.Endpoint)
 		}
 		return nil, ans, result{outcome: notRun, code: code.EndpointRefused, err: errRefused}
 	}
--- a/internal/policy/place/health_test.go
+++ b/internal/policy/place/health_test.go
@@ -48,7 +48,7 @@
 func TestWhenMostEndpointsFailAllAreTried(t *testing.T) {
 	w := newWorld(t, engine("a", catalog.Whole), engine("b", catalog.Whole))
 	for _, e := range w.open {
-		w.p.Gone(0, e)
+		w.p.MarkStale(0, e)
 	}
 	assert.Assert(t, w.p.Endpoint(0, w.open, nil) != nil)
 	assert.Assert(t, w.p.Endpoint(0, w.open, map[string]bool{"a": true, "b": true}) == nil)
@@ -74,7 +74,7 @@
 func TestAnEngineThatMovedIsLeftOutForAWhile(t *testing.T) {
 	w := newWorld(t, split(0, 3)...)
 	moved := w.plan(t, 0, prompt(1, 100, 100)).Engine
-	w.p.Gone(0, moved)
+	w.p.MarkStale(0, moved)
 	assert.Assert(t, w.plan(t, 0, prompt(1, 100, 100)).Engine.ID != moved.ID)
 }
 
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -152,9 +152,9 @@
 	t.s.load = reportedLoad{requests, now}
 }
 
-// Gone notes that the endpoint is no longer what it is known as: it has
+// MarkStale notes that the endpoint is no longer what it is known as: it has
 // restarted, or changed its stage, and its entry doesn't show it yet.
-func (p *Planner) Gone(now clock.Time, e *catalog.Endpoint) {
+func (p *Planner) MarkStale(now clock.Time, e *catalog.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[e.ID]; s != nil {
