--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -171,7 +171,7 @@
 	})
 	x.Pressure.Hear(now, from, float64(b.GetRequests()), toldOf(b.GetNotices()))
 	for _, id := range b.GetChanging() {
-		x.Planner.Changing(now, id)
+		x.Planner.MarkChangingStage(now, id)
 		x.Ordered(id)
 	}
 	for _, c := range b.GetCached() {
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -166,9 +166,9 @@
 // doesn't say.
 const usualChange = 3 * time.Second
 
-// Changing notes that an engine was ordered to another stage: it takes no work
+// MarkChangingStage notes that an engine was ordered to another stage: it takes no work
 // until it has changed.
-func (p *Planner) Changing(now clock.Time, id string) {
+func (p *Planner) MarkChangingStage(now clock.Time, id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.known[id]
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -267,7 +267,7 @@
 }
 
 func (n *Node) ordered(id string) {
-	n.planner.Changing(n.clock.Now(), id)
+	n.planner.MarkChangingStage(n.clock.Now(), id)
 	n.gossip.Tell(func(b *wire.Beat) { b.Changing = append(b.Changing, id) })
 	n.gossip.Soon()
 }
