--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -34,7 +34,7 @@
 	maps.Copy(others, x.tried)
 	w := &watchdog{gap: silentGap}
 	w.timer = time.AfterFunc(silentFirst+firstFactor*(plan.Wait+plan.Fetch+plan.Work), func() {
-		x.g.o.Planner.Stuck(x.now(), t)
+		x.g.o.Planner.MarkUnresponsive(x.now(), t)
 		switch {
 		case !repeat:
 		case x.another(s.Endpoint, others):
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -182,8 +182,8 @@
 	s.health.outUntil = max(s.health.outUntil, now.Add(away))
 }
 
-// Stuck notes that e shows no sign of life for an exchange.
-func (p *Planner) Stuck(now clock.Time, t *Ticket) {
+// MarkUnresponsive notes that e shows no sign of life for an exchange.
+func (p *Planner) MarkUnresponsive(now clock.Time, t *Ticket) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t.s.health.note(now, Bad)
