--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -61,7 +61,7 @@
 		r = x.readAnswer(resp, ans)
 	}
 	if ans.Requests > 0 {
-		x.g.o.Planner.Load(x.now(), t, ans.Requests-1)
+		x.g.o.Planner.RecordLoad(x.now(), t, ans.Requests-1)
 	}
 	x.note(ep, t, r)
 	return r
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -144,9 +144,9 @@
 	t.s.health.note(now, o)
 }
 
-// Load takes what an endpoint said of its own load: running and waiting
+// RecordLoad takes what an endpoint said of its own load: running and waiting
 // requests.
-func (p *Planner) Load(now clock.Time, t *Ticket, requests int) {
+func (p *Planner) RecordLoad(now clock.Time, t *Ticket, requests int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t.s.load = reportedLoad{requests, now}
