--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -53,7 +53,7 @@
 		}
 		ep = x.g.o.Planner.Endpoint(x.now(), x.open(), x.tried)
 	}
-	t := x.g.o.Planner.Send(x.now(), ep, place.Job{})
+	t := x.g.o.Planner.Begin(x.now(), ep, place.Job{})
 	ctx, cancel := x.callContext()
 	defer cancel()
 	resp, ans, r := x.send(ctx, &Send{Endpoint: ep})
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(x.ctx, silentFirst+firstFactor*(plan.Wait+plan.Fetch+plan.Work))
 	defer cancel()
 	s := &Send{Endpoint: e, Prefill: true, Fetch: sourceOf(plan)}
-	t := x.g.o.Planner.Send(x.now(), e, plan.Job())
+	t := x.g.o.Planner.Begin(x.now(), e, plan.Job())
 	x.g.o.Sent(plan.Work)
 	resp, _, r := x.send(ctx, s)
 	var h *HandOver
@@ -134,7 +134,7 @@
 	if s.KV != nil {
 		job = place.Job{Taken: pr.Tokens}
 	}
-	t := x.g.o.Planner.Send(x.now(), s.Endpoint, job)
+	t := x.g.o.Planner.Begin(x.now(), s.Endpoint, job)
 	ctx, cancel := context.WithCancel(x.ctx)
 	defer cancel()
 	watch := x.watch(cancel, t, s, plan)
--- a/internal/policy/place/health_test.go
+++ b/internal/policy/place/health_test.go
@@ -18,7 +18,7 @@
 	for i := range 2000 {
 		now = now.Add(10 * ms)
 		e := w.p.Endpoint(now, w.open, nil)
-		tk := w.p.Send(now, e, Job{})
+		tk := w.p.Begin(now, e, Job{})
 		o := Good
 		if e.ID == "a" && i*37%100 < share {
 			o = kind
@@ -61,7 +61,7 @@
 func TestTheLastDecodeEngineIsNotLeftOut(t *testing.T) {
 	w := newWorld(t, split(5, 1)...)
 	for range 2 * inRow {
-		w.p.End(0, w.p.Send(0, w.open[0], Job{}), Bad)
+		w.p.End(0, w.p.Begin(0, w.open[0], Job{}), Bad)
 	}
 	assert.Equal(t, w.open[0].Stage, catalog.Decode)
 	assert.Equal(t, w.plan(t, 0, prompt(1, 5000, 7000)).Engine.ID, w.open[0].ID)
@@ -81,7 +81,7 @@
 func TestCallsGoToTheLeastLoaded(t *testing.T) {
 	w := newWorld(t, engine("a", catalog.Whole), engine("b", catalog.Whole))
 	a := w.p.Endpoint(0, w.open, nil)
-	w.p.Send(0, a, Job{})
+	w.p.Begin(0, a, Job{})
 	b := w.p.Endpoint(0, w.open, nil)
 	assert.Assert(t, a.ID != b.ID)
 	w.p.ReceiveReport(0, "peer", []Report{{Endpoint: Key(b.ID), Running: 5}}, Demand{})
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -86,7 +86,7 @@
 	w := newWorld(t, split(3, 1)...)
 	assert.Assert(t, w.plan(t, 0, prompt(1, 100, 200)).Prefill == nil, "an idle one does")
 	for range 60 {
-		w.p.Send(0, w.open[0], Job{})
+		w.p.Begin(0, w.open[0], Job{})
 	}
 	assert.Equal(t, w.open[0].Stage, catalog.Decode)
 	assert.Assert(t, w.plan(t, 0, prompt(1, 100, 200)).Prefill != nil)
@@ -144,7 +144,7 @@
 			e = plan.Prefill
 		}
 		used[e.ID]++
-		w.p.Send(0, e, Job{Work: plan.Work})
+		w.p.Begin(0, e, Job{Work: plan.Work})
 	}
 	assert.Assert(t, len(used) >= 4, "%v", used)
 }
@@ -159,7 +159,7 @@
 		w.p.speeds.of("labels").prefill = speed.New(speed.Figures{Fixed: 31 * ms, PerToken: 8130 * time.Nanosecond, PerPair: 0.109})
 		first := w.plan(t, 0, prompt(1, 5400, 6600))
 		holder := first.Prefill
-		w.p.Prefilled(0, w.p.Send(0, holder, Job{Work: first.Work}), prompt(1, 5400, 6600).Parts)
+		w.p.Prefilled(0, w.p.Begin(0, holder, Job{Work: first.Work}), prompt(1, 5400, 6600).Parts)
 		next := &Prompt{Parts: []Part{{1, 5400}, {99, 6000}}, Tokens: 11_400}
 		chosen := func() string {
 			o, ok := w.p.best(0, w.p.candidates(0, w.open, nil).prefill, next, sources{})
@@ -167,10 +167,10 @@
 			return o.s.ep.ID
 		}
 		waited := time.Duration(0)
-		w.p.Send(0, holder, Job{Work: priorPrefill.Fixed})
+		w.p.Begin(0, holder, Job{Work: priorPrefill.Fixed})
 		for chosen() == holder.ID {
 			waited += 10 * ms
-			w.p.Send(0, holder, Job{Work: 10 * ms})
+			w.p.Begin(0, holder, Job{Work: 10 * ms})
 		}
 		assert.Assert(t, waited > want && waited < want+100*ms, "%d engines: a queue of %s", engines, waited)
 	}
@@ -184,7 +184,7 @@
 	w.p.RecordCached(Key("p1"), prompt(1, 13_000, 2000).Parts)
 	question := &Prompt{Parts: []Part{{1, 13_000}, {99, 2000}}, Tokens: 15_000}
 	assert.Assert(t, w.plan(t, 0, question).Source == nil, "the engine itself is idle")
-	w.p.Send(0, w.p.known["p1"].ep, Job{Work: 500 * ms})
+	w.p.Begin(0, w.p.known["p1"].ep, Job{Work: 500 * ms})
 	plan := w.plan(t, 0, question)
 	assert.Assert(t, plan.Prefill.ID != "p1")
 	assert.Equal(t, plan.Source.ID, "p1")
@@ -201,7 +201,7 @@
 	w := newWorld(t, far, near, idle, engine("d0", catalog.Decode))
 	for _, e := range []*catalog.Endpoint{far, near} {
 		w.p.RecordCached(Key(e.ID), prompt(1, 13_000, 2000).Parts)
-		w.p.Send(0, e, Job{Work: 500 * ms})
+		w.p.Begin(0, e, Job{Work: 500 * ms})
 	}
 	plan := w.plan(t, 0, &Prompt{Parts: []Part{{1, 13_000}, {99, 2000}}, Tokens: 15_000})
 	assert.Equal(t, plan.Prefill.ID, "p2")
@@ -214,7 +214,7 @@
 	w := newWorld(t, split(2, 2)...)
 	long := prompt(1, 1000, 49_000)
 	plan := w.plan(t, 0, long)
-	w.p.Send(0, plan.Prefill, Job{Work: plan.Work})
+	w.p.Begin(0, plan.Prefill, Job{Work: plan.Work})
 	for i := range uint64(10) {
 		q := w.plan(t, 0, prompt(100+i, 1000, 2000))
 		if q.Prefill != nil {
@@ -242,7 +242,7 @@
 	e := w.open[1]
 	var tickets []*Ticket
 	for range 5 {
-		tickets = append(tickets, w.p.Send(0, e, Job{Work: 100 * ms}))
+		tickets = append(tickets, w.p.Begin(0, e, Job{Work: 100 * ms}))
 	}
 	later := clock.Time(2 * time.Second)
 	assert.Equal(t, w.p.wait(later, w.p.known[e.ID]), 500*ms-priorDecode.Fixed)
@@ -259,8 +259,8 @@
 	w := newWorld(t, split(1, 1)...)
 	e := w.open[1]
 	s := w.p.known[e.ID]
-	first := w.p.Send(0, e, Job{Work: 50 * ms})
-	second := w.p.Send(0, e, Job{Work: 50 * ms})
+	first := w.p.Begin(0, e, Job{Work: 50 * ms})
+	second := w.p.Begin(0, e, Job{Work: 50 * ms})
 	w.p.Prefilled(clock.Time(100*ms+priorDecode.Fixed), first, nil)
 	assert.Assert(t, s.speed > 1, "an engine that took twice as long")
 	learned := s.speed
@@ -283,7 +283,7 @@
 			at, perToken = plan.Prefill, 40*time.Microsecond
 		}
 		took := 100*ms + time.Duration(pr.Tokens)*perToken
-		tk := w.p.Send(now, at, plan.Job())
+		tk := w.p.Begin(now, at, plan.Job())
 		w.p.Prefilled(now.Add(took), tk, nil)
 		w.p.End(now.Add(took), tk, Good)
 	}
--- a/internal/policy/place/target_test.go
+++ b/internal/policy/place/target_test.go
@@ -28,7 +28,7 @@
 	for _, e := range all {
 		for range otherZoneRequests + 1 {
 			if e.Zone == "z0" {
-				w.p.Send(0, e, Job{})
+				w.p.Begin(0, e, Job{})
 			}
 		}
 	}
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -39,8 +39,8 @@
 	Unjudged         // ended by the caller; says nothing about the endpoint
 )
 
-// Send counts an exchange that is about to start at e.
-func (p *Planner) Send(now clock.Time, e *catalog.Endpoint, job Job) *Ticket {
+// Begin counts an exchange that is about to start at e.
+func (p *Planner) Begin(now clock.Time, e *catalog.Endpoint, job Job) *Ticket {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.known[e.ID]
