--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -117,7 +117,7 @@
 
 // cached notes that e has the prompt cached: it has read it, or taken it over.
 func (x *execution) cached(t *place.Ticket, e *catalog.Endpoint, pr *place.Prompt) {
-	x.g.o.Planner.Prefilled(x.now(), t, pr.Parts)
+	x.g.o.Planner.PrefillDone(x.now(), t, pr.Parts)
 	if pr.SharedTokens() >= toldShared {
 		x.g.o.Cached(e, pr.Parts)
 	}
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -159,7 +159,7 @@
 		w.p.speeds.of("labels").prefill = speed.New(speed.Figures{Fixed: 31 * ms, PerToken: 8130 * time.Nanosecond, PerPair: 0.109})
 		first := w.plan(t, 0, prompt(1, 5400, 6600))
 		holder := first.Prefill
-		w.p.Prefilled(0, w.p.Begin(0, holder, Job{Work: first.Work}), prompt(1, 5400, 6600).Parts)
+		w.p.PrefillDone(0, w.p.Begin(0, holder, Job{Work: first.Work}), prompt(1, 5400, 6600).Parts)
 		next := &Prompt{Parts: []Part{{1, 5400}, {99, 6000}}, Tokens: 11_400}
 		chosen := func() string {
 			o, ok := w.p.best(0, w.p.candidates(0, w.open, nil).prefill, next, sources{})
@@ -247,7 +247,7 @@
 	later := clock.Time(2 * time.Second)
 	assert.Equal(t, w.p.wait(later, w.p.known[e.ID]), 500*ms-priorDecode.Fixed)
 	for _, tk := range tickets {
-		w.p.Prefilled(later, tk, nil)
+		w.p.PrefillDone(later, tk, nil)
 		w.p.End(later, tk, Good)
 		w.p.End(later, tk, Good)
 	}
@@ -261,10 +261,10 @@
 	s := w.p.known[e.ID]
 	first := w.p.Begin(0, e, Job{Work: 50 * ms})
 	second := w.p.Begin(0, e, Job{Work: 50 * ms})
-	w.p.Prefilled(clock.Time(100*ms+priorDecode.Fixed), first, nil)
+	w.p.PrefillDone(clock.Time(100*ms+priorDecode.Fixed), first, nil)
 	assert.Assert(t, s.speed > 1, "an engine that took twice as long")
 	learned := s.speed
-	w.p.Prefilled(clock.Time(800*ms), second, nil)
+	w.p.PrefillDone(clock.Time(800*ms), second, nil)
 	assert.Equal(t, s.speed, learned)
 }
 
@@ -284,7 +284,7 @@
 		}
 		took := 100*ms + time.Duration(pr.Tokens)*perToken
 		tk := w.p.Begin(now, at, plan.Job())
-		w.p.Prefilled(now.Add(took), tk, nil)
+		w.p.PrefillDone(now.Add(took), tk, nil)
 		w.p.End(now.Add(took), tk, Good)
 	}
 	plan := w.plan(t, now, prompt(9999, 2000, 4000))
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -66,9 +66,9 @@
 	p.meter.sent(now, p.speeds.atPrefill(t.s.ep, t.job.Work))
 }
 
-// Prefilled notes that the exchange's prefill is over: its first event came, or
+// PrefillDone notes that the exchange's prefill is over: its first event came, or
 // its KV cache is ready. parts are in the engine's cache now.
-func (p *Planner) Prefilled(now clock.Time, t *Ticket, parts []Part) {
+func (p *Planner) PrefillDone(now clock.Time, t *Ticket, parts []Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	took := now.Sub(t.sentAt)
