--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -46,12 +46,12 @@
 // callAttempt sends a call to one endpoint of its service and passes a whole
 // answer on.
 func (x *execution) callAttempt() result {
-	ep := x.g.o.Planner.Endpoint(x.now(), x.open(), x.tried)
+	ep := x.g.o.Planner.ChooseEndpoint(x.now(), x.open(), x.tried)
 	for ep == nil {
 		if r, again := x.awaitRoom(); !again {
 			return r
 		}
-		ep = x.g.o.Planner.Endpoint(x.now(), x.open(), x.tried)
+		ep = x.g.o.Planner.ChooseEndpoint(x.now(), x.open(), x.tried)
 	}
 	t := x.g.o.Planner.Begin(x.now(), ep, place.Job{})
 	ctx, cancel := x.callContext()
--- a/internal/policy/place/calls.go
+++ b/internal/policy/place/calls.go
@@ -7,9 +7,9 @@
 	"fescuestand/internal/clock"
 )
 
-// Endpoint returns the endpoint of a plain service with the fewest requests for
+// ChooseEndpoint returns the endpoint of a plain service with the fewest requests for
 // its slots, or nil.
-func (p *Planner) Endpoint(now clock.Time, open []*catalog.Endpoint, exclude map[string]bool) *catalog.Endpoint {
+func (p *Planner) ChooseEndpoint(now clock.Time, open []*catalog.Endpoint, exclude map[string]bool) *catalog.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := healthy(now, p.within(now, open, exclude))
--- a/internal/policy/place/health_test.go
+++ b/internal/policy/place/health_test.go
@@ -17,7 +17,7 @@
 	now := clock.Time(0)
 	for i := range 2000 {
 		now = now.Add(10 * ms)
-		e := w.p.Endpoint(now, w.open, nil)
+		e := w.p.ChooseEndpoint(now, w.open, nil)
 		tk := w.p.Begin(now, e, Job{})
 		o := Good
 		if e.ID == "a" && i*37%100 < share {
@@ -50,8 +50,8 @@
 	for _, e := range w.open {
 		w.p.MarkStale(0, e)
 	}
-	assert.Assert(t, w.p.Endpoint(0, w.open, nil) != nil)
-	assert.Assert(t, w.p.Endpoint(0, w.open, map[string]bool{"a": true, "b": true}) == nil)
+	assert.Assert(t, w.p.ChooseEndpoint(0, w.open, nil) != nil)
+	assert.Assert(t, w.p.ChooseEndpoint(0, w.open, map[string]bool{"a": true, "b": true}) == nil)
 }
 
 // Five engines prefill and one decodes, after the others were lost. Two streams in a
@@ -80,10 +80,10 @@
 
 func TestCallsGoToTheLeastLoaded(t *testing.T) {
 	w := newWorld(t, engine("a", catalog.Whole), engine("b", catalog.Whole))
-	a := w.p.Endpoint(0, w.open, nil)
+	a := w.p.ChooseEndpoint(0, w.open, nil)
 	w.p.Begin(0, a, Job{})
-	b := w.p.Endpoint(0, w.open, nil)
+	b := w.p.ChooseEndpoint(0, w.open, nil)
 	assert.Assert(t, a.ID != b.ID)
 	w.p.ReceiveReport(0, "peer", []Report{{Endpoint: Key(b.ID), Running: 5}}, Demand{})
-	assert.Equal(t, w.p.Endpoint(0, w.open, nil).ID, a.ID)
+	assert.Equal(t, w.p.ChooseEndpoint(0, w.open, nil).ID, a.ID)
 }
