--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -56,7 +56,7 @@
 // target is the decode engine that takes the KV cache at holder over, nil if there is none.
 func (x *execution) target(holder *catalog.Endpoint) *catalog.Endpoint {
 	for {
-		if e := x.g.o.Planner.Target(x.now(), x.open(), holder, x.tried); e != nil {
+		if e := x.g.o.Planner.ChooseDecodeEngine(x.now(), x.open(), holder, x.tried); e != nil {
 			return e
 		}
 		if _, again := x.awaitRoom(); !again {
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -54,7 +54,7 @@
 // another tells whether an engine but those in exclude can go on with the
 // stream, and takes the repeat from the budget if so.
 func (x *execution) another(e *catalog.Endpoint, exclude map[string]bool) bool {
-	if x.g.o.Planner.Target(x.now(), x.open(), e, exclude) == nil {
+	if x.g.o.Planner.ChooseDecodeEngine(x.now(), x.open(), e, exclude) == nil {
 		return false
 	}
 	for range continueSends {
--- a/internal/policy/place/health_test.go
+++ b/internal/policy/place/health_test.go
@@ -65,7 +65,7 @@
 	}
 	assert.Equal(t, w.open[0].Stage, catalog.Decode)
 	assert.Equal(t, w.plan(t, 0, prompt(1, 5000, 7000)).Engine.ID, w.open[0].ID)
-	assert.Equal(t, w.p.Target(0, w.open, w.open[1], nil).ID, w.open[0].ID)
+	assert.Equal(t, w.p.ChooseDecodeEngine(0, w.open, w.open[1], nil).ID, w.open[0].ID)
 }
 
 // An engine answers that it isn't the one that is asked for: it has restarted,
--- a/internal/policy/place/target.go
+++ b/internal/policy/place/target.go
@@ -5,8 +5,8 @@
 	"fescuestand/internal/clock"
 )
 
-// Target returns the decode engine that a KV cache at holder goes to.
-func (p *Planner) Target(now clock.Time, open []*catalog.Endpoint, holder *catalog.Endpoint, exclude map[string]bool) *catalog.Endpoint {
+// ChooseDecodeEngine returns the decode engine that a KV cache at holder goes to.
+func (p *Planner) ChooseDecodeEngine(now clock.Time, open []*catalog.Endpoint, holder *catalog.Endpoint, exclude map[string]bool) *catalog.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.candidates(now, open, exclude)
--- a/internal/policy/place/target_test.go
+++ b/internal/policy/place/target_test.go
@@ -22,7 +22,7 @@
 	source.Zone = "z0"
 	w := newWorld(t, append(all, source)...)
 	for i := range 200 {
-		e := w.p.Target(0, w.open, source, nil)
+		e := w.p.ChooseDecodeEngine(0, w.open, source, nil)
 		assert.Equal(t, e.Zone, "z0", "cache %d", i)
 	}
 	for _, e := range all {
@@ -32,13 +32,13 @@
 			}
 		}
 	}
-	assert.Assert(t, w.p.Target(0, w.open, source, nil).Zone != "z0", "a loaded zone is left")
+	assert.Assert(t, w.p.ChooseDecodeEngine(0, w.open, source, nil).Zone != "z0", "a loaded zone is left")
 }
 
 func TestADecodeEngineIsChosenWithinTheZone(t *testing.T) {
 	far := engine("d0", catalog.Decode)
 	far.Zone = "elsewhere"
 	w := newWorld(t, engine("p0", catalog.Prefill), far, engine("d1", catalog.Decode))
-	assert.Equal(t, w.p.Target(0, w.open, w.open[2], nil).ID, "d1")
-	assert.Equal(t, w.p.Target(0, w.open, w.open[2], map[string]bool{"d1": true}).ID, "d0")
+	assert.Equal(t, w.p.ChooseDecodeEngine(0, w.open, w.open[2], nil).ID, "d1")
+	assert.Equal(t, w.p.ChooseDecodeEngine(0, w.open, w.open[2], map[string]bool{"d1": true}).ID, "d0")
 }
