--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -260,7 +260,7 @@
 	}
 	switch r.outcome {
 	case answered:
-		return place.Good
+		return place.Success
 	case notRun:
 		return place.Full
 	case failed:
--- a/internal/policy/place/health.go
+++ b/internal/policy/place/health.go
@@ -37,7 +37,7 @@
 
 func (h *health) note(now clock.Time, o Outcome) {
 	switch o {
-	case Good:
+	case Success:
 		h.failures -= failWeight * h.failures
 		h.row, h.outs = 0, 0
 	case Erred:
--- a/internal/policy/place/health_test.go
+++ b/internal/policy/place/health_test.go
@@ -19,7 +19,7 @@
 		now = now.Add(10 * ms)
 		e := w.p.ChooseEndpoint(now, w.open, nil)
 		tk := w.p.Begin(now, e, Job{})
-		o := Good
+		o := Success
 		if e.ID == "a" && i*37%100 < share {
 			o = kind
 			failures++
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -248,8 +248,8 @@
 	assert.Equal(t, w.p.wait(later, w.p.known[e.ID]), 500*ms-priorDecode.Fixed)
 	for _, tk := range tickets {
 		w.p.PrefillDone(later, tk, nil)
-		w.p.End(later, tk, Good)
-		w.p.End(later, tk, Good)
+		w.p.End(later, tk, Success)
+		w.p.End(later, tk, Success)
 	}
 	assert.Equal(t, w.p.wait(later, w.p.known[e.ID]), time.Duration(0))
 	assert.Equal(t, w.p.Running(e.ID), 0)
@@ -285,7 +285,7 @@
 		took := 100*ms + time.Duration(pr.Tokens)*perToken
 		tk := w.p.Begin(now, at, plan.Job())
 		w.p.PrefillDone(now.Add(took), tk, nil)
-		w.p.End(now.Add(took), tk, Good)
+		w.p.End(now.Add(took), tk, Success)
 	}
 	plan := w.plan(t, now, prompt(9999, 2000, 4000))
 	assert.Assert(t, plan.Prefill != nil)
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -32,7 +32,7 @@
 
 // The outcomes.
 const (
-	Good     Outcome = iota
+	Success     Outcome = iota
 	Erred            // answered with a failure of its own
 	Bad              // was cut, didn't answer, or answered wrongly
 	Full             // the endpoint refused without running it
