--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -264,7 +264,7 @@
 	case notRun:
 		return place.Full
 	case failed:
-		return place.Erred
+		return place.ErrorAnswer
 	case notSent, lost:
 		return place.Bad
 	}
--- a/internal/policy/place/health.go
+++ b/internal/policy/place/health.go
@@ -40,7 +40,7 @@
 	case Success:
 		h.failures -= failWeight * h.failures
 		h.row, h.outs = 0, 0
-	case Erred:
+	case ErrorAnswer:
 		h.fail()
 	case Bad:
 		h.fail()
--- a/internal/policy/place/health_test.go
+++ b/internal/policy/place/health_test.go
@@ -32,7 +32,7 @@
 // One of three endpoints fails all its calls while its own health check is
 // good. A third of the callers would meet it.
 func TestAnEndpointThatFailsIsLeftOut(t *testing.T) {
-	for _, kind := range []Outcome{Erred, Bad} {
+	for _, kind := range []Outcome{ErrorAnswer, Bad} {
 		failures, calls := failing(t, 100, kind)
 		assert.Assert(t, failures < calls/20, "%d of %d", failures, calls)
 	}
@@ -41,7 +41,7 @@
 // An endpoint answers one call in seven with a failure: that is how the service
 // is. Leaving endpoints out would only load the others.
 func TestAFewFailuresLeaveNobodyOut(t *testing.T) {
-	failures, calls := failing(t, 15, Erred)
+	failures, calls := failing(t, 15, ErrorAnswer)
 	assert.Assert(t, failures > calls/50, "%d of %d", failures, calls)
 }
 
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -33,7 +33,7 @@
 // The outcomes.
 const (
 	Success     Outcome = iota
-	Erred            // answered with a failure of its own
+	ErrorAnswer            // answered with a failure of its own
 	Bad              // was cut, didn't answer, or answered wrongly
 	Full             // the endpoint refused without running it
 	Unjudged         // ended by the caller; says nothing about the endpoint
