--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -266,7 +266,7 @@
 	case failed:
 		return place.ErrorAnswer
 	case notSent, lost:
-		return place.Bad
+		return place.ExchangeFailed
 	}
 	return place.Unjudged
 }
--- a/internal/gateway/judgement_test.go
+++ b/internal/gateway/judgement_test.go
@@ -12,7 +12,7 @@
 // Guards against an endpoint that is left out for a request that never left this VM.
 func TestWhatAVMDecidesIsNoFaultOfTheEndpoint(t *testing.T) {
 	for c, want := range map[code.Code]place.Outcome{
-		code.EndpointCut:      place.Bad,
+		code.EndpointCut:      place.ExchangeFailed,
 		code.RetryBudgetSpent: place.Unjudged,
 		code.EndpointsLimited: place.Unjudged,
 		code.EndpointLeft:     place.Unjudged,
--- a/internal/policy/place/health.go
+++ b/internal/policy/place/health.go
@@ -42,7 +42,7 @@
 		h.row, h.outs = 0, 0
 	case ErrorAnswer:
 		h.fail()
-	case Bad:
+	case ExchangeFailed:
 		h.fail()
 		h.row++
 		if h.row >= inRow {
--- a/internal/policy/place/health_test.go
+++ b/internal/policy/place/health_test.go
@@ -32,7 +32,7 @@
 // One of three endpoints fails all its calls while its own health check is
 // good. A third of the callers would meet it.
 func TestAnEndpointThatFailsIsLeftOut(t *testing.T) {
-	for _, kind := range []Outcome{ErrorAnswer, Bad} {
+	for _, kind := range []Outcome{ErrorAnswer, ExchangeFailed} {
 		failures, calls := failing(t, 100, kind)
 		assert.Assert(t, failures < calls/20, "%d of %d", failures, calls)
 	}
@@ -61,7 +61,7 @@
 func TestTheLastDecodeEngineIsNotLeftOut(t *testing.T) {
 	w := newWorld(t, split(5, 1)...)
 	for range 2 * inRow {
-		w.p.End(0, w.p.Begin(0, w.open[0], Job{}), Bad)
+		w.p.End(0, w.p.Begin(0, w.open[0], Job{}), ExchangeFailed)
 	}
 	assert.Equal(t, w.open[0].Stage, catalog.Decode)
 	assert.Equal(t, w.plan(t, 0, prompt(1, 5000, 7000)).Engine.ID, w.open[0].ID)
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -34,7 +34,7 @@
 const (
 	Success     Outcome = iota
 	ErrorAnswer            // answered with a failure of its own
-	Bad              // was cut, didn't answer, or answered wrongly
+	ExchangeFailed              // was cut, didn't answer, or answered wrongly
 	Full             // the endpoint refused without running it
 	Unjudged         // ended by the caller; says nothing about the endpoint
 )
@@ -186,5 +186,5 @@
 func (p *Planner) MarkUnresponsive(now clock.Time, t *Ticket) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t.s.health.note(now, Bad)
+	t.s.health.note(now, ExchangeFailed)
 }
