--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -262,7 +262,7 @@
 	case answered:
 		return place.Success
 	case notRun:
-		return place.Full
+		return place.Rejected
 	case failed:
 		return place.ErrorAnswer
 	case notSent, lost:
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -35,7 +35,7 @@
 	Success     Outcome = iota
 	ErrorAnswer            // answered with a failure of its own
 	ExchangeFailed              // was cut, didn't answer, or answered wrongly
-	Full             // the endpoint refused without running it
+	Rejected             // the endpoint refused without running it
 	Unjudged         // ended by the caller; says nothing about the endpoint
 )
 
