--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -256,7 +256,7 @@
 // judgement is what r says of its endpoint.
 func judgement(r *result) place.Outcome {
 	if r.outcome == notSent && r.code != code.EndpointCut {
-		return place.Unjudged // it wasn't asked
+		return place.Ignored // it wasn't asked
 	}
 	switch r.outcome {
 	case answered:
@@ -268,5 +268,5 @@
 	case notSent, lost:
 		return place.ExchangeFailed
 	}
-	return place.Unjudged
+	return place.Ignored
 }
--- a/internal/gateway/judgement_test.go
+++ b/internal/gateway/judgement_test.go
@@ -13,9 +13,9 @@
 func TestWhatAVMDecidesIsNoFaultOfTheEndpoint(t *testing.T) {
 	for c, want := range map[code.Code]place.Outcome{
 		code.EndpointCut:      place.ExchangeFailed,
-		code.RetryBudgetSpent: place.Unjudged,
-		code.EndpointsLimited: place.Unjudged,
-		code.EndpointLeft:     place.Unjudged,
+		code.RetryBudgetSpent: place.Ignored,
+		code.EndpointsLimited: place.Ignored,
+		code.EndpointLeft:     place.Ignored,
 	} {
 		assert.Equal(t, judgement(&result{outcome: notSent, code: c}), want, c)
 	}
--- a/internal/policy/place/health.go
+++ b/internal/policy/place/health.go
@@ -48,7 +48,7 @@
 		if h.row >= inRow {
 			h.leave(now)
 		}
-	case Rejected, Unjudged:
+	case Rejected, Ignored:
 	}
 }
 
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -36,7 +36,7 @@
 	ErrorAnswer            // answered with a failure of its own
 	ExchangeFailed              // was cut, didn't answer, or answered wrongly
 	Rejected             // the endpoint refused without running it
-	Unjudged         // ended by the caller; says nothing about the endpoint
+	Ignored         // ended by the caller; says nothing about the endpoint
 )
 
 // Begin counts an exchange that is about to start at e.
