--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -132,7 +132,7 @@
 	s.LastEvent = x.lastEvent
 	job := plan.Job()
 	if s.KV != nil {
-		job = place.Job{Taken: pr.Tokens}
+		job = place.Job{HandoffTokens: pr.Tokens}
 	}
 	t := x.g.o.Planner.Begin(x.now(), s.Endpoint, job)
 	ctx, cancel := context.WithCancel(x.ctx)
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -12,7 +12,7 @@
 type Job struct {
 	Work  time.Duration // of the prefill
 	Fetch time.Duration // of the fetch before it
-	Taken int           // tokens of a KV cache that the engine takes over
+	HandoffTokens int           // tokens of a KV cache that the engine takes over
 
 	fresh  int // tokens that are read
 	cached int // tokens that are cached before them
@@ -76,8 +76,8 @@
 		p.learn(took, t)
 		delete(t.s.jobs, t)
 	}
-	if t.job.Taken > 0 {
-		p.speeds.of(t.s.ep.Service).handOver.Add(took - time.Duration(t.job.Taken)*p.perToken(t.s.ep))
+	if t.job.HandoffTokens > 0 {
+		p.speeds.of(t.s.ep.Service).handOver.Add(took - time.Duration(t.job.HandoffTokens)*p.perToken(t.s.ep))
 	}
 	t.s.cache.add(parts)
 }
