--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -54,7 +54,7 @@
 	if x.predicted > 0 {
 		return
 	}
-	x.predicted, x.cachedTokens = plan.First, plan.Cached
+	x.predicted, x.cachedTokens = plan.FirstEvent, plan.Cached
 	x.sharedTokens = pr.SharedTokens()
 }
 
@@ -70,7 +70,7 @@
 	}
 	return ontime.Decide(ontime.Request{
 		Elapsed: x.now().Sub(x.c.Arrived), Target: x.route.Target, Patience: x.firstPatience(),
-		First: plan.First, Wait: plan.Wait, Ahead: ahead, Draw: x.c.Fingerprint ^ uint64(x.now()),
+		First: plan.FirstEvent, Wait: plan.Wait, Ahead: ahead, Draw: x.c.Fingerprint ^ uint64(x.now()),
 	})
 }
 
--- a/internal/policy/place/plan.go
+++ b/internal/policy/place/plan.go
@@ -17,7 +17,7 @@
 	Source  *catalog.Endpoint // from which the prefilling engine fetches what it lacks; nil for none
 	Cached  int               // tokens believed to be cached where the prefill runs, after the fetch
 	Fetch   time.Duration     // predicted time of the fetch
-	First   time.Duration     // predicted time to the first event
+	FirstEvent   time.Duration     // predicted time to the first event
 	Work    time.Duration     // predicted prefill work
 	Wait    time.Duration     // predicted time until the prefill starts
 	Engines int               // that could have prefilled it
@@ -89,7 +89,7 @@
 // could have.
 func (o *option) plan(pr *Prompt, engines int) Plan {
 	p := Plan{
-		Engine: o.s.ep, Cached: o.cached, Fetch: o.fetch, First: o.first, Work: o.work, Wait: o.wait, Engines: engines,
+		Engine: o.s.ep, Cached: o.cached, Fetch: o.fetch, FirstEvent: o.first, Work: o.work, Wait: o.wait, Engines: engines,
 		fresh: max(pr.Tokens-o.cached, 1),
 	}
 	if o.source != nil {
