--- a/internal/policy/place/plan.go
+++ b/internal/policy/place/plan.go
@@ -20,7 +20,7 @@
 	FirstEvent   time.Duration     // predicted time to the first event
 	Work    time.Duration     // predicted prefill work
 	Wait    time.Duration     // predicted time until the prefill starts
-	Engines int               // that could have prefilled it
+	Candidates int               // that could have prefilled it
 
 	fresh int // tokens that the engine reads
 }
@@ -89,7 +89,7 @@
 // could have.
 func (o *option) plan(pr *Prompt, engines int) Plan {
 	p := Plan{
-		Engine: o.s.ep, Cached: o.cached, Fetch: o.fetch, FirstEvent: o.first, Work: o.work, Wait: o.wait, Engines: engines,
+		Engine: o.s.ep, Cached: o.cached, Fetch: o.fetch, FirstEvent: o.first, Work: o.work, Wait: o.wait, Candidates: engines,
 		fresh: max(pr.Tokens-o.cached, 1),
 	}
 	if o.source != nil {
