--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -54,7 +54,7 @@
 	if x.predicted > 0 {
 		return
 	}
-	x.predicted, x.cachedTokens = plan.FirstEvent, plan.Cached
+	x.predicted, x.cachedTokens = plan.FirstEvent, plan.CachedTokens
 	x.sharedTokens = pr.SharedTokens()
 }
 
--- a/internal/policy/place/cache_test.go
+++ b/internal/policy/place/cache_test.go
@@ -24,14 +24,14 @@
 	w := newWorld(t, split(2, 2)...)
 	pr := prompt(1, 5000, 300)
 	w.p.RecordCached(Key("p0"), pr.Parts)
-	assert.Equal(t, w.plan(t, 0, pr).Cached, 5300)
+	assert.Equal(t, w.plan(t, 0, pr).CachedTokens, 5300)
 	s := catalog.NewStore(&clock.Manual{})
 	for _, e := range split(2, 2) {
 		e.Born = 7
 		s.SetEndpoint(e)
 	}
 	w.p.SetView(s.View())
-	assert.Equal(t, w.plan(t, 0, pr).Cached, 0)
+	assert.Equal(t, w.plan(t, 0, pr).CachedTokens, 0)
 }
 
 // All VMs restart at once. Each hears of the engines, and of what they have cached,
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -127,7 +127,7 @@
 	next := &Prompt{Parts: []Part{{1, 5000}, {99, 3000}}, Tokens: 8000}
 	plan := w.plan(t, 0, next)
 	assert.Equal(t, plan.Prefill.ID, other)
-	assert.Equal(t, plan.Cached, 5000)
+	assert.Equal(t, plan.CachedTokens, 5000)
 }
 
 // One shared part is asked for by every second caller. Held to its engine
@@ -188,7 +188,7 @@
 	plan := w.plan(t, 0, question)
 	assert.Assert(t, plan.Prefill.ID != "p1")
 	assert.Equal(t, plan.Source.ID, "p1")
-	assert.Equal(t, plan.Cached, 13_000)
+	assert.Equal(t, plan.CachedTokens, 13_000)
 	assert.Assert(t, plan.Fetch > 0 && plan.Fetch < 20*ms, "%s", plan.Fetch)
 	assert.Assert(t, plan.Work < 40*ms, "%s", plan.Work)
 }
--- a/internal/policy/place/plan.go
+++ b/internal/policy/place/plan.go
@@ -15,7 +15,7 @@
 	Prefill *catalog.Endpoint
 	Engine  *catalog.Endpoint
 	Source  *catalog.Endpoint // from which the prefilling engine fetches what it lacks; nil for none
-	Cached  int               // tokens believed to be cached where the prefill runs, after the fetch
+	CachedTokens  int               // tokens believed to be cached where the prefill runs, after the fetch
 	Fetch   time.Duration     // predicted time of the fetch
 	FirstEvent   time.Duration     // predicted time to the first event
 	Work    time.Duration     // predicted prefill work
@@ -26,7 +26,7 @@
 }
 
 // Job is the prefill of the plan.
-func (p *Plan) Job() Job { return Job{Work: p.Work, Fetch: p.Fetch, fresh: p.fresh, cached: p.Cached} }
+func (p *Plan) Job() Job { return Job{Work: p.Work, Fetch: p.Fetch, fresh: p.fresh, cached: p.CachedTokens} }
 
 // Plan returns the plan with the earliest predicted first event among the open
 // endpoints but those in exclude. It returns false if no engine can take pr.
@@ -89,7 +89,7 @@
 // could have.
 func (o *option) plan(pr *Prompt, engines int) Plan {
 	p := Plan{
-		Engine: o.s.ep, Cached: o.cached, Fetch: o.fetch, FirstEvent: o.first, Work: o.work, Wait: o.wait, Candidates: engines,
+		Engine: o.s.ep, CachedTokens: o.cached, Fetch: o.fetch, FirstEvent: o.first, Work: o.work, Wait: o.wait, Candidates: engines,
 		fresh: max(pr.Tokens-o.cached, 1),
 	}
 	if o.source != nil {
