--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -57,7 +57,7 @@
 	b.Notices = noticesOf(x.Pressure.Tell(x.Clock.Now()))
 	for _, r := range x.Planner.Outstanding() {
 		b.Outstanding = append(b.Outstanding, &wire.Outstanding{
-			Endpoint: r.Endpoint, Running: uint32(r.Running), PendingUs: uint32(r.Pending.Microseconds()),
+			Endpoint: r.Endpoint, Running: uint32(r.Running), PendingUs: uint32(r.PendingWork.Microseconds()),
 		})
 	}
 }
@@ -162,7 +162,7 @@
 	for _, o := range b.GetOutstanding() {
 		reports = append(reports, place.Report{
 			Endpoint: o.GetEndpoint(), Running: int(o.GetRunning()),
-			Pending: time.Duration(o.GetPendingUs()) * time.Microsecond,
+			PendingWork: time.Duration(o.GetPendingUs()) * time.Microsecond,
 		})
 	}
 	d := b.GetDemand()
--- a/internal/policy/place/peers.go
+++ b/internal/policy/place/peers.go
@@ -9,7 +9,7 @@
 // Report is one VM's count of what it has outstanding at one endpoint.
 type Report struct {
 	Endpoint uint32        // its Key
-	Pending  time.Duration // prefill work
+	PendingWork  time.Duration // prefill work
 	Running  int
 }
 
@@ -42,7 +42,7 @@
 	var out []Report
 	for _, s := range p.known {
 		if s.running > 0 {
-			out = append(out, Report{Endpoint: s.key(), Pending: s.outstanding(), Running: s.running})
+			out = append(out, Report{Endpoint: s.key(), PendingWork: s.outstanding(), Running: s.running})
 		}
 	}
 	return out
@@ -110,7 +110,7 @@
 	var sum time.Duration
 	for _, r := range p.peers {
 		if now.Sub(r.at) <= peerStale {
-			sum += r.of[key].Pending
+			sum += r.of[key].PendingWork
 		}
 	}
 	return sum
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -229,7 +229,7 @@
 	w := newWorld(t, split(2, 2)...)
 	pr := prompt(1, 5000, 5000)
 	first := w.plan(t, 0, pr).Prefill.ID
-	w.p.ReceiveReport(0, "peer", []Report{{Endpoint: Key(first), Pending: 2 * time.Second}}, Demand{})
+	w.p.ReceiveReport(0, "peer", []Report{{Endpoint: Key(first), PendingWork: 2 * time.Second}}, Demand{})
 	assert.Assert(t, w.plan(t, 0, pr).Prefill.ID != first)
 	assert.Equal(t, w.plan(t, clock.Time(peerStale+ms), pr).Prefill.ID, first, "a report that is too old")
 }
