--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -69,7 +69,7 @@
 		ahead = x.g.held.Ahead(x.g.o.VMs(), plan.Candidates)
 	}
 	return ontime.Decide(ontime.Request{
-		Elapsed: x.now().Sub(x.c.Arrived), Target: x.route.Target, Patience: x.firstPatience(),
+		Elapsed: x.now().Sub(x.c.Arrived), Target: x.route.Target, CallerTimeout: x.firstPatience(),
 		First: plan.FirstEvent, Wait: plan.Wait, Ahead: ahead, Draw: x.c.Fingerprint ^ uint64(x.now()),
 	})
 }
--- a/internal/policy/ontime/ontime.go
+++ b/internal/policy/ontime/ontime.go
@@ -39,7 +39,7 @@
 type Request struct {
 	Elapsed  time.Duration // since its arrival
 	Target   time.Duration // that callers hope for, zero for none
-	Patience time.Duration // after which they leave
+	CallerTimeout time.Duration // after which they leave
 	First    time.Duration // predicted time to the first event
 	Wait     time.Duration // the part of it that is spent in an engine's queue
 	Ahead    time.Duration // time to work off what waits here for idle engines
@@ -64,11 +64,11 @@
 	onTime := r.Target == 0 || total <= r.Target-targetMargin
 	long := r.First-r.Wait > r.Target-targetMargin
 	switch {
-	case total > r.Patience-patienceMargin:
+	case total > r.CallerTimeout-patienceMargin:
 		return Refuse, again(r)
 	case onTime, r.Wait <= idleWait, long && r.Elapsed == 0:
 		return Serve, 0
-	case total-r.Wait+r.Ahead > r.Patience-patienceMargin:
+	case total-r.Wait+r.Ahead > r.CallerTimeout-patienceMargin:
 		return Refuse, again(r)
 	}
 	return Hold, 0
--- a/internal/policy/ontime/ontime_test.go
+++ b/internal/policy/ontime/ontime_test.go
@@ -11,7 +11,7 @@
 const ms = time.Millisecond
 
 func TestDecide(t *testing.T) {
-	base := Request{Target: 400 * ms, Patience: 2000 * ms}
+	base := Request{Target: 400 * ms, CallerTimeout: 2000 * ms}
 	for _, tc := range []struct {
 		name                        string
 		elapsed, first, wait, ahead time.Duration
@@ -34,7 +34,7 @@
 }
 
 func TestWithoutATargetOnlyPatienceCounts(t *testing.T) {
-	v, _ := Decide(Request{Patience: 2000 * ms, First: 1000 * ms, Wait: 900 * ms})
+	v, _ := Decide(Request{CallerTimeout: 2000 * ms, First: 1000 * ms, Wait: 900 * ms})
 	assert.Equal(t, v, Serve)
 }
 
@@ -45,7 +45,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
 		_, again := Decide(Request{
-			Elapsed: 1900 * ms, First: 400 * ms, Patience: 2000 * ms, Draw: rng.Uint64(),
+			Elapsed: 1900 * ms, First: 400 * ms, CallerTimeout: 2000 * ms, Draw: rng.Uint64(),
 		})
 		assert.Assert(t, again >= leastAgain && again < leastAgain+againSpread)
 		buckets[again/(100*ms)]++
@@ -98,7 +98,7 @@
 		keep := waiting[:0]
 		for _, w := range waiting {
 			wait := max(s.busyUntil-now, 0)
-			v, _ := Decide(Request{Elapsed: now - w.arrived, Target: target, Patience: patience, First: wait + work, Wait: wait})
+			v, _ := Decide(Request{Elapsed: now - w.arrived, Target: target, CallerTimeout: patience, First: wait + work, Wait: wait})
 			switch v {
 			case Serve:
 				s.send(now, w.arrived, work, target, patience)
