--- a/internal/policy/ontime/ontime.go
+++ b/internal/policy/ontime/ontime.go
@@ -40,7 +40,7 @@
 	Elapsed  time.Duration // since its arrival
 	Target   time.Duration // that callers hope for, zero for none
 	CallerTimeout time.Duration // after which they leave
-	First    time.Duration // predicted time to the first event
+	FirstEvent    time.Duration // predicted time to the first event
 	Wait     time.Duration // the part of it that is spent in an engine's queue
 	Ahead    time.Duration // time to work off what waits here for idle engines
 	Draw     uint64        // spreads the times to come back
@@ -60,9 +60,9 @@
 
 // Decide returns the verdict, and when to come back if it is Refuse.
 func Decide(r Request) (Verdict, time.Duration) {
-	total := r.Elapsed + r.First
+	total := r.Elapsed + r.FirstEvent
 	onTime := r.Target == 0 || total <= r.Target-targetMargin
-	long := r.First-r.Wait > r.Target-targetMargin
+	long := r.FirstEvent-r.Wait > r.Target-targetMargin
 	switch {
 	case total > r.CallerTimeout-patienceMargin:
 		return Refuse, again(r)
--- a/internal/policy/ontime/ontime_test.go
+++ b/internal/policy/ontime/ontime_test.go
@@ -26,7 +26,7 @@
 		{"too much waits before it", 0, 500 * ms, 350 * ms, 1700 * ms, Refuse},
 	} {
 		r := base
-		r.Elapsed, r.First, r.Wait, r.Ahead = tc.elapsed, tc.first, tc.wait, tc.ahead
+		r.Elapsed, r.FirstEvent, r.Wait, r.Ahead = tc.elapsed, tc.first, tc.wait, tc.ahead
 		got, again := Decide(r)
 		assert.Equal(t, got, tc.want, tc.name)
 		assert.Equal(t, again > 0, tc.want == Refuse, tc.name)
@@ -34,7 +34,7 @@
 }
 
 func TestWithoutATargetOnlyPatienceCounts(t *testing.T) {
-	v, _ := Decide(Request{CallerTimeout: 2000 * ms, First: 1000 * ms, Wait: 900 * ms})
+	v, _ := Decide(Request{CallerTimeout: 2000 * ms, FirstEvent: 1000 * ms, Wait: 900 * ms})
 	assert.Equal(t, v, Serve)
 }
 
@@ -45,7 +45,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
 		_, again := Decide(Request{
-			Elapsed: 1900 * ms, First: 400 * ms, CallerTimeout: 2000 * ms, Draw: rng.Uint64(),
+			Elapsed: 1900 * ms, FirstEvent: 400 * ms, CallerTimeout: 2000 * ms, Draw: rng.Uint64(),
 		})
 		assert.Assert(t, again >= leastAgain && again < leastAgain+againSpread)
 		buckets[again/(100*ms)]++
@@ -98,7 +98,7 @@
 		keep := waiting[:0]
 		for _, w := range waiting {
 			wait := max(s.busyUntil-now, 0)
-			v, _ := Decide(Request{Elapsed: now - w.arrived, Target: target, CallerTimeout: patience, First: wait + work, Wait: wait})
+			v, _ := Decide(Request{Elapsed: now - w.arrived, Target: target, CallerTimeout: patience, FirstEvent: wait + work, Wait: wait})
 			switch v {
 			case Serve:
 				s.send(now, w.arrived, work, target, patience)
