--- a/internal/policy/ontime/ontime.go
+++ b/internal/policy/ontime/ontime.go
@@ -42,7 +42,7 @@
 	CallerTimeout time.Duration // after which they leave
 	FirstEvent    time.Duration // predicted time to the first event
 	Wait     time.Duration // the part of it that is spent in an engine's queue
-	Ahead    time.Duration // time to work off what waits here for idle engines
+	Backlog    time.Duration // time to work off what waits here for idle engines
 	Draw     uint64        // spreads the times to come back
 }
 
@@ -68,7 +68,7 @@
 		return Refuse, again(r)
 	case onTime, r.Wait <= idleWait, long && r.Elapsed == 0:
 		return Serve, 0
-	case total-r.Wait+r.Ahead > r.CallerTimeout-patienceMargin:
+	case total-r.Wait+r.Backlog > r.CallerTimeout-patienceMargin:
 		return Refuse, again(r)
 	}
 	return Hold, 0
@@ -96,7 +96,7 @@
 }
 
 // again is when what waits now has been worked off, and a random time more.
-func again(r Request) time.Duration { return Again(max(r.Wait, r.Ahead), r.Draw) }
+func again(r Request) time.Duration { return Again(max(r.Wait, r.Backlog), r.Draw) }
 
 // Again is when to come back with a request that there will be room for after wait.
 func Again(wait time.Duration, draw uint64) time.Duration {
--- a/internal/policy/ontime/ontime_test.go
+++ b/internal/policy/ontime/ontime_test.go
@@ -26,7 +26,7 @@
 		{"too much waits before it", 0, 500 * ms, 350 * ms, 1700 * ms, Refuse},
 	} {
 		r := base
-		r.Elapsed, r.FirstEvent, r.Wait, r.Ahead = tc.elapsed, tc.first, tc.wait, tc.ahead
+		r.Elapsed, r.FirstEvent, r.Wait, r.Backlog = tc.elapsed, tc.first, tc.wait, tc.ahead
 		got, again := Decide(r)
 		assert.Equal(t, got, tc.want, tc.name)
 		assert.Equal(t, again > 0, tc.want == Refuse, tc.name)
