--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -70,7 +70,7 @@
 	}
 	return ontime.Decide(ontime.Request{
 		Elapsed: x.now().Sub(x.c.Arrived), Target: x.route.Target, CallerTimeout: x.firstPatience(),
-		FirstEvent: plan.FirstEvent, Wait: plan.Wait, Backlog: ahead, Draw: x.c.Fingerprint ^ uint64(x.now()),
+		FirstEvent: plan.FirstEvent, Wait: plan.Wait, Backlog: ahead, Random: x.c.Fingerprint ^ uint64(x.now()),
 	})
 }
 
--- a/internal/policy/ontime/ontime.go
+++ b/internal/policy/ontime/ontime.go
@@ -43,7 +43,7 @@
 	FirstEvent    time.Duration // predicted time to the first event
 	Wait     time.Duration // the part of it that is spent in an engine's queue
 	Backlog    time.Duration // time to work off what waits here for idle engines
-	Draw     uint64        // spreads the times to come back
+	Random     uint64        // spreads the times to come back
 }
 
 // Verdict on a request.
@@ -96,7 +96,7 @@
 }
 
 // again is when what waits now has been worked off, and a random time more.
-func again(r Request) time.Duration { return Again(max(r.Wait, r.Backlog), r.Draw) }
+func again(r Request) time.Duration { return Again(max(r.Wait, r.Backlog), r.Random) }
 
 // Again is when to come back with a request that there will be room for after wait.
 func Again(wait time.Duration, draw uint64) time.Duration {
--- a/internal/policy/ontime/ontime_test.go
+++ b/internal/policy/ontime/ontime_test.go
@@ -45,7 +45,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
 		_, again := Decide(Request{
-			Elapsed: 1900 * ms, FirstEvent: 400 * ms, CallerTimeout: 2000 * ms, Draw: rng.Uint64(),
+			Elapsed: 1900 * ms, FirstEvent: 400 * ms, CallerTimeout: 2000 * ms, Random: rng.Uint64(),
 		})
 		assert.Assert(t, again >= leastAgain && again < leastAgain+againSpread)
 		buckets[again/(100*ms)]++
