--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -94,7 +94,7 @@
 // its route's priority if callers hope for no certain time.
 func (x *execution) urgency() int {
 	if x.route.Target == 0 {
-		return min(max(x.priority(), 0), ontime.LeastUrgent)
+		return min(max(x.priority(), 0), ontime.MaxUrgencyRank)
 	}
 	return ontime.Urgency(x.route.Target-x.now().Sub(x.c.Arrived), x.work)
 }
--- a/internal/policy/ontime/ontime.go
+++ b/internal/policy/ontime/ontime.go
@@ -74,8 +74,8 @@
 	return Hold, 0
 }
 
-// LeastUrgent is the last of the ranks that engines serve by; 0 is the first.
-const LeastUrgent = 9
+// MaxUrgencyRank is the last of the ranks that engines serve by; 0 is the first.
+const MaxUrgencyRank = 9
 
 const (
 	// fixedTime of a first event is no engine's work: the exchanges and the
@@ -92,7 +92,7 @@
 // bear.
 func Urgency(left, work time.Duration) int {
 	slack := left - work - fixedTime
-	return min(max(int(slack/urgencyStep), 0), LeastUrgent)
+	return min(max(int(slack/urgencyStep), 0), MaxUrgencyRank)
 }
 
 // again is when what waits now has been worked off, and a random time more.
