--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -96,7 +96,7 @@
 	if x.route.Target == 0 {
 		return min(max(x.priority(), 0), ontime.MaxUrgencyRank)
 	}
-	return ontime.Urgency(x.route.Target-x.now().Sub(x.c.Arrived), x.work)
+	return ontime.UrgencyRank(x.route.Target-x.now().Sub(x.c.Arrived), x.work)
 }
 
 // priority is that of the call's workspace, or of its route.
--- a/internal/policy/ontime/ontime.go
+++ b/internal/policy/ontime/ontime.go
@@ -86,11 +86,11 @@
 	urgencyStep = 40 * time.Millisecond
 )
 
-// Urgency ranks a prompt by its slack, the time that it could wait and still be
+// UrgencyRank ranks a prompt by its slack, the time that it could wait and still be
 // on time. By the routes' priority alone, long prompts, which have the least
 // slack, wait for all short ones and are late at half the load that they could
 // bear.
-func Urgency(left, work time.Duration) int {
+func UrgencyRank(left, work time.Duration) int {
 	slack := left - work - fixedTime
 	return min(max(int(slack/urgencyStep), 0), MaxUrgencyRank)
 }
--- a/internal/policy/ontime/ontime_test.go
+++ b/internal/policy/ontime/ontime_test.go
@@ -56,9 +56,9 @@
 }
 
 func TestUrgencyFollowsSlack(t *testing.T) {
-	assert.Assert(t, Urgency(400*ms, 300*ms) < Urgency(400*ms, 50*ms))
-	assert.Equal(t, Urgency(-time.Second, 0), 0)
-	assert.Equal(t, Urgency(time.Minute, 0), MaxUrgencyRank)
+	assert.Assert(t, UrgencyRank(400*ms, 300*ms) < UrgencyRank(400*ms, 50*ms))
+	assert.Equal(t, UrgencyRank(-time.Second, 0), 0)
+	assert.Equal(t, UrgencyRank(time.Minute, 0), MaxUrgencyRank)
 }
 
 func TestHeldWorkIsSharedByTheEngines(t *testing.T) {
