--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -93,7 +93,7 @@
 	case !limited:
 		return result{outcome: notSent, code: code.NoEndpoint}, false
 	case x.now().Add(wait) > x.queued.until:
-		again := ontime.Again(min(wait, longestAgain), x.c.Fingerprint^uint64(x.now()))
+		again := ontime.RetryAfter(min(wait, longestAgain), x.c.Fingerprint^uint64(x.now()))
 		return result{outcome: refused, code: code.EndpointsLimited, err: errLimited, again: again}, false
 	}
 	x.held = true
--- a/internal/policy/ontime/ontime.go
+++ b/internal/policy/ontime/ontime.go
@@ -96,10 +96,10 @@
 }
 
 // again is when what waits now has been worked off, and a random time more.
-func again(r Request) time.Duration { return Again(max(r.Wait, r.Backlog), r.Random) }
+func again(r Request) time.Duration { return RetryAfter(max(r.Wait, r.Backlog), r.Random) }
 
-// Again is when to come back with a request that there will be room for after wait.
-func Again(wait time.Duration, draw uint64) time.Duration {
+// RetryAfter is when to come back with a request that there will be room for after wait.
+func RetryAfter(wait time.Duration, draw uint64) time.Duration {
 	return max(wait, leastAgain) + time.Duration(draw%uint64(againSpread))
 }
 
