--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -66,7 +66,7 @@
 	}
 	ahead := time.Duration(0)
 	if !x.held {
-		ahead = x.g.held.Ahead(x.g.o.VMs(), plan.Candidates)
+		ahead = x.g.held.Backlog(x.g.o.VMs(), plan.Candidates)
 	}
 	return ontime.Decide(ontime.Request{
 		Elapsed: x.now().Sub(x.c.Arrived), Target: x.route.Target, CallerTimeout: x.firstPatience(),
--- a/internal/policy/ontime/ontime.go
+++ b/internal/policy/ontime/ontime.go
@@ -113,8 +113,8 @@
 	return func() { h.work.Add(-int64(work)) }
 }
 
-// Ahead is the time in which the engines work off what waits at all VMs, if as
+// Backlog is the time in which the engines work off what waits at all VMs, if as
 // much waits at each as here.
-func (h *Held) Ahead(vms, engines int) time.Duration {
+func (h *Held) Backlog(vms, engines int) time.Duration {
 	return time.Duration(h.work.Load()) * time.Duration(vms) / time.Duration(max(engines, 1))
 }
--- a/internal/policy/ontime/ontime_test.go
+++ b/internal/policy/ontime/ontime_test.go
@@ -65,9 +65,9 @@
 	var h Held
 	done := h.Add(300 * ms)
 	h.Add(100 * ms)
-	assert.Equal(t, h.Ahead(2, 4), 200*ms)
+	assert.Equal(t, h.Backlog(2, 4), 200*ms)
 	done()
-	assert.Equal(t, h.Ahead(2, 0), 200*ms)
+	assert.Equal(t, h.Backlog(2, 0), 200*ms)
 }
 
 // server reads prompts in order of arrival, one at a time.
