--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,7 +56,7 @@
 	o       Options
 	started clock.Time
 	metrics *Metrics
-	held    ontime.Held
+	held    ontime.HeldWork
 	rate    serving.Meter
 	queues  sync.Map // of *queue, by service
 }
--- a/internal/policy/ontime/ontime.go
+++ b/internal/policy/ontime/ontime.go
@@ -103,18 +103,18 @@
 	return max(wait, leastAgain) + time.Duration(draw%uint64(againSpread))
 }
 
-// Held counts the work of the requests that wait at this VM. It is safe for
+// HeldWork counts the work of the requests that wait at this VM. It is safe for
 // concurrent use.
-type Held struct{ work atomic.Int64 }
+type HeldWork struct{ work atomic.Int64 }
 
 // Add counts a request's work until the returned function is called.
-func (h *Held) Add(work time.Duration) (done func()) {
+func (h *HeldWork) Add(work time.Duration) (done func()) {
 	h.work.Add(int64(work))
 	return func() { h.work.Add(-int64(work)) }
 }
 
 // Backlog is the time in which the engines work off what waits at all VMs, if as
 // much waits at each as here.
-func (h *Held) Backlog(vms, engines int) time.Duration {
+func (h *HeldWork) Backlog(vms, engines int) time.Duration {
 	return time.Duration(h.work.Load()) * time.Duration(vms) / time.Duration(max(engines, 1))
 }
--- a/internal/policy/ontime/ontime_test.go
+++ b/internal/policy/ontime/ontime_test.go
@@ -62,7 +62,7 @@
 }
 
 func TestHeldWorkIsSharedByTheEngines(t *testing.T) {
-	var h Held
+	var h HeldWork
 	done := h.Add(300 * ms)
 	h.Add(100 * ms)
 	assert.Equal(t, h.Backlog(2, 4), 200*ms)
