--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -71,7 +71,7 @@
 	c, err := g.o.Codec.Decode(r)
 	if v.Config == nil {
 		f := refuse(code.NotReady, "no configuration is known yet")
-		f.again = ontime.Starting(g.o.Clock.Now().Sub(g.started), rand.Uint64())
+		f.again = ontime.StartingRetryAfter(g.o.Clock.Now().Sub(g.started), rand.Uint64())
 		return c, nil, f
 	}
 	if err != nil {
--- a/internal/policy/ontime/starting_test.go
+++ b/internal/policy/ontime/starting_test.go
@@ -35,7 +35,7 @@
 func TestCallersComeBackAfterAStartThatTakesLong(t *testing.T) {
 	constant := func(time.Duration, uint64) time.Duration { return leastStarting }
 	for _, outage := range []time.Duration{100 * time.Millisecond, time.Second, 2 * time.Second} {
-		share, wave := served(outage, Starting)
+		share, wave := served(outage, StartingRetryAfter)
 		before, peak := served(outage, constant)
 		t.Logf("%s: %.2f served, %.2f with a constant time; at most %d, %d at once", outage, share, before, wave, peak)
 		assert.Assert(t, share >= 0.6, "%s: %.2f", outage, share)
