--- a/internal/gossip/active.go
+++ b/internal/gossip/active.go
@@ -58,7 +58,7 @@
 		return c
 	}
 	ready, all, rate := m.candidates(now)
-	c.named = serving.Choose(ready, rate)
+	c.named = serving.ChooseAdvertised(ready, rate)
 	c.active = map[string]struct{}{}
 	for _, v := range serving.Active(all, rate) {
 		c.active[v.Peer] = struct{}{}
--- a/internal/policy/serving/serving.go
+++ b/internal/policy/serving/serving.go
@@ -46,10 +46,10 @@
 	Capacity uint32 // requests a second
 }
 
-// Choose returns the VMs to name under a load of rate requests a second, in the
+// ChooseAdvertised returns the VMs to name under a load of rate requests a second, in the
 // order in which they are wanted. All VMs that know the same choose the same. A rate
 // of zero isn't known: many large ones are named.
-func Choose(vms []VM, rate float64) []VM {
+func ChooseAdvertised(vms []VM, rate float64) []VM {
 	large := largest(vms)
 	inTurn := byZoneInTurn(large)
 	if rate <= 0 {
@@ -69,7 +69,7 @@
 // Active returns the VMs that Choose names and those that are next in turn, which stand
 // by with the knowledge that placing requests needs. The others need none of it.
 func Active(vms []VM, rate float64) []VM {
-	named := Choose(vms, rate)
+	named := ChooseAdvertised(vms, rate)
 	n := max(leastActive, activeFactor*len(named))
 	if rate <= 0 {
 		n = unknownNamed
--- a/internal/policy/serving/serving_test.go
+++ b/internal/policy/serving/serving_test.go
@@ -31,22 +31,22 @@
 // small load.
 func TestASmallLoadIsServedByOneVMOfEachZone(t *testing.T) {
 	vms := fleet(9, 3, 180)
-	assert.DeepEqual(t, perZone(Choose(vms, 100)), map[string]int{"z0": 1, "z1": 1, "z2": 1})
-	assert.Equal(t, len(Choose(vms, 200)), 5, "four times the load")
-	assert.Equal(t, len(Choose(vms, 10_000)), 9)
-	assert.Equal(t, len(Choose(vms, 0)), 9, "a load that isn't known")
+	assert.DeepEqual(t, perZone(ChooseAdvertised(vms, 100)), map[string]int{"z0": 1, "z1": 1, "z2": 1})
+	assert.Equal(t, len(ChooseAdvertised(vms, 200)), 5, "four times the load")
+	assert.Equal(t, len(ChooseAdvertised(vms, 10_000)), 9)
+	assert.Equal(t, len(ChooseAdvertised(vms, 0)), 9, "a load that isn't known")
 }
 
 // Guards against all callers moving when one VM is lost.
 func TestALostVMIsReplacedInItsZone(t *testing.T) {
 	vms := fleet(9, 3, 180)
-	before := Choose(vms, 100)
-	after := Choose(vms[1:], 100)
+	before := ChooseAdvertised(vms, 100)
+	after := ChooseAdvertised(vms[1:], 100)
 	assert.DeepEqual(t, perZone(after), perZone(before))
 	assert.DeepEqual(t, after[1:], before[1:])
 	assert.Assert(t, after[0] != before[0])
-	assert.Equal(t, len(Choose(vms[:2], 100)), 2)
-	assert.Equal(t, len(Choose(nil, 100)), 0)
+	assert.Equal(t, len(ChooseAdvertised(vms[:2], 100)), 2)
+	assert.Equal(t, len(ChooseAdvertised(nil, 100)), 0)
 }
 
 // Guards against small VMs that get as many requests as large ones.
@@ -56,7 +56,7 @@
 		for i := range large {
 			vms[i].Capacity = 360
 		}
-		return len(Choose(vms, 10_000))
+		return len(ChooseAdvertised(vms, 10_000))
 	}
 	assert.Equal(t, named(10), 10)
 	assert.Equal(t, named(0), 51)
@@ -72,7 +72,7 @@
 			vms[i].Capacity = 363
 		}
 	}
-	named := Choose(vms, 0)
+	named := ChooseAdvertised(vms, 0)
 	assert.Equal(t, len(named), unknownNamed)
 	assert.Equal(t, len(perZone(named)), 5)
 	large := 0
@@ -89,7 +89,7 @@
 // against an active set that is as large as the deployment.
 func TestActiveAreThoseWhoAreNamedAndTheNextInTurn(t *testing.T) {
 	vms := fleet(95, 19, 180)
-	named, active := Choose(vms, 500), Active(vms, 500)
+	named, active := ChooseAdvertised(vms, 500), Active(vms, 500)
 	assert.Equal(t, len(named), 12)
 	assert.Equal(t, len(active), activeFactor*12)
 	assert.DeepEqual(t, active[:12], named)
