--- a/internal/gossip/active.go
+++ b/internal/gossip/active.go
@@ -60,7 +60,7 @@
 	ready, all, rate := m.candidates(now)
 	c.named = serving.ChooseAdvertised(ready, rate)
 	c.active = map[string]struct{}{}
-	for _, v := range serving.Active(all, rate) {
+	for _, v := range serving.ActiveSet(all, rate) {
 		c.active[v.Peer] = struct{}{}
 	}
 	for peer, e := range m.list.Entries() {
--- a/internal/policy/serving/serving.go
+++ b/internal/policy/serving/serving.go
@@ -66,9 +66,9 @@
 	return inTurn
 }
 
-// Active returns the VMs that Choose names and those that are next in turn, which stand
+// ActiveSet returns the VMs that Choose names and those that are next in turn, which stand
 // by with the knowledge that placing requests needs. The others need none of it.
-func Active(vms []VM, rate float64) []VM {
+func ActiveSet(vms []VM, rate float64) []VM {
 	named := ChooseAdvertised(vms, rate)
 	n := max(leastActive, activeFactor*len(named))
 	if rate <= 0 {
--- a/internal/policy/serving/serving_test.go
+++ b/internal/policy/serving/serving_test.go
@@ -82,19 +82,19 @@
 		}
 	}
 	assert.Equal(t, large, 15)
-	assert.DeepEqual(t, Active(vms, 0), named)
+	assert.DeepEqual(t, ActiveSet(vms, 0), named)
 }
 
 // Guards against a VM that is named next without the knowledge that placing needs, and
 // against an active set that is as large as the deployment.
 func TestActiveAreThoseWhoAreNamedAndTheNextInTurn(t *testing.T) {
 	vms := fleet(95, 19, 180)
-	named, active := ChooseAdvertised(vms, 500), Active(vms, 500)
+	named, active := ChooseAdvertised(vms, 500), ActiveSet(vms, 500)
 	assert.Equal(t, len(named), 12)
 	assert.Equal(t, len(active), activeFactor*12)
 	assert.DeepEqual(t, active[:12], named)
-	assert.Equal(t, len(Active(vms, 10)), leastActive)
-	assert.Equal(t, len(Active(vms[:9], 10)), 9, "all of a few VMs")
+	assert.Equal(t, len(ActiveSet(vms, 10)), leastActive)
+	assert.Equal(t, len(ActiveSet(vms[:9], 10)), 9, "all of a few VMs")
 }
 
 // Guards against a rate that looks small at the start of traffic.
