--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,7 +83,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	arrived := g.o.Clock.Now()
-	g.rate.Note(arrived)
+	g.rate.Count(arrived)
 	view := g.o.Catalog.View()
 	c, route, refused := g.accept(w, r, view)
 	if refused != nil {
--- a/internal/policy/serving/meter.go
+++ b/internal/policy/serving/meter.go
@@ -24,8 +24,8 @@
 	sum   float64 // of the requests, each weighted by its age
 }
 
-// Note counts a request.
-func (m *Meter) Note(now clock.Time) {
+// Count counts a request.
+func (m *Meter) Count(now clock.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.first == 0 {
--- a/internal/policy/serving/serving_test.go
+++ b/internal/policy/serving/serving_test.go
@@ -104,7 +104,7 @@
 	now := start
 	assert.Equal(t, m.Rate(now), 0.0)
 	for range 300 {
-		m.Note(now)
+		m.Count(now)
 		now = now.Add(10 * time.Millisecond)
 		if now.Sub(start) < knownAfter {
 			assert.Equal(t, m.Rate(now), 0.0)
