--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -117,7 +117,7 @@
 	}
 	if t.job.fresh > 0 {
 		usual := time.Duration(float64(took-fixed) / t.s.speed)
-		p.speeds.model(t.s.ep).Answered(t.job.fresh, t.job.cached, fixed+usual)
+		p.speeds.model(t.s.ep).Observe(t.job.fresh, t.job.cached, fixed+usual)
 	}
 }
 
--- a/internal/policy/speed/speed.go
+++ b/internal/policy/speed/speed.go
@@ -78,9 +78,9 @@
 // Figures returns what is known.
 func (m *Model) Figures() Figures { return m.figures }
 
-// Answered takes the time from the sending of a prompt that hardly waited to its
+// Observe takes the time from the sending of a prompt that hardly waited to its
 // answer.
-func (m *Model) Answered(fresh, cached int, took time.Duration) {
+func (m *Model) Observe(fresh, cached int, took time.Duration) {
 	expected := m.figures.Fixed + m.figures.Work(fresh, cached)
 	off := time.Duration(surprise*float64(expected)) + surpriseBase
 	took = min(max(took, expected-off), expected+off)
--- a/internal/policy/speed/speed_test.go
+++ b/internal/policy/speed/speed_test.go
@@ -33,7 +33,7 @@
 			counted++
 		}
 		noise := 1 + 0.05*rng.NormFloat64()
-		m.Answered(fresh, cached, spoil(i, time.Duration(noise*float64(took))))
+		m.Observe(fresh, cached, spoil(i, time.Duration(noise*float64(took))))
 	}
 	return off / counted
 }
@@ -78,7 +78,7 @@
 func TestPromptsOfOneSizeHaveASolution(t *testing.T) {
 	m := New(prior)
 	for range 1000 {
-		m.Answered(2000, 0, 100*time.Millisecond)
+		m.Observe(2000, 0, 100*time.Millisecond)
 	}
 	got := m.Figures().Fixed + m.Figures().Work(2000, 0)
 	assert.Assert(t, got > 95*time.Millisecond && got < 105*time.Millisecond, "%s", got)
