--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -156,7 +156,7 @@
 func TestAPromptWaitsForTheEngineThatHasItCached(t *testing.T) {
 	for engines, want := range map[int]time.Duration{3: 50 * ms, 20: 200 * ms} {
 		w := newWorld(t, split(engines, engines)...)
-		w.p.speeds.of("labels").prefill = speed.New(speed.Figures{Fixed: 31 * ms, PerToken: 8130 * time.Nanosecond, PerPair: 0.109})
+		w.p.speeds.of("labels").prefill = speed.New(speed.Coefficients{Fixed: 31 * ms, PerToken: 8130 * time.Nanosecond, PerPair: 0.109})
 		first := w.plan(t, 0, prompt(1, 5400, 6600))
 		holder := first.Prefill
 		w.p.PrefillDone(0, w.p.Begin(0, holder, Job{Work: first.Work}), prompt(1, 5400, 6600).Parts)
--- a/internal/policy/place/speeds.go
+++ b/internal/policy/place/speeds.go
@@ -10,8 +10,8 @@
 // What engines are taken for until they have answered: an order of magnitude. One that
 // decodes reads prompts at half of the speed and in smaller pieces.
 var (
-	priorPrefill = speed.Figures{Fixed: 30 * time.Millisecond, PerToken: 10 * time.Microsecond, PerPair: 0.1}
-	priorDecode  = speed.Figures{Fixed: 30 * time.Millisecond, PerToken: 25 * time.Microsecond, PerPair: 0.1}
+	priorPrefill = speed.Coefficients{Fixed: 30 * time.Millisecond, PerToken: 10 * time.Microsecond, PerPair: 0.1}
+	priorDecode  = speed.Coefficients{Fixed: 30 * time.Millisecond, PerToken: 25 * time.Microsecond, PerPair: 0.1}
 )
 
 const (
@@ -51,7 +51,7 @@
 	return m.of(e.Service).prefill
 }
 
-func (m speeds) figures(e *catalog.Endpoint) speed.Figures { return m.model(e).Figures() }
+func (m speeds) figures(e *catalog.Endpoint) speed.Coefficients { return m.model(e).Figures() }
 
 // atPrefill is the time that a prefill at e would take at an engine for prefill.
 func (m speeds) atPrefill(e *catalog.Endpoint, work time.Duration) time.Duration {
--- a/internal/policy/speed/speed.go
+++ b/internal/policy/speed/speed.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// Figures of an engine's prefill.
-type Figures struct {
+// Coefficients of an engine's prefill.
+type Coefficients struct {
 	Fixed    time.Duration // between the end of a prefill and its answer, with the exchange's own
 	PerToken time.Duration // to read a token
 	PerPair  float64       // nanoseconds for a pair of tokens of one prompt
@@ -27,7 +27,7 @@
 
 // Work is the time in which the engine reads fresh tokens after cached ones; it can
 // do nothing else meanwhile.
-func (f Figures) Work(fresh, cached int) time.Duration {
+func (f Coefficients) Work(fresh, cached int) time.Duration {
 	return time.Duration(fresh)*f.PerToken + time.Duration(pairs(fresh, cached)*f.PerPair)
 }
 
@@ -62,11 +62,11 @@
 // isn't usable. It isn't safe for concurrent use.
 type Model struct {
 	least   squares
-	figures Figures
+	figures Coefficients
 }
 
 // New returns a model that begins with prior.
-func New(prior Figures) *Model {
+func New(prior Coefficients) *Model {
 	at := features(usualTokens, 0)
 	m := &Model{figures: prior}
 	m.least = newSquares(vector{
@@ -76,7 +76,7 @@
 }
 
 // Figures returns what is known.
-func (m *Model) Figures() Figures { return m.figures }
+func (m *Model) Figures() Coefficients { return m.figures }
 
 // Observe takes the time from the sending of a prompt that hardly waited to its
 // answer.
@@ -86,7 +86,7 @@
 	took = min(max(took, expected-off), expected+off)
 	m.least.add(features(fresh, cached), took.Seconds())
 	x := m.least.solve()
-	m.figures = Figures{
+	m.figures = Coefficients{
 		Fixed:    seconds(x[0]),
 		PerToken: max(seconds(x[1]/tokenUnit), time.Nanosecond),
 		PerPair:  max(x[2], 0) / pairUnit * float64(time.Second),
--- a/internal/policy/speed/speed_test.go
+++ b/internal/policy/speed/speed_test.go
@@ -9,11 +9,11 @@
 	"gotest.tools/v3/assert"
 )
 
-var prior = Figures{Fixed: 30 * time.Millisecond, PerToken: 10 * time.Microsecond, PerPair: 0.15}
+var prior = Coefficients{Fixed: 30 * time.Millisecond, PerToken: 10 * time.Microsecond, PerPair: 0.15}
 
 // unlike are engines that have little in common: a fast one, a slow one, and one
 // whose long prompts take most of their time for attention.
-var unlike = map[string]Figures{
+var unlike = map[string]Coefficients{
 	"fast":      {Fixed: 8 * time.Millisecond, PerToken: 2 * time.Microsecond, PerPair: 0.02},
 	"slow":      {Fixed: 90 * time.Millisecond, PerToken: 70 * time.Microsecond, PerPair: 0.6},
 	"attention": {Fixed: 20 * time.Millisecond, PerToken: 5 * time.Microsecond, PerPair: 2},
@@ -21,7 +21,7 @@
 
 // play answers prompts as engines with the given figures do, and returns the mean
 // error of the predictions of the last hundred, as a share.
-func play(m *Model, f Figures, prompts int, spoil func(i int, took time.Duration) time.Duration) float64 {
+func play(m *Model, f Coefficients, prompts int, spoil func(i int, took time.Duration) time.Duration) float64 {
 	rng := rand.New(rand.NewPCG(7, 7))
 	off, counted := 0.0, 0.0
 	for i := range prompts {
