--- a/internal/policy/place/speeds.go
+++ b/internal/policy/place/speeds.go
@@ -51,7 +51,7 @@
 	return m.of(e.Service).prefill
 }
 
-func (m speeds) figures(e *catalog.Endpoint) speed.Coefficients { return m.model(e).Figures() }
+func (m speeds) figures(e *catalog.Endpoint) speed.Coefficients { return m.model(e).Coefficients() }
 
 // atPrefill is the time that a prefill at e would take at an engine for prefill.
 func (m speeds) atPrefill(e *catalog.Endpoint, work time.Duration) time.Duration {
@@ -59,7 +59,7 @@
 		return work
 	}
 	s := m.of(e.Service)
-	return time.Duration(float64(work) * float64(s.prefill.Figures().PerToken) / float64(s.decode.Figures().PerToken))
+	return time.Duration(float64(work) * float64(s.prefill.Coefficients().PerToken) / float64(s.decode.Coefficients().PerToken))
 }
 
 // fixed is the time between the end of a prefill at s and its answer.
--- a/internal/policy/speed/speed.go
+++ b/internal/policy/speed/speed.go
@@ -75,8 +75,8 @@
 	return m
 }
 
-// Figures returns what is known.
-func (m *Model) Figures() Coefficients { return m.figures }
+// Coefficients returns what is known.
+func (m *Model) Coefficients() Coefficients { return m.figures }
 
 // Observe takes the time from the sending of a prompt that hardly waited to its
 // answer.
--- a/internal/policy/speed/speed_test.go
+++ b/internal/policy/speed/speed_test.go
@@ -27,7 +27,7 @@
 	for i := range prompts {
 		fresh, cached := 100+int(rng.ExpFloat64()*3000), rng.IntN(2)*rng.IntN(15_000)
 		took := f.Fixed + f.Work(fresh, cached)
-		got := m.Figures().Fixed + m.Figures().Work(fresh, cached)
+		got := m.Coefficients().Fixed + m.Coefficients().Work(fresh, cached)
 		if i >= prompts-100 {
 			off += math.Abs(float64(got-took)) / float64(took)
 			counted++
@@ -80,7 +80,7 @@
 	for range 1000 {
 		m.Observe(2000, 0, 100*time.Millisecond)
 	}
-	got := m.Figures().Fixed + m.Figures().Work(2000, 0)
+	got := m.Coefficients().Fixed + m.Coefficients().Work(2000, 0)
 	assert.Assert(t, got > 95*time.Millisecond && got < 105*time.Millisecond, "%s", got)
 }
 
