--- a/internal/policy/place/speeds.go
+++ b/internal/policy/place/speeds.go
@@ -25,7 +25,7 @@
 type serviceSpeed struct {
 	prefill  *speed.Model
 	decode   *speed.Model
-	handOver speed.Median // fixed time of a hand-over, beside the transfer
+	handOver speed.MedianEstimate // fixed time of a hand-over, beside the transfer
 }
 
 // speeds are learned by service.
--- a/internal/policy/speed/speed.go
+++ b/internal/policy/speed/speed.go
@@ -99,16 +99,16 @@
 
 func seconds(s float64) time.Duration { return max(time.Duration(s*float64(time.Second)), 0) }
 
-// Median follows the median of a time, whatever the largest ones are.
-type Median struct {
+// MedianEstimate follows the median of a time, whatever the largest ones are.
+type MedianEstimate struct {
 	now, step time.Duration
 }
 
 // NewMedian returns a median that begins at start and moves by step with each value.
-func NewMedian(start, step time.Duration) Median { return Median{start, step} }
+func NewMedian(start, step time.Duration) MedianEstimate { return MedianEstimate{start, step} }
 
 // Add takes a value.
-func (m *Median) Add(v time.Duration) {
+func (m *MedianEstimate) Add(v time.Duration) {
 	if v > m.now {
 		m.now += m.step
 	} else {
@@ -117,4 +117,4 @@
 }
 
 // Value returns the median.
-func (m *Median) Value() time.Duration { return m.now }
+func (m *MedianEstimate) Value() time.Duration { return m.now }
