--- a/internal/policy/place/speeds.go
+++ b/internal/policy/place/speeds.go
@@ -36,7 +36,7 @@
 	if s == nil {
 		s = &serviceSpeed{
 			prefill: speed.New(priorPrefill), decode: speed.New(priorDecode),
-			handOver: speed.NewMedian(priorHandOver, handOverStep),
+			handOver: speed.NewMedianEstimate(priorHandOver, handOverStep),
 		}
 		m[service] = s
 	}
--- a/internal/policy/speed/speed.go
+++ b/internal/policy/speed/speed.go
@@ -104,8 +104,8 @@
 	now, step time.Duration
 }
 
-// NewMedian returns a median that begins at start and moves by step with each value.
-func NewMedian(start, step time.Duration) MedianEstimate { return MedianEstimate{start, step} }
+// NewMedianEstimate returns a median that begins at start and moves by step with each value.
+func NewMedianEstimate(start, step time.Duration) MedianEstimate { return MedianEstimate{start, step} }
 
 // Add takes a value.
 func (m *MedianEstimate) Add(v time.Duration) {
--- a/internal/policy/speed/speed_test.go
+++ b/internal/policy/speed/speed_test.go
@@ -85,7 +85,7 @@
 }
 
 func TestAMedianIgnoresHowLateTheLatestAre(t *testing.T) {
-	m := NewMedian(20*time.Millisecond, time.Millisecond)
+	m := NewMedianEstimate(20*time.Millisecond, time.Millisecond)
 	for i := range 300 {
 		v := 40 * time.Millisecond
 		if i%3 == 0 {
