--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -148,7 +148,7 @@
 	}
 	now := x.Clock.Now()
 	for _, c := range b.GetCrashes() {
-		if x.Crashes.Note(now, c.GetRequest(), c.GetEndpoint()) {
+		if x.Crashes.RecordCrash(now, c.GetRequest(), c.GetEndpoint()) {
 			x.crashes.add(now, c)
 			x.News()
 		}
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -185,7 +185,7 @@
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			w.crashed = append(w.crashed, endpoint)
-			w.crashes.Note(clock.Boot{}.Now(), fingerprint, endpoint)
+			w.crashes.RecordCrash(clock.Boot{}.Now(), fingerprint, endpoint)
 		},
 	})
 	w.beats = &Exchange{
--- a/internal/policy/crash/crash.go
+++ b/internal/policy/crash/crash.go
@@ -57,9 +57,9 @@
 // New returns an empty register.
 func New() *Register { return &Register{known: map[uint64]*record{}} }
 
-// Note takes the loss of an endpoint's process (an id that changes with each of
+// RecordCrash takes the loss of an endpoint's process (an id that changes with each of
 // its starts) while it ran the request. It returns false if that is known.
-func (r *Register) Note(now clock.Time, request uint64, endpoint string) bool {
+func (r *Register) RecordCrash(now clock.Time, request uint64, endpoint string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.known[request]
--- a/internal/policy/crash/crash_test.go
+++ b/internal/policy/crash/crash_test.go
@@ -17,7 +17,7 @@
 	now := clock.Time(0)
 	for i, e := range []string{"a", "b", "c"} {
 		assert.Assert(t, !r.Refuse(now, 7), "after %d", i)
-		assert.Assert(t, r.Note(now, 7, e))
+		assert.Assert(t, r.RecordCrash(now, 7, e))
 		now = now.Add(5 * time.Second)
 	}
 	assert.Assert(t, r.Refuse(now, 7))
@@ -29,8 +29,8 @@
 // request that was at an engine which failed for another reason.
 func TestOneCrashCountsOnce(t *testing.T) {
 	r := New()
-	assert.Assert(t, r.Note(0, 7, "a"))
-	assert.Assert(t, !r.Note(0, 7, "a"))
+	assert.Assert(t, r.RecordCrash(0, 7, "a"))
+	assert.Assert(t, !r.RecordCrash(0, 7, "a"))
 	assert.Equal(t, r.Losses(0, 7), 1)
 }
 
@@ -41,13 +41,13 @@
 	now := clock.Time(time.Hour)
 	r.Answered(now, 7)
 	for _, e := range []string{"a", "b", "c"} {
-		r.Note(now.Add(time.Second), 7, e)
-		r.Note(now.Add(time.Second), 8, e)
+		r.RecordCrash(now.Add(time.Second), 7, e)
+		r.RecordCrash(now.Add(time.Second), 8, e)
 	}
 	assert.Assert(t, !r.Refuse(now.Add(time.Second), 7))
 	assert.Assert(t, r.Refuse(now.Add(time.Second), 8))
 	for _, e := range []string{"d", "e", "f"} {
-		r.Note(now.Add(2*remember), 7, e)
+		r.RecordCrash(now.Add(2*remember), 7, e)
 	}
 	assert.Assert(t, r.Refuse(now.Add(2*remember), 7), "it has not been answered for long")
 }
@@ -56,7 +56,7 @@
 	r := New()
 	now := clock.Time(0)
 	for _, e := range []string{"a", "b", "c", "d"} {
-		r.Note(now, 7, e)
+		r.RecordCrash(now, 7, e)
 		now = now.Add(remember + time.Second)
 	}
 	assert.Assert(t, !r.Refuse(now, 7))
@@ -65,7 +65,7 @@
 func TestMemoryIsBounded(t *testing.T) {
 	r := New()
 	for i := range uint64(3 * maxKnown) {
-		r.Note(0, i, "a")
+		r.RecordCrash(0, i, "a")
 	}
 	assert.Assert(t, len(r.known) <= maxKnown)
 }
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -277,7 +277,7 @@
 }
 
 func (n *Node) crashed(fingerprint uint64, endpoint string) {
-	if !n.crashes.Note(n.clock.Now(), fingerprint, endpoint) {
+	if !n.crashes.RecordCrash(n.clock.Now(), fingerprint, endpoint) {
 		return
 	}
 	c := &wire.Crash{Request: fingerprint, Endpoint: endpoint}
