--- a/internal/policy/crash/crash.go
+++ b/internal/policy/crash/crash.go
@@ -79,8 +79,8 @@
 	return true
 }
 
-// Losses is how many endpoints the request has cost.
-func (r *Register) Losses(now clock.Time, request uint64) int {
+// CrashCount is how many endpoints the request has cost.
+func (r *Register) CrashCount(now clock.Time, request uint64) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.known[request]
@@ -101,7 +101,7 @@
 // the losses isn't their cause: many callers ask for the same, and endpoints that fail together
 // are running it.
 func (r *Register) Refuse(now clock.Time, request uint64) bool {
-	return r.Losses(now, request) >= convicting && !r.acquitted(request)
+	return r.CrashCount(now, request) >= convicting && !r.acquitted(request)
 }
 
 func (r *Register) acquitted(request uint64) bool {
--- a/internal/policy/crash/crash_test.go
+++ b/internal/policy/crash/crash_test.go
@@ -31,7 +31,7 @@
 	r := New()
 	assert.Assert(t, r.RecordCrash(0, 7, "a"))
 	assert.Assert(t, !r.RecordCrash(0, 7, "a"))
-	assert.Equal(t, r.Losses(0, 7), 1)
+	assert.Equal(t, r.CrashCount(0, 7), 1)
 }
 
 // Guards against a lookup that many callers ask for and that is refused for minutes, since three
