--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -79,7 +79,7 @@
 			x.failure = last.answer
 		}
 		if last.outcome == answered {
-			x.g.o.Crashes.Answered(x.now(), x.c.Fingerprint)
+			x.g.o.Crashes.RecordSuccess(x.now(), x.c.Fingerprint)
 		}
 		if last.outcome == answered || last.outcome == gone || last.outcome == refused {
 			break
--- a/internal/policy/crash/crash.go
+++ b/internal/policy/crash/crash.go
@@ -90,8 +90,8 @@
 	return len(rec.endpoints)
 }
 
-// Answered notes that an endpoint has run the request to a good end.
-func (r *Register) Answered(now clock.Time, request uint64) {
+// RecordSuccess notes that an endpoint has run the request to a good end.
+func (r *Register) RecordSuccess(now clock.Time, request uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answered[request%answeredSlots] = success{request, now}
--- a/internal/policy/crash/crash_test.go
+++ b/internal/policy/crash/crash_test.go
@@ -39,7 +39,7 @@
 func TestARequestThatIsAlsoAnsweredIsNotRefused(t *testing.T) {
 	r := New()
 	now := clock.Time(time.Hour)
-	r.Answered(now, 7)
+	r.RecordSuccess(now, 7)
 	for _, e := range []string{"a", "b", "c"} {
 		r.RecordCrash(now.Add(time.Second), 7, e)
 		r.RecordCrash(now.Add(time.Second), 8, e)
