--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -90,7 +90,7 @@
 	}
 	c.Body = body
 	c.Fingerprint = fingerprint(c)
-	if g.o.Crashes.Refuse(g.o.Clock.Now(), c.Fingerprint) {
+	if g.o.Crashes.ShouldRefuse(g.o.Clock.Now(), c.Fingerprint) {
 		f := refuse(code.Quarantined, "endpoints broke off while they ran this request")
 		f.again = quarantineAgain
 		return c, nil, f
--- a/internal/policy/crash/crash.go
+++ b/internal/policy/crash/crash.go
@@ -97,10 +97,10 @@
 	r.answered[request%answeredSlots] = success{request, now}
 }
 
-// Refuse tells whether the request is to be refused. One that was also answered at the time of
+// ShouldRefuse tells whether the request is to be refused. One that was also answered at the time of
 // the losses isn't their cause: many callers ask for the same, and endpoints that fail together
 // are running it.
-func (r *Register) Refuse(now clock.Time, request uint64) bool {
+func (r *Register) ShouldRefuse(now clock.Time, request uint64) bool {
 	return r.CrashCount(now, request) >= convicting && !r.acquitted(request)
 }
 
--- a/internal/policy/crash/crash_test.go
+++ b/internal/policy/crash/crash_test.go
@@ -16,13 +16,13 @@
 	r := New()
 	now := clock.Time(0)
 	for i, e := range []string{"a", "b", "c"} {
-		assert.Assert(t, !r.Refuse(now, 7), "after %d", i)
+		assert.Assert(t, !r.ShouldRefuse(now, 7), "after %d", i)
 		assert.Assert(t, r.RecordCrash(now, 7, e))
 		now = now.Add(5 * time.Second)
 	}
-	assert.Assert(t, r.Refuse(now, 7))
-	assert.Assert(t, !r.Refuse(now, 8))
-	assert.Assert(t, !r.Refuse(now.Add(refuseFor), 7))
+	assert.Assert(t, r.ShouldRefuse(now, 7))
+	assert.Assert(t, !r.ShouldRefuse(now, 8))
+	assert.Assert(t, !r.ShouldRefuse(now.Add(refuseFor), 7))
 }
 
 // Several VMs tell of the same crash. Counted three times it would convict a
@@ -44,12 +44,12 @@
 		r.RecordCrash(now.Add(time.Second), 7, e)
 		r.RecordCrash(now.Add(time.Second), 8, e)
 	}
-	assert.Assert(t, !r.Refuse(now.Add(time.Second), 7))
-	assert.Assert(t, r.Refuse(now.Add(time.Second), 8))
+	assert.Assert(t, !r.ShouldRefuse(now.Add(time.Second), 7))
+	assert.Assert(t, r.ShouldRefuse(now.Add(time.Second), 8))
 	for _, e := range []string{"d", "e", "f"} {
 		r.RecordCrash(now.Add(2*remember), 7, e)
 	}
-	assert.Assert(t, r.Refuse(now.Add(2*remember), 7), "it has not been answered for long")
+	assert.Assert(t, r.ShouldRefuse(now.Add(2*remember), 7), "it has not been answered for long")
 }
 
 func TestOldLossesDoNotAddUp(t *testing.T) {
@@ -59,7 +59,7 @@
 		r.RecordCrash(now, 7, e)
 		now = now.Add(remember + time.Second)
 	}
-	assert.Assert(t, !r.Refuse(now, 7))
+	assert.Assert(t, !r.ShouldRefuse(now, 7))
 }
 
 func TestMemoryIsBounded(t *testing.T) {
