--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -67,7 +67,7 @@
 
 // run makes attempts until one decides the answer.
 func (x *execution) run() {
-	x.g.o.Budget.Request(x.now(), x.service)
+	x.g.o.Budget.CountRequest(x.now(), x.service)
 	defer func() { x.queued.leave() }()
 	var last result
 	for tries := 0; ; tries++ {
--- a/internal/policy/repeat/repeat.go
+++ b/internal/policy/repeat/repeat.go
@@ -79,8 +79,8 @@
 	b.members = max(n, 1)
 }
 
-// Request counts a caller's request for a service.
-func (b *Budget) Request(now clock.Time, service string) {
+// CountRequest counts a caller's request for a service.
+func (b *Budget) CountRequest(now clock.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(now, service)
--- a/internal/policy/repeat/repeat_test.go
+++ b/internal/policy/repeat/repeat_test.go
@@ -40,7 +40,7 @@
 		n := 0
 		for _, b := range budgets {
 			for range each / 20 {
-				b.Request(now, "labels")
+				b.CountRequest(now, "labels")
 			}
 			n += spend(b, now)
 		}
