--- a/internal/policy/repeat/repeat.go
+++ b/internal/policy/repeat/repeat.go
@@ -1,14 +1,16 @@
-// Package repeat bounds the requests that a VM sends to a second endpoint, so
-// that all VMs together keep one budget for each service.
+// Package repeat limits how many requests a VM sends to a second endpoint. The VMs of a deployment
+// share one retry budget for each service.
 //
-// Load pattern: an endpoint that fails makes each of its requests come again.
-// Without a bound the repeats of all VMs add up on the endpoints that are left,
-// whose answers then fail too. The budget is a share of the requests of the
-// last seconds plus a fixed number for the whole deployment. Each VM takes its
-// own requests' share and an equal part of the fixed number. No message is
-// needed for it, and the sum stays below the budget as long as no VM believes
-// in fewer members than there are; one that doesn't know them yet takes the
-// part of the largest deployment.
+// Load pattern: when an endpoint fails, its requests are retried at the others. Without a limit,
+// the retries of all VMs add up at the remaining endpoints and overload them, so that they fail too.
+//
+// Approach: the budget is a share of the requests in a sliding window plus a fixed number for the
+// whole deployment. Each VM may use the share of its own requests and an equal part of the fixed
+// number.
+//
+// Guarantees: the VMs exchange no messages for this. The sum of their retries stays within the
+// budget as long as no VM underestimates the number of members. Until a VM has that number it
+// assumes the largest supported deployment.
 //
 // A Budget is safe for concurrent use.
 package repeat
@@ -21,58 +23,58 @@
 )
 
 const (
-	// slots divide the window; the bound holds for any span of its length, to
-	// within one slot.
-	slots = 20
-	// safety is the part of the budget that is used: requests are counted
-	// here when they arrive, elsewhere when they were sent.
-	safety = 0.8
-	// mostMembers is assumed while the members aren't known.
-	mostMembers = 64
+	// slotsPerWindow is the resolution of the sliding window: the limit holds for any span of the
+	// window's length, to within one slot.
+	slotsPerWindow = 20
+	// safetyFactor is the part of the budget that is used. It covers the difference between
+	// counting requests when they arrive, as here, and when they were sent, as elsewhere.
+	safetyFactor = 0.8
+	// maxMembers is the number of VMs that is assumed until SetMembers is called.
+	maxMembers = 64
 )
 
-// minWindow keeps a window from having no length.
+// minWindow is the shortest window, so that an unset one doesn't have a length of zero.
 const minWindow = time.Second
 
 // Config of a Budget.
 type Config struct {
-	Ratio  float64       // repeats per request
-	Extra  float64       // repeats in a window beside those, of all VMs together
-	Window time.Duration // the span in which both are counted
+	Ratio  float64       // retries per request
+	Extra  float64       // additional retries per window, for all VMs together
+	Window time.Duration // length of the sliding window
 }
 
-// Budget is one VM's part.
+// Budget is one VM's part of the retry budgets of all services.
 type Budget struct {
 	cfg Config
 
-	mu       sync.Mutex
-	members  int
-	services map[string]*window
+	mu      sync.Mutex
+	members int
+	windows map[string]*window // by service
 }
 
-// window counts in slots of the window's length / slots.
+// window is a ring of slots, each of which counts for the window's length / slotsPerWindow.
 type window struct {
-	requests, repeats [slots + 1]int
-	at                int64 // number of the newest slot
+	requests, retries [slotsPerWindow + 1]int
+	newest            int64 // number of the newest slot
 }
 
-// New returns a budget for an unknown number of members.
+// New returns a budget that assumes maxMembers until SetMembers is called.
 func New(cfg Config) *Budget {
-	return &Budget{cfg: cfg, members: mostMembers, services: map[string]*window{}}
+	return &Budget{cfg: cfg, members: maxMembers, windows: map[string]*window{}}
 }
 
-// SetConfig replaces the configuration. A window of another length starts
-// empty, and until it is full gives what an empty one gives.
+// SetConfig replaces the configuration. If the length of the window changes, all counts are reset:
+// retries are then allowed as in an empty window until the new one has filled up.
 func (b *Budget) SetConfig(cfg Config) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if cfg.Window != b.cfg.Window {
-		clear(b.services)
+		clear(b.windows)
 	}
 	b.cfg = cfg
 }
 
-// SetMembers tells how many VMs share the budget.
+// SetMembers sets the number of VMs that share the budget.
 func (b *Budget) SetMembers(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,38 +86,38 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(now, service)
-	w.requests[w.at%(slots+1)]++
+	w.requests[w.newest%(slotsPerWindow+1)]++
 }
 
-// Take counts a repeat if the budget has room for it.
+// Take counts a retry and returns true if the budget allows it.
 func (b *Budget) Take(now clock.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(now, service)
-	requests, repeats := 0, 0
+	requests, retries := 0, 0
 	for i := range w.requests {
 		requests += w.requests[i]
-		repeats += w.repeats[i]
+		retries += w.retries[i]
 	}
-	allowed := safety * (b.cfg.Ratio*float64(requests) + b.cfg.Extra/float64(b.members))
-	if float64(repeats+1) > allowed {
+	allowed := safetyFactor * (b.cfg.Ratio*float64(requests) + b.cfg.Extra/float64(b.members))
+	if float64(retries+1) > allowed {
 		return false
 	}
-	w.repeats[w.at%(slots+1)]++
+	w.retries[w.newest%(slotsPerWindow+1)]++
 	return true
 }
 
-// window returns a service's window, moved on to now.
+// window returns a service's window after advancing it to now.
 func (b *Budget) window(now clock.Time, service string) *window {
-	w := b.services[service]
+	w := b.windows[service]
 	if w == nil {
 		w = &window{}
-		b.services[service] = w
+		b.windows[service] = w
 	}
-	at := int64(now) / int64(max(b.cfg.Window, minWindow)/slots)
-	for i := max(w.at+1, at-slots); i <= at; i++ {
-		w.requests[i%(slots+1)], w.repeats[i%(slots+1)] = 0, 0
+	current := int64(now) / int64(max(b.cfg.Window, minWindow)/slotsPerWindow)
+	for i := max(w.newest+1, current-slotsPerWindow); i <= current; i++ {
+		w.requests[i%(slotsPerWindow+1)], w.retries[i%(slotsPerWindow+1)] = 0, 0
 	}
-	w.at = max(w.at, at)
+	w.newest = max(w.newest, current)
 	return w
 }
--- a/internal/policy/repeat/repeat_test.go
+++ b/internal/policy/repeat/repeat_test.go
@@ -11,8 +11,8 @@
 
 var cfg = Config{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}
 
-// spend takes as many repeats as the budget gives at now.
-func spend(b *Budget, now clock.Time) int {
+// takeAll takes as many retries as the budget allows at now and returns their number.
+func takeAll(b *Budget, now clock.Time) int {
 	n := 0
 	for b.Take(now, "labels") {
 		n++
@@ -20,17 +20,17 @@
 	return n
 }
 
-// An engine with a tenth of the streams crashes; every VM wants to repeat its
-// own at once, and the engines that are left go down under repeats of repeats.
-// The sum over all VMs must stay below the deployment's budget in any window.
+// Guards against retries that overload the remaining engines after one with a tenth of the streams
+// crashes: all VMs retry theirs at once, and then retry those that fail again. The sum over all VMs
+// must stay within the deployment's budget in any window.
 func TestAllVMsTogetherKeepTheBudget(t *testing.T) {
-	const vms, each = 7, 300
+	const vms, requestsPerVM = 7, 300
 	budgets := make([]*Budget, vms)
 	for i := range budgets {
 		budgets[i] = New(cfg)
 		budgets[i].SetMembers(vms)
 	}
-	worst := 0
+	maxTaken := 0
 	var taken []struct {
 		at clock.Time
 		n  int
@@ -39,10 +39,10 @@
 		now := clock.Time(time.Duration(step) * time.Second / 2)
 		n := 0
 		for _, b := range budgets {
-			for range each / 20 {
+			for range requestsPerVM / 20 {
 				b.CountRequest(now, "labels")
 			}
-			n += spend(b, now)
+			n += takeAll(b, now)
 		}
 		taken = append(taken, struct {
 			at clock.Time
@@ -54,34 +54,34 @@
 				sum += x.n
 			}
 		}
-		worst = max(worst, sum)
+		maxTaken = max(maxTaken, sum)
 	}
-	allowed := int(cfg.Ratio*vms*each + cfg.Extra)
-	assert.Assert(t, worst <= allowed, "%d repeats in a window, %d allowed", worst, allowed)
-	assert.Assert(t, worst > allowed/2, "%d repeats in a window of %d allowed", worst, allowed)
+	allowed := int(cfg.Ratio*vms*requestsPerVM + cfg.Extra)
+	assert.Assert(t, maxTaken <= allowed, "%d retries in a window, %d allowed", maxTaken, allowed)
+	assert.Assert(t, maxTaken > allowed/2, "only %d retries in a window, %d allowed", maxTaken, allowed)
 }
 
-// A VM that has just started knows no other. If it took the whole fixed part for
-// itself, a deployment whose VMs all start at once would repeat seven times as
-// much as it may.
-func TestAVMThatKnowsNoOtherTakesASmallPart(t *testing.T) {
-	assert.Equal(t, spend(New(cfg), 0), 0)
+// Guards against a VM that has just started and, as it has received nothing from other VMs, takes
+// the whole fixed part of the budget: a deployment of seven VMs that start together would send seven
+// times the allowed retries.
+func TestBudgetIsSmallUntilTheMembersAreSet(t *testing.T) {
+	assert.Equal(t, takeAll(New(cfg), 0), 0)
 	alone := New(cfg)
 	alone.SetMembers(1)
-	assert.Equal(t, spend(alone, 0), 43)
+	assert.Equal(t, takeAll(alone, 0), 43)
 }
 
 func TestServicesHaveTheirOwnBudgets(t *testing.T) {
 	b := New(cfg)
 	b.SetMembers(1)
-	spend(b, 0)
+	takeAll(b, 0)
 	assert.Assert(t, b.Take(0, "other"))
 }
 
-func TestTheBudgetComesBackAfterTheWindow(t *testing.T) {
+func TestBudgetIsRestoredAfterTheWindow(t *testing.T) {
 	b := New(cfg)
 	b.SetMembers(1)
-	n := spend(b, 0)
-	assert.Equal(t, spend(b, clock.Time(cfg.Window/2)), 0)
-	assert.Equal(t, spend(b, clock.Time(2*cfg.Window)), n)
+	n := takeAll(b, 0)
+	assert.Equal(t, takeAll(b, clock.Time(cfg.Window/2)), 0)
+	assert.Equal(t, takeAll(b, clock.Time(2*cfg.Window)), n)
 }
