--- a/internal/policy/crash/crash.go
+++ b/internal/policy/crash/crash.go
@@ -1,12 +1,12 @@
-// Package crash recognises requests that crash the endpoints which run them.
+// Package crash detects requests that crash the endpoints which run them.
 //
-// Load pattern: one request brings down each endpoint that begins to run it,
-// and its caller sends it again at any VM. Without a memory of it a pool of a
-// dozen engines is lost within a minute. A request is known by what its repeats
-// have in common. Each time an endpoint breaks off without an answer the
-// requests that it had not begun to answer are noted; one that stands behind
-// crashes of several endpoints is refused for a while, by every VM that has
-// heard of them.
+// Load pattern: a request crashes each endpoint that starts to run it, and its caller retries it at
+// any VM. Unless VMs remember such requests, a pool of a dozen engines is lost within a minute.
+//
+// Approach: a request is identified by a fingerprint that all of its retries have in common. When an
+// endpoint breaks off without an answer, a crash is recorded for each request whose answer had not
+// begun. A request with crashes at several endpoints is quarantined: every VM that has received
+// reports of these crashes refuses it for a while.
 //
 // A Register is safe for concurrent use.
 package crash
@@ -19,29 +19,29 @@
 )
 
 const (
-	// convicting is the number of endpoints whose loss makes a request
-	// refused. One loss is the common fate of whatever runs there; two
-	// happen to a request by chance when endpoints fail in numbers.
-	convicting = 3
-	// remember is how long an unrepeated loss counts.
-	remember = 30 * time.Second
-	// refuseFor is how long a convicted request is refused: callers' repeats
-	// come for a minute or so.
-	refuseFor = 2 * time.Minute
-	// maxKnown bounds the memory.
-	maxKnown = 4096
-	// answeredSlots is how many answered requests are remembered at most, those that come
-	// often the most surely.
-	answeredSlots = 4096
+	// quarantineCrashes is the number of crashed endpoints from which a request is refused. One
+	// crash affects whatever was running at the endpoint; two happen to a request by chance when
+	// many endpoints fail.
+	quarantineCrashes = 3
+	// crashTTL is how long a crash counts unless another one follows.
+	crashTTL = 30 * time.Second
+	// quarantineTime is how long a quarantined request is refused: callers retry for a minute or
+	// so.
+	quarantineTime = 2 * time.Minute
+	// maxRecords bounds the number of requests that crashes are recorded for.
+	maxRecords = 4096
+	// successSlots is the size of the table of requests that were answered. A request that comes
+	// often is the most likely to be in its slot.
+	successSlots = 4096
 )
 
-// Register remembers crashes by request.
+// Register records crashes by request.
 type Register struct {
-	mu    sync.Mutex
-	known map[uint64]*record
-	// answered are requests that an endpoint has run to a good end, by their number modulo
-	// the slots.
-	answered [answeredSlots]success
+	mu      sync.Mutex
+	records map[uint64]*record
+	// successes holds requests that an endpoint has completed. The slot of a request is its
+	// fingerprint modulo successSlots; the latest one replaces the one before.
+	successes [successSlots]success
 }
 
 type success struct {
@@ -55,23 +55,24 @@
 }
 
 // New returns an empty register.
-func New() *Register { return &Register{known: map[uint64]*record{}} }
+func New() *Register { return &Register{records: map[uint64]*record{}} }
 
-// RecordCrash takes the loss of an endpoint's process (an id that changes with each of
-// its starts) while it ran the request. It returns false if that is known.
+// RecordCrash records that an endpoint's process crashed while it ran the request. endpoint is an
+// ID that changes each time the process starts. RecordCrash returns false if the crash was already
+// recorded.
 func (r *Register) RecordCrash(now clock.Time, request uint64, endpoint string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := r.known[request]
+	rec := r.records[request]
 	if rec == nil {
 		r.makeRoom(now)
 		rec = &record{endpoints: map[string]bool{}}
-		r.known[request] = rec
+		r.records[request] = rec
 	}
 	if rec.endpoints[endpoint] {
 		return false
 	}
-	if len(rec.endpoints) < convicting && now.Sub(rec.last) > remember {
+	if len(rec.endpoints) < quarantineCrashes && now.Sub(rec.last) > crashTTL {
 		clear(rec.endpoints)
 	}
 	rec.endpoints[endpoint] = true
@@ -79,51 +80,52 @@
 	return true
 }
 
-// CrashCount is how many endpoints the request has cost.
+// CrashCount returns the number of endpoints that crashed while they ran the request.
 func (r *Register) CrashCount(now clock.Time, request uint64) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := r.known[request]
-	if rec == nil || now.Sub(rec.last) > refuseFor {
+	rec := r.records[request]
+	if rec == nil || now.Sub(rec.last) > quarantineTime {
 		return 0
 	}
 	return len(rec.endpoints)
 }
 
-// RecordSuccess notes that an endpoint has run the request to a good end.
+// RecordSuccess records that an endpoint has completed the request.
 func (r *Register) RecordSuccess(now clock.Time, request uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answered[request%answeredSlots] = success{request, now}
+	r.successes[request%successSlots] = success{request, now}
 }
 
-// ShouldRefuse tells whether the request is to be refused. One that was also answered at the time of
-// the losses isn't their cause: many callers ask for the same, and endpoints that fail together
-// are running it.
+// ShouldRefuse reports whether the request is quarantined. A request that was also completed around
+// the time of the crashes isn't their cause: when many callers send the same request, endpoints that
+// fail together for another reason are all running it.
 func (r *Register) ShouldRefuse(now clock.Time, request uint64) bool {
-	return r.CrashCount(now, request) >= convicting && !r.acquitted(request)
+	return r.CrashCount(now, request) >= quarantineCrashes && !r.recentlySucceeded(request)
 }
 
-func (r *Register) acquitted(request uint64) bool {
+// recentlySucceeded reports whether the request was completed after its last crash, or less than
+// crashTTL before it.
+func (r *Register) recentlySucceeded(request uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s, rec := r.answered[request%answeredSlots], r.known[request]
-	return rec != nil && s.request == request && s.at != 0 && s.at.Add(remember) > rec.last
+	s, rec := r.successes[request%successSlots], r.records[request]
+	return rec != nil && s.request == request && s.at != 0 && s.at.Add(crashTTL) > rec.last
 }
 
-// makeRoom drops what no longer counts, and everything if that isn't enough: a
-// register that is full of recent crashes says that endpoints fail, not which
-// request is at fault.
+// makeRoom deletes expired records once there are maxRecords. If none has expired it deletes all: so
+// many recent crashes show that endpoints fail in general, not which request is the cause.
 func (r *Register) makeRoom(now clock.Time) {
-	if len(r.known) < maxKnown {
+	if len(r.records) < maxRecords {
 		return
 	}
-	for id, rec := range r.known {
-		if now.Sub(rec.last) > remember {
-			delete(r.known, id)
+	for id, rec := range r.records {
+		if now.Sub(rec.last) > crashTTL {
+			delete(r.records, id)
 		}
 	}
-	if len(r.known) >= maxKnown {
-		clear(r.known)
+	if len(r.records) >= maxRecords {
+		clear(r.records)
 	}
 }
--- a/internal/policy/crash/crash_test.go
+++ b/internal/policy/crash/crash_test.go
@@ -9,9 +9,8 @@
 	"fescuestand/internal/clock"
 )
 
-// A request crashes each engine that begins to run it, and its caller sends it
-// again at any VM. After three engines every VM that has heard of them refuses
-// it, so that the fourth lives.
+// Guards against a request that crashes one engine after another, as its caller retries it at any
+// VM. Once it has crashed three engines it must be refused, so that the fourth isn't lost.
 func TestARequestThatCrashedThreeEndpointsIsRefused(t *testing.T) {
 	r := New()
 	now := clock.Time(0)
@@ -22,11 +21,11 @@
 	}
 	assert.Assert(t, r.ShouldRefuse(now, 7))
 	assert.Assert(t, !r.ShouldRefuse(now, 8))
-	assert.Assert(t, !r.ShouldRefuse(now.Add(refuseFor), 7))
+	assert.Assert(t, !r.ShouldRefuse(now.Add(quarantineTime), 7))
 }
 
-// Several VMs tell of the same crash. Counted three times it would convict a
-// request that was at an engine which failed for another reason.
+// Guards against counting one crash several times because several VMs report it: three reports would
+// quarantine a request that ran at a single engine which failed for another reason.
 func TestOneCrashCountsOnce(t *testing.T) {
 	r := New()
 	assert.Assert(t, r.RecordCrash(0, 7, "a"))
@@ -34,8 +33,8 @@
 	assert.Equal(t, r.CrashCount(0, 7), 1)
 }
 
-// Guards against a lookup that many callers ask for and that is refused for minutes, since three
-// endpoints that were cut off were running it.
+// Guards against refusing, for minutes, a lookup that many callers send, because three endpoints were
+// running it when their connections were cut.
 func TestARequestThatIsAlsoAnsweredIsNotRefused(t *testing.T) {
 	r := New()
 	now := clock.Time(time.Hour)
@@ -47,25 +46,25 @@
 	assert.Assert(t, !r.ShouldRefuse(now.Add(time.Second), 7))
 	assert.Assert(t, r.ShouldRefuse(now.Add(time.Second), 8))
 	for _, e := range []string{"d", "e", "f"} {
-		r.RecordCrash(now.Add(2*remember), 7, e)
+		r.RecordCrash(now.Add(2*crashTTL), 7, e)
 	}
-	assert.Assert(t, r.ShouldRefuse(now.Add(2*remember), 7), "it has not been answered for long")
+	assert.Assert(t, r.ShouldRefuse(now.Add(2*crashTTL), 7), "its last success is too old")
 }
 
-func TestOldLossesDoNotAddUp(t *testing.T) {
+func TestOldCrashesExpire(t *testing.T) {
 	r := New()
 	now := clock.Time(0)
 	for _, e := range []string{"a", "b", "c", "d"} {
 		r.RecordCrash(now, 7, e)
-		now = now.Add(remember + time.Second)
+		now = now.Add(crashTTL + time.Second)
 	}
 	assert.Assert(t, !r.ShouldRefuse(now, 7))
 }
 
-func TestMemoryIsBounded(t *testing.T) {
+func TestNumberOfRecordsIsBounded(t *testing.T) {
 	r := New()
-	for i := range uint64(3 * maxKnown) {
+	for i := range uint64(3 * maxRecords) {
 		r.RecordCrash(0, i, "a")
 	}
-	assert.Assert(t, len(r.known) <= maxKnown)
+	assert.Assert(t, len(r.records) <= maxRecords)
 }
