--- a/internal/policy/serving/meter.go
+++ b/internal/policy/serving/meter.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// rateSpan is the time over which a rate is averaged: longer than bursts, so
-	// that callers don't move to and fro with them.
+	// rateSpan is the time constant of the moving average. It is longer than bursts, so that these
+	// don't change the set of advertised VMs and make callers move back and forth.
 	rateSpan = 20 * time.Second
-	// knownAfter the first request a rate counts as measured.
-	knownAfter = 2 * time.Second
+	// minMeasured is the time after the first request from which the rate counts as measured.
+	minMeasured = 2 * time.Second
 )
 
 // Meter measures the rate of a VM's requests. It is safe for concurrent use.
 type Meter struct {
 	mu    sync.Mutex
-	first clock.Time // when the first request came, zero if none has
-	at    clock.Time
-	sum   float64 // of the requests, each weighted by its age
+	first clock.Time // arrival of the first request, zero before it
+	aged  clock.Time // when sum was last decayed
+	sum   float64    // of the requests, with weights that decay exponentially with age
 }
 
 // Count counts a request.
@@ -31,24 +31,25 @@
 	if m.first == 0 {
 		m.first = now
 	}
-	m.age(now)
+	m.decay(now)
 	m.sum++
 }
 
-// Rate returns the requests a second, zero if they are not known yet.
+// Rate returns the requests per second, or zero while too little has been measured.
 func (m *Meter) Rate(now clock.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.first == 0 || now.Sub(m.first) < knownAfter {
+	if m.first == 0 || now.Sub(m.first) < minMeasured {
 		return 0
 	}
-	m.age(now)
-	// What came before the first request isn't known to have been nothing.
+	m.decay(now)
+	// The average covers only the time since the first request, as the rate before it is unknown.
 	weight := 1 - math.Exp(-now.Sub(m.first).Seconds()/rateSpan.Seconds())
 	return m.sum / (rateSpan.Seconds() * weight)
 }
 
-func (m *Meter) age(now clock.Time) {
-	m.sum *= math.Exp(-now.Sub(m.at).Seconds() / rateSpan.Seconds())
-	m.at = now
+// decay reduces the weights of the counted requests to their age at now.
+func (m *Meter) decay(now clock.Time) {
+	m.sum *= math.Exp(-now.Sub(m.aged).Seconds() / rateSpan.Seconds())
+	m.aged = now
 }
--- a/internal/policy/serving/serving.go
+++ b/internal/policy/serving/serving.go
@@ -1,13 +1,14 @@
-// Package serving chooses the VMs that callers are named.
+// Package serving chooses which VMs are advertised to callers.
 //
-// Load pattern: callers choose among the addresses that they are named at random,
-// and each VM that serves them keeps connections to every endpoint and believes
-// what it has sent itself. Spread over all VMs, the traffic of a small deployment
-// leaves each connection idle until its endpoint closes it, so that every fourth
-// request opens a new one, and each VM places requests by the others' counts of a
-// tenth of a second ago. Spread over small VMs, the callers of these wait for their
-// links. So as few VMs are named as can carry the load with room for a burst and a
-// loss, some in each zone; the others stand by.
+// Load pattern: each caller picks one of the advertised addresses at random. Each VM that serves
+// callers keeps connections to every endpoint, and its own requests are the only ones it can count
+// without delay. If the traffic of a small deployment is spread over all VMs, connections stay idle
+// until their endpoint closes them, so that every fourth request opens a new one, and each VM places
+// requests by the other VMs' counts of a tenth of a second ago. If small VMs are advertised too, their
+// callers wait for these VMs' network links.
+//
+// Approach: as few VMs are advertised as can carry the load with headroom for a burst and for the
+// loss of a VM, some of them in each zone. The others are on standby.
 //
 // The package does no I/O and reads no clock.
 package serving
@@ -18,85 +19,90 @@
 )
 
 const (
-	// leastNamed VMs are named however small the load is, and one of each zone: a
-	// third of the callers meet the loss of a VM.
-	leastNamed = 3
-	// headroom is the capacity of those that are named over the load: a burst
-	// doubles it, and a VM that is lost leaves its part to the others.
+	// minAdvertised is the number of VMs that are advertised however small the load is, in addition
+	// to the rule of at least one in each zone. With three, the loss of a VM affects a third of the
+	// callers.
+	minAdvertised = 3
+	// headroom is the ratio of the advertised VMs' capacity to the load: a burst doubles the load,
+	// and the load of a VM that is lost moves to the others.
 	headroom = 4
-	// smallShare of the largest VM's capacity makes a VM a small one, and
-	// enoughShare of all capacity is what the others must have to do without
-	// them.
-	smallShare  = 0.5
-	enoughShare = 0.5
-	// leastActive is how many VMs know the load of all, and activeFactor how many for
-	// each that is named: those that are named next take over with what they know.
-	leastActive  = 16
-	activeFactor = 2
-	// unknownNamed VMs are named at most, and are the active set, while the load isn't
-	// known: more would place the first requests of all without each other's counts.
-	unknownNamed = 32
+	// smallCapacityRatio is the fraction of the largest VM's capacity below which a VM is a small
+	// one.
+	smallCapacityRatio = 0.5
+	// minLargeCapacityShare is the share of the total capacity that the large VMs must have for the
+	// small ones to be left out.
+	minLargeCapacityShare = 0.5
+	// minActive is the minimum size of the active set, whose VMs receive the load of all, and
+	// activePerAdvertised is its size for each advertised VM: the VMs that are advertised next then
+	// have the load data already.
+	minActive           = 16
+	activePerAdvertised = 2
+	// maxWithUnknownRate is the maximum number of advertised VMs, and the size of the active set,
+	// while the load is unknown. More VMs would place their first requests without each other's
+	// counts.
+	maxWithUnknownRate = 32
 )
 
-// VM is one that takes callers.
+// VM is a candidate for the VMs that are advertised to callers.
 type VM struct {
 	Address  string // for callers
 	Peer     string // address for other VMs
 	Zone     string
-	Capacity uint32 // requests a second
+	Capacity uint32 // requests per second
 }
 
-// ChooseAdvertised returns the VMs to name under a load of rate requests a second, in the
-// order in which they are wanted. All VMs that know the same choose the same. A rate
-// of zero isn't known: many large ones are named.
+// ChooseAdvertised returns the VMs to advertise to callers under a load of rate requests per second,
+// in order of preference. It is deterministic: VMs with the same input choose the same set. A rate of
+// zero means that the load is unknown; up to maxWithUnknownRate large VMs are advertised then.
 func ChooseAdvertised(vms []VM, rate float64) []VM {
-	large := largest(vms)
-	inTurn := byZoneInTurn(large)
+	large := largeVMs(vms)
+	ordered := interleaveZones(large)
 	if rate <= 0 {
-		return inTurn[:min(len(inTurn), unknownNamed)]
+		return ordered[:min(len(ordered), maxWithUnknownRate)]
 	}
-	least := max(leastNamed, zones(large))
+	minCount := max(minAdvertised, countZones(large))
 	sum := 0.0
-	for i, v := range inTurn {
-		if i >= least && sum >= headroom*rate {
-			return inTurn[:i]
+	for i, v := range ordered {
+		if i >= minCount && sum >= headroom*rate {
+			return ordered[:i]
 		}
 		sum += float64(v.Capacity)
 	}
-	return inTurn
+	return ordered
 }
 
-// ActiveSet returns the VMs that Choose names and those that are next in turn, which stand
-// by with the knowledge that placing requests needs. The others need none of it.
+// ActiveSet returns the VMs that ChooseAdvertised returns and those that follow in the same order.
+// The latter are on standby and receive the load data that placing requests takes. VMs outside the
+// active set don't receive it.
 func ActiveSet(vms []VM, rate float64) []VM {
-	named := ChooseAdvertised(vms, rate)
-	n := max(leastActive, activeFactor*len(named))
+	advertised := ChooseAdvertised(vms, rate)
+	n := max(minActive, activePerAdvertised*len(advertised))
 	if rate <= 0 {
-		n = unknownNamed
+		n = maxWithUnknownRate
 	}
 	if len(vms) <= n {
 		return vms
 	}
-	return inOrder(vms)[:n]
+	return advertisingOrder(vms)[:n]
 }
 
-// inOrder orders VMs as they are named: all large ones first.
-func inOrder(vms []VM) []VM {
-	large := largest(vms)
+// advertisingOrder sorts VMs by preference: all large ones come before the small ones.
+func advertisingOrder(vms []VM) []VM {
+	large := largeVMs(vms)
 	if len(large) == len(vms) {
-		return byZoneInTurn(vms)
+		return interleaveZones(vms)
 	}
 	isLarge := make(map[string]bool, len(large))
 	for _, v := range large {
 		isLarge[v.Address] = true
 	}
 	small := slices.DeleteFunc(slices.Clone(vms), func(v VM) bool { return isLarge[v.Address] })
-	return append(byZoneInTurn(large), byZoneInTurn(small)...)
+	return append(interleaveZones(large), interleaveZones(small)...)
 }
 
-// byZoneInTurn orders VMs so that each zone has its first before one has a second;
-// within a zone the larger ones come first.
-func byZoneInTurn(vms []VM) []VM {
+// interleaveZones sorts VMs so that the first VM of each zone comes before the second one of any.
+// Within a zone, larger VMs come first.
+func interleaveZones(vms []VM) []VM {
 	out := slices.Clone(vms)
 	slices.SortFunc(out, func(a, b VM) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Address, b.Address))
@@ -111,7 +117,7 @@
 	return out
 }
 
-func zones(vms []VM) int {
+func countZones(vms []VM) int {
 	seen := map[string]bool{}
 	for _, v := range vms {
 		seen[v.Zone] = true
@@ -119,24 +125,24 @@
 	return len(seen)
 }
 
-// largest leaves the small VMs out if the others can carry the load. Callers
-// choose among the addresses at random: a VM with a twentieth of another's link
-// would get as many requests, and its callers would wait for it.
-func largest(vms []VM) []VM {
-	top, all := uint32(0), uint32(0)
+// largeVMs returns vms without the small ones, or all of them if the large ones can't carry the load.
+// As callers pick addresses at random, a VM with a twentieth of another's network bandwidth would get
+// as many requests, and its callers would wait.
+func largeVMs(vms []VM) []VM {
+	maxCapacity, total := uint32(0), uint32(0)
 	for _, v := range vms {
-		top = max(top, v.Capacity)
-		all += v.Capacity
+		maxCapacity = max(maxCapacity, v.Capacity)
+		total += v.Capacity
 	}
 	var large []VM
 	sum := uint32(0)
 	for _, v := range vms {
-		if float64(v.Capacity) >= smallShare*float64(top) {
+		if float64(v.Capacity) >= smallCapacityRatio*float64(maxCapacity) {
 			large = append(large, v)
 			sum += v.Capacity
 		}
 	}
-	if float64(sum) < enoughShare*float64(all) {
+	if float64(sum) < minLargeCapacityShare*float64(total) {
 		return vms
 	}
 	return large
