--- a/internal/policy/speed/squares.go
+++ b/internal/policy/speed/squares.go
@@ -2,49 +2,50 @@
 
 import "math"
 
-// dims is how many figures are solved for.
+// dims is the number of coefficients.
 const dims = 3
 
 type vector [dims]float64
 
 type matrix [dims]vector
 
-// squares finds the vector that explains weighted observations best, given a prior
-// that keeps its weight: however alike the observations are, there is one solution.
-type squares struct {
-	prior       matrix
-	priorTarget vector
-	sum         matrix
-	target      vector
+// leastSquares is a linear regression with exponential forgetting and a prior. The prior keeps its
+// weight, so that the solution is unique however similar the observations are.
+type leastSquares struct {
+	priorGram   matrix
+	priorMoment vector
+	gram        matrix // weighted sum of the products of the regressors with each other
+	moment      vector // weighted sum of the products of the regressors with the observed value
 }
 
-func newSquares(prior, weight vector) squares {
-	var q squares
+func newLeastSquares(prior, weight vector) leastSquares {
+	var q leastSquares
 	for i := range dims {
-		q.prior[i][i] = weight[i]
-		q.priorTarget[i] = weight[i] * prior[i]
+		q.priorGram[i][i] = weight[i]
+		q.priorMoment[i] = weight[i] * prior[i]
 	}
 	return q
 }
 
-// add takes an observation: x explains y.
-func (q *squares) add(x vector, y float64) {
+// add adds an observation y of the product of the coefficients with x.
+func (q *leastSquares) add(x vector, y float64) {
 	for i := range dims {
 		for j := range dims {
-			q.sum[i][j] = keep*q.sum[i][j] + x[i]*x[j]
+			q.gram[i][j] = forgetting*q.gram[i][j] + x[i]*x[j]
 		}
-		q.target[i] = keep*q.target[i] + x[i]*y
+		q.moment[i] = forgetting*q.moment[i] + x[i]*y
 	}
 }
 
-// solve returns the vector, by Gaussian elimination: the matrix is positive definite.
-func (q *squares) solve() vector {
-	a, b := q.prior, q.priorTarget
+// solve returns the coefficients, by Gaussian elimination without pivoting: the matrix is positive
+// definite.
+func (q *leastSquares) solve() vector {
+	a, b := q.priorGram, q.priorMoment
 	for i := range dims {
 		for j := range dims {
-			a[i][j] += q.sum[i][j]
+			a[i][j] += q.gram[i][j]
 		}
-		b[i] += q.target[i]
+		b[i] += q.moment[i]
 	}
 	for i := range dims {
 		for j := i + 1; j < dims; j++ {
