--- a/internal/policy/ontime/starting.go
+++ b/internal/policy/ontime/starting.go
@@ -3,18 +3,20 @@
 import "time"
 
 const (
-	// leastStarting is the shortest time to come back to a VM that has just
-	// started, and startingSpread the span over which those who were refused
-	// together return.
-	leastStarting  = 300 * time.Millisecond
-	startingSpread = 700 * time.Millisecond
+	// minStartingRetryAfter is the shortest Retry-After delay of a VM that has just started, and
+	// startingRetrySpread the span over which the retries of requests that were refused together
+	// are spread.
+	minStartingRetryAfter = 300 * time.Millisecond
+	startingRetrySpread   = 700 * time.Millisecond
 )
 
-// StartingRetryAfter is when to come back to a VM that has started and can't serve yet, after it
-// has tried for waited. Load pattern: all VMs lose power while the store is away, and all
-// callers ask again at once. A VM usually can serve within a tenth of a second; one that
-// couldn't for longer will need about as long again. Told a short time, callers spend
-// their only repeat on a second refusal, and those who wait return in one wave.
-func StartingRetryAfter(waited time.Duration, draw uint64) time.Duration {
-	return leastStarting + max(waited, 0) + time.Duration(draw%uint64(startingSpread))
+// StartingRetryAfter returns the Retry-After delay of a VM that has started but can't serve yet, waited
+// after its start.
+//
+// Load pattern: all VMs lose power while the configuration store is unavailable, and all callers retry
+// at once. Usually a VM can serve within a tenth of a second; one that couldn't for longer will need
+// about as long again. With a short delay, callers spend their only retry on a second refusal, and
+// those that wait return in one wave.
+func StartingRetryAfter(waited time.Duration, random uint64) time.Duration {
+	return minStartingRetryAfter + max(waited, 0) + time.Duration(random%uint64(startingRetrySpread))
 }
--- a/internal/policy/ontime/starting_test.go
+++ b/internal/policy/ontime/starting_test.go
@@ -9,37 +9,37 @@
 	"fescuestand/internal/splitmix"
 )
 
-// served plays callers that come evenly for outage and a second more, and have one
-// repeat. It returns the share that is served in the end, and the largest number that
-// return within a tenth of a second after the outage.
-func served(outage time.Duration, again func(waited time.Duration, draw uint64) time.Duration) (share float64, wave int) {
-	const every = time.Millisecond
+// simulateRetries simulates callers that arrive at a constant rate during an outage and retry once. It
+// returns the share that is served, and the largest number that retry within a tenth of a second after
+// the outage.
+func simulateRetries(outage time.Duration, retryAfter func(waited time.Duration, random uint64) time.Duration) (share float64, peak int) {
+	const interval = time.Millisecond
 	total, ok := 0, 0
-	waves := map[int]int{}
-	for at := time.Duration(0); at < outage; at += every {
+	retries := map[int]int{}
+	for at := time.Duration(0); at < outage; at += interval {
 		total++
-		back := at + again(at, splitmix.Mix(uint64(at)))
-		if back >= outage {
+		retryAt := at + retryAfter(at, splitmix.Mix(uint64(at)))
+		if retryAt >= outage {
 			ok++
-			waves[int(back/(100*time.Millisecond))]++
+			retries[int(retryAt/(100*time.Millisecond))]++
 		}
 	}
-	for _, n := range waves {
-		wave = max(wave, n)
+	for _, n := range retries {
+		peak = max(peak, n)
 	}
-	return float64(ok) / float64(total), wave
+	return float64(ok) / float64(total), peak
 }
 
-// Guards against callers that spend their only repeat while all VMs start and the store
-// is away, and against their return in one wave.
-func TestCallersComeBackAfterAStartThatTakesLong(t *testing.T) {
-	constant := func(time.Duration, uint64) time.Duration { return leastStarting }
+// Guards against callers that spend their only retry while all VMs start and the configuration store is
+// unavailable, and against retries that arrive in one wave.
+func TestCallersAreServedAfterASlowStart(t *testing.T) {
+	constant := func(time.Duration, uint64) time.Duration { return minStartingRetryAfter }
 	for _, outage := range []time.Duration{100 * time.Millisecond, time.Second, 2 * time.Second} {
-		share, wave := served(outage, StartingRetryAfter)
-		before, peak := served(outage, constant)
-		t.Logf("%s: %.2f served, %.2f with a constant time; at most %d, %d at once", outage, share, before, wave, peak)
+		share, peak := simulateRetries(outage, StartingRetryAfter)
+		constantShare, constantPeak := simulateRetries(outage, constant)
+		t.Logf("%s: %.2f served, %.2f with a constant delay; peak of %d retries, %d with a constant delay", outage, share, constantShare, peak, constantPeak)
 		assert.Assert(t, share >= 0.6, "%s: %.2f", outage, share)
-		assert.Assert(t, share >= before)
-		assert.Assert(t, wave <= peak)
+		assert.Assert(t, share >= constantShare)
+		assert.Assert(t, peak <= constantPeak)
 	}
 }
