--- a/internal/policy/place/cache.go
+++ b/internal/policy/place/cache.go
@@ -2,47 +2,47 @@
 
 import "container/list"
 
-// cache is what an engine is believed to have cached, with the least recently
-// used parts yielding as they do in the engine.
+// cache is an estimate of what an engine has cached. Like the engine, it evicts the least recently
+// used parts first.
 type cache struct {
-	capacity int // tokens
-	used     int
-	order    *list.List // of Part, most recently used first
-	at       map[uint64]*list.Element
+	capacity int        // tokens
+	used     int        // tokens
+	lru      *list.List // of Part, most recently used first
+	entries  map[uint64]*list.Element
 }
 
-// cacheShare of an engine's memory is believed to hold parts that were read: the
-// rest is taken by requests that run or wait to be handed over.
+// cacheShare is the share of an engine's memory that is assumed to hold cached parts. The rest is
+// taken by requests that are running or waiting for their KV cache transfer.
 const cacheShare = 0.85
 
-// unsizedTokens is the memory that an engine is taken to have until the
-// configuration says: after a restart of a VM the endpoints, and what they have
-// cached, are heard from peers before the configuration is read.
-const unsizedTokens = 1 << 19
+// defaultCacheTokens is the assumed memory of an engine until the configuration specifies it. After
+// a restart, a VM receives the endpoints and what they have cached from peers before it reads the
+// configuration.
+const defaultCacheTokens = 1 << 19
 
 func newCache(tokens int) cache {
-	c := cache{order: list.New(), at: map[uint64]*list.Element{}}
+	c := cache{lru: list.New(), entries: map[uint64]*list.Element{}}
 	c.resize(tokens)
 	return c
 }
 
-// resize takes the engine's memory as the configuration has it now. A belief
-// that kept the size of the moment in which its engine was first heard of would
-// keep nothing for the engine's whole life if that was before the configuration.
+// resize sets the engine's memory to what the configuration specifies now. It is needed for each new
+// view: a cache that kept the size from the time at which its engine was first seen would stay empty
+// for the engine's whole life if that was before the configuration was read.
 func (c *cache) resize(tokens int) {
 	if tokens <= 0 {
-		tokens = unsizedTokens
+		tokens = defaultCacheTokens
 	}
 	c.capacity = int(cacheShare * float64(tokens))
-	c.yield()
+	c.evict()
 }
 
-// prefix returns the tokens of the leading parts that are cached: a part counts
-// only if all before it are cached too.
-func (c *cache) prefix(parts []Part) int {
+// prefixTokens returns the number of tokens in the leading parts that are cached. A part counts
+// only if all parts before it are cached too.
+func (c *cache) prefixTokens(parts []Part) int {
 	n := 0
 	for _, p := range parts {
-		if c.at[p.ID] == nil {
+		if c.entries[p.ID] == nil {
 			break
 		}
 		n += p.Tokens
@@ -50,40 +50,40 @@
 	return n
 }
 
-// add notes that a prompt's parts were read, the first of them used last. The
-// request's own part isn't asked for again, but takes memory from the others
-// until it yields.
+// add records that a prompt's parts were prefilled. The first part becomes the most recently used.
+// The request's own part won't be used again, but it takes memory from the others until it is
+// evicted.
 func (c *cache) add(parts []Part) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		c.touch(parts[i])
 	}
-	c.yield()
+	c.evict()
 }
 
-// yield forgets the least recently used parts that no longer fit.
-func (c *cache) yield() {
+// evict removes the least recently used parts until the rest fits.
+func (c *cache) evict() {
 	for c.used > c.capacity {
-		last := c.order.Back()
-		p, _ := c.order.Remove(last).(Part)
-		delete(c.at, p.ID)
+		last := c.lru.Back()
+		p, _ := c.lru.Remove(last).(Part)
+		delete(c.entries, p.ID)
 		c.used -= p.Tokens
 	}
 }
 
 func (c *cache) touch(p Part) {
-	if e := c.at[p.ID]; e != nil {
-		c.order.MoveToFront(e)
+	if e := c.entries[p.ID]; e != nil {
+		c.lru.MoveToFront(e)
 		return
 	}
-	c.at[p.ID] = c.order.PushFront(p)
+	c.entries[p.ID] = c.lru.PushFront(p)
 	c.used += p.Tokens
 }
 
-// parts returns the parts that are worth steering for, the most recently used first.
-func (c *cache) parts() []Part {
+// largeParts returns the parts that are long enough to affect placement, most recently used first.
+func (c *cache) largeParts() []Part {
 	var out []Part
-	for e := c.order.Front(); e != nil; e = e.Next() {
-		if p, _ := e.Value.(Part); p.Tokens >= minShared {
+	for e := c.lru.Front(); e != nil; e = e.Next() {
+		if p, _ := e.Value.(Part); p.Tokens >= minSharedTokens {
 			out = append(out, p)
 		}
 	}
--- a/internal/policy/place/demand.go
+++ b/internal/policy/place/demand.go
@@ -7,29 +7,28 @@
 	"fescuestand/internal/clock"
 )
 
-// demandSpan is the time over which demand is averaged: longer than the swings
-// of a mix that no change of engines can follow.
+// demandSpan is the time constant of the average demand. It is longer than fluctuations of the
+// workload mix that are too short to follow by reassigning engines to another stage.
 const demandSpan = 6 * time.Second
 
-// Demand is what one VM's requests need.
+// Demand is the engine capacity that requests need.
 type Demand struct {
-	Prefill float64 // seconds of prefill a second, at a prefill engine
-	Streams float64 // streams at a time
+	Prefill float64 // seconds of prefill per second, at a prefill engine
+	Streams float64 // concurrent streams
 }
 
-// add returns the sum.
 func (d Demand) add(e Demand) Demand { return Demand{d.Prefill + e.Prefill, d.Streams + e.Streams} }
 
-// meter averages demand with weights that fall exponentially with age.
-type meter struct {
+// demandMeter averages one VM's demand with weights that decay exponentially with age.
+type demandMeter struct {
 	at      clock.Time
 	prefill float64
 	streams float64
-	running int // streams now
+	running int // streams at the time at
 }
 
 // advance moves the averages on to now.
-func (m *meter) advance(now clock.Time) {
+func (m *demandMeter) advance(now clock.Time) {
 	if m.at == 0 {
 		m.at = now
 	}
@@ -40,19 +39,19 @@
 	m.at = now
 }
 
-// sent counts a prefill's work.
-func (m *meter) sent(now clock.Time, work time.Duration) {
+// addPrefill counts a prefill's work.
+func (m *demandMeter) addPrefill(now clock.Time, work time.Duration) {
 	m.advance(now)
 	m.prefill += work.Seconds() / demandSpan.Seconds()
 }
 
-// stream counts streams that begin or end.
-func (m *meter) stream(now clock.Time, change int) {
+// addStreams changes the number of running streams.
+func (m *demandMeter) addStreams(now clock.Time, change int) {
 	m.advance(now)
 	m.running += change
 }
 
-// Demand returns this VM's own.
+// Demand returns the demand of this VM's requests.
 func (p *Planner) Demand(now clock.Time) Demand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,13 +63,13 @@
 	return Demand{p.meter.prefill, p.meter.streams}
 }
 
-// TotalDemand returns the sum over all VMs that were heard lately.
+// TotalDemand returns the demand of this VM and of all peers whose last report isn't too old.
 func (p *Planner) TotalDemand(now clock.Time) Demand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sum := p.demand(now)
 	for _, r := range p.peers {
-		if now.Sub(r.at) <= peerStale {
+		if now.Sub(r.at) <= maxPeerReportAge {
 			sum = sum.add(r.demand)
 		}
 	}
--- a/internal/policy/place/fetch.go
+++ b/internal/policy/place/fetch.go
@@ -7,39 +7,40 @@
 )
 
 const (
-	// fetchTime is the fixed time of a fetch between two engines.
-	fetchTime = 10 * time.Millisecond
-	// fetchBurden weighs a fetch against the request's own wait: the transfers of
-	// both links wait behind it, those of hand-overs among them.
-	fetchBurden = 1
-	// otherZoneTransfer times a transfer within a zone is one between two.
-	otherZoneTransfer = 2
+	// fetchOverhead is the fixed time of a fetch between two engines.
+	fetchOverhead = 10 * time.Millisecond
+	// fetchCostWeight weighs the time of a fetch against the request's own wait: other transfers on
+	// the links of both engines, KV cache transfers among them, wait behind it.
+	fetchCostWeight = 1
+	// otherZoneTransferFactor is how many times longer a transfer between zones takes than one
+	// within a zone.
+	otherZoneTransferFactor = 2
 )
 
-// source is an engine from which the parts of a prompt can be fetched.
+// source is an engine from which cached parts of a prompt can be fetched.
 type source struct {
-	s      *state
-	tokens int // of the prompt that it is believed to have
+	s      *endpointState
+	tokens int // of the prompt that it is estimated to have cached
 }
 
-// sources are the best ones for a prompt: in any zone, and in each.
+// sources holds the best source for a prompt over all zones, and the best one in each zone.
 type sources struct {
 	any    source
 	byZone map[string]source
 }
 
-// sourcesOf returns the engines of both stages that have most of pr. Of those that
-// have as much, the one with the fewest requests is taken: a part that many ask
-// for is soon kept by several.
+// sourcesOf returns the engines of either stage that have the longest prefix of pr cached. Among
+// those with the same length the one with the fewest requests is chosen, as a part that many
+// requests share is soon cached at several engines.
 func (c *candidates) sourcesOf(pr *Prompt) sources {
 	out := sources{byZone: map[string]source{}}
 	if len(pr.Parts) < 2 {
 		return out
 	}
-	for _, list := range [][]*state{c.prefill, c.decode} {
+	for _, list := range [][]*endpointState{c.prefill, c.decode} {
 		for _, s := range list {
-			n := s.cache.prefix(pr.Parts)
-			if n < minShared {
+			n := s.cache.prefixTokens(pr.Parts)
+			if n < minSharedTokens {
 				continue
 			}
 			out.any = out.any.better(s, n)
@@ -49,44 +50,45 @@
 	return out
 }
 
-func (a source) better(s *state, tokens int) source {
+// better returns the better source of a and s, which has tokens cached.
+func (a source) better(s *endpointState, tokens int) source {
 	if a.s == nil || tokens > a.tokens || tokens == a.tokens && s.running < a.s.running {
 		return source{s, tokens}
 	}
 	return a
 }
 
-// fetch is a part of a prompt that an engine takes from another one before it
-// reads the rest.
+// fetch is the transfer of a prompt's cached prefix from one engine to another, which then prefills
+// the rest.
 type fetch struct {
-	from   *state
-	cached int           // tokens that the engine has then
-	takes  time.Duration // the transfer
-	work   time.Duration // to read the rest
+	from     *endpointState
+	cached   int           // tokens that the engine has cached after the fetch
+	transfer time.Duration // time of the transfer
+	work     time.Duration // time to prefill the rest
 }
 
-// bestFetch returns the fetch after which s has read pr first. It returns false if
-// no fetch is worth it.
-func (p *Planner) bestFetch(s *state, pr *Prompt, from sources, cached int, work time.Duration) (fetch, bool) {
+// bestFetch returns the fetch with which s completes the prefill of pr first. It returns false if s
+// is faster without a fetch.
+func (p *Planner) bestFetch(s *endpointState, pr *Prompt, from sources, cached int, work time.Duration) (fetch, bool) {
 	best := fetch{work: work}
 	for _, src := range []source{from.byZone[s.ep.Zone], from.any} {
-		if src.s == nil || src.s == s || src.tokens-cached < minShared {
+		if src.s == nil || src.s == s || src.tokens-cached < minSharedTokens {
 			continue
 		}
 		f := fetch{from: src.s, cached: src.tokens, work: p.workAfter(s, pr, src.tokens)}
-		f.takes = p.fetchTime(s.ep, src.s.ep, src.tokens-cached)
-		if f.takes+f.work < best.takes+best.work {
+		f.transfer = p.fetchTime(s.ep, src.s.ep, src.tokens-cached)
+		if f.transfer+f.work < best.transfer+best.work {
 			best = f
 		}
 	}
 	return best, best.from != nil
 }
 
-// fetchTime is the time to fetch tokens from one engine to another.
+// fetchTime returns the time to fetch the KV cache of tokens from one engine to another.
 func (p *Planner) fetchTime(to, from *catalog.Endpoint, tokens int) time.Duration {
-	perToken := p.perToken(to)
+	perToken := p.transferPerToken(to)
 	if to.Zone != from.Zone {
-		perToken *= otherZoneTransfer
+		perToken *= otherZoneTransferFactor
 	}
-	return fetchTime + time.Duration(tokens)*perToken
+	return fetchOverhead + time.Duration(tokens)*perToken
 }
--- a/internal/policy/place/health.go
+++ b/internal/policy/place/health.go
@@ -8,66 +8,66 @@
 	"fescuestand/internal/clock"
 )
 
-// The figures by which an endpoint is left out.
+// Parameters of outlier ejection.
 const (
-	// failWeight is the weight of one outcome in the failure rate.
-	failWeight = 0.15
-	// failMargin over its peers' median failure rate leaves an endpoint out.
-	// Plain services fail a share of their calls by themselves, all alike.
-	failMargin = 0.3
-	// inRow exchanges without an answer, and none with one between them, leave
-	// an endpoint out at once: it has crashed or can't be reached.
-	inRow = 2
-	// firstOut is the first time out, which doubles up to longestOut while the
-	// endpoint fails again: an endpoint that restarts is back within seconds.
-	firstOut   = 500 * time.Millisecond
-	longestOut = 4 * time.Second
-	// maxOutShare of the endpoints that do the same work may be left out; the load of the
-	// others grows to twice of theirs at most.
-	maxOutShare = 0.5
+	// failureWeight is the weight of the latest outcome in the failure rate.
+	failureWeight = 0.15
+	// failureRateMargin is how far an endpoint's failure rate may exceed the median of its peers
+	// before the endpoint is ejected. Plain services fail a share of their calls by themselves,
+	// which is the same at all endpoints.
+	failureRateMargin = 0.3
+	// maxConsecutiveFailures exchanges without an answer, and without a success between them, eject
+	// an endpoint at once: it has crashed or is unreachable.
+	maxConsecutiveFailures = 2
+	// firstEjection is the duration of the first ejection. The duration doubles up to maxEjection
+	// while the endpoint keeps failing. An endpoint that restarts is back within seconds.
+	firstEjection = 500 * time.Millisecond
+	maxEjection   = 4 * time.Second
+	// maxEjectedShare is the maximum share of the endpoints with the same work that may be ejected,
+	// so that the load of the others at most doubles.
+	maxEjectedShare = 0.5
 )
 
-// health is the record of an endpoint's outcomes.
+// health tracks an endpoint's outcomes.
 type health struct {
-	failures float64 // rate, weighted to the latest
-	row      int
-	outUntil clock.Time
-	outs     int
+	failureRate         float64 // exponentially weighted
+	consecutiveFailures int
+	ejectedUntil        clock.Time
+	ejections           int // since the last success
 }
 
-func (h *health) note(now clock.Time, o Outcome) {
+func (h *health) record(now clock.Time, o Outcome) {
 	switch o {
 	case Success:
-		h.failures -= failWeight * h.failures
-		h.row, h.outs = 0, 0
+		h.failureRate -= failureWeight * h.failureRate
+		h.consecutiveFailures, h.ejections = 0, 0
 	case ErrorAnswer:
-		h.fail()
+		h.countFailure()
 	case ExchangeFailed:
-		h.fail()
-		h.row++
-		if h.row >= inRow {
-			h.leave(now)
+		h.countFailure()
+		h.consecutiveFailures++
+		if h.consecutiveFailures >= maxConsecutiveFailures {
+			h.eject(now)
 		}
 	case Rejected, Ignored:
 	}
 }
 
-func (h *health) fail() { h.failures += failWeight * (1 - h.failures) }
+func (h *health) countFailure() { h.failureRate += failureWeight * (1 - h.failureRate) }
 
-func (h *health) leave(now clock.Time) {
-	if now < h.outUntil {
+func (h *health) eject(now clock.Time) {
+	if now < h.ejectedUntil {
 		return
 	}
-	h.outUntil = now.Add(min(firstOut<<min(h.outs, 4), longestOut))
-	h.outs++
+	h.ejectedUntil = now.Add(min(firstEjection<<min(h.ejections, 4), maxEjection))
+	h.ejections++
 }
 
-// within returns the states of the open endpoints that take a request now and that exclude
-// doesn't name.
-func (p *Planner) within(now clock.Time, open []*catalog.Endpoint, exclude map[string]bool) []*state {
-	all := make([]*state, 0, len(open))
+// eligible returns the states of the open endpoints that admit a request now and aren't in exclude.
+func (p *Planner) eligible(now clock.Time, open []*catalog.Endpoint, exclude map[string]bool) []*endpointState {
+	all := make([]*endpointState, 0, len(open))
 	for _, e := range open {
-		s := p.known[e.ID]
+		s := p.endpoints[e.ID]
 		if s != nil && !exclude[e.ID] && (p.Admits == nil || p.Admits(now, e)) {
 			all = append(all, s)
 		}
@@ -75,34 +75,35 @@
 	return all
 }
 
-// healthy returns those of all, which do the same work, that work may go to. When
-// too many would be left out all are returned: the fault is then elsewhere.
-func healthy(now clock.Time, all []*state) []*state {
-	limit := medianFailures(all) + failMargin
-	good := make([]*state, 0, len(all))
+// healthy returns the endpoints that aren't ejected. all must hold endpoints with the same work. If
+// more than maxEjectedShare of them would be ejected, healthy returns all: the fault is then
+// elsewhere.
+func healthy(now clock.Time, all []*endpointState) []*endpointState {
+	limit := medianFailureRate(all) + failureRateMargin
+	good := make([]*endpointState, 0, len(all))
 	for _, s := range all {
-		if now >= s.health.outUntil && s.health.failures <= limit {
+		if now >= s.health.ejectedUntil && s.health.failureRate <= limit {
 			good = append(good, s)
-		} else if now >= s.health.outUntil {
-			// The rate falls with time too, or an endpoint that is left out
-			// would never be tried again.
-			s.health.leave(now)
-			s.health.failures = limit
+		} else if now >= s.health.ejectedUntil {
+			// The failure rate is reset to the limit, as it doesn't fall without requests.
+			// Otherwise an ejected endpoint would never be tried again.
+			s.health.eject(now)
+			s.health.failureRate = limit
 		}
 	}
-	if float64(len(good)) < (1-maxOutShare)*float64(len(all)) {
+	if float64(len(good)) < (1-maxEjectedShare)*float64(len(all)) {
 		return all
 	}
 	return good
 }
 
-func medianFailures(list []*state) float64 {
+func medianFailureRate(list []*endpointState) float64 {
 	if len(list) == 0 {
 		return 0
 	}
 	rates := make([]float64, len(list))
 	for i, s := range list {
-		rates[i] = s.health.failures
+		rates[i] = s.health.failureRate
 	}
 	slices.Sort(rates)
 	return rates[len(rates)/2]
--- a/internal/policy/place/health_test.go
+++ b/internal/policy/place/health_test.go
@@ -9,81 +9,79 @@
 	"fescuestand/internal/clock"
 )
 
-// failing plays calls of a service with three endpoints, of which the first
-// fails a share of its calls, and returns how many callers met a failure.
-func failing(t *testing.T, share int, kind Outcome) (failures, calls int) {
+// simulateFailures sends calls to a service with three endpoints, the first of which fails percent
+// of its calls with the given outcome. It returns the number of failed calls.
+func simulateFailures(t *testing.T, percent int, outcome Outcome) (failures, calls int) {
 	t.Helper()
-	w := newWorld(t, engine("a", catalog.Whole), engine("b", catalog.Whole), engine("c", catalog.Whole))
+	c := newCluster(t, engine("a", catalog.Whole), engine("b", catalog.Whole), engine("c", catalog.Whole))
 	now := clock.Time(0)
 	for i := range 2000 {
 		now = now.Add(10 * ms)
-		e := w.p.ChooseEndpoint(now, w.open, nil)
-		tk := w.p.Begin(now, e, Job{})
+		e := c.p.ChooseEndpoint(now, c.open, nil)
+		tk := c.p.Begin(now, e, Job{})
 		o := Success
-		if e.ID == "a" && i*37%100 < share {
-			o = kind
+		if e.ID == "a" && i*37%100 < percent {
+			o = outcome
 			failures++
 		}
-		w.p.End(now, tk, o)
+		c.p.End(now, tk, o)
 	}
 	return failures, 2000
 }
 
-// One of three endpoints fails all its calls while its own health check is
-// good. A third of the callers would meet it.
-func TestAnEndpointThatFailsIsLeftOut(t *testing.T) {
-	for _, kind := range []Outcome{ErrorAnswer, ExchangeFailed} {
-		failures, calls := failing(t, 100, kind)
+// Guards against an endpoint that fails all its calls while its own health check succeeds: as one of
+// three, it would fail a third of the calls.
+func TestAFailingEndpointIsEjected(t *testing.T) {
+	for _, outcome := range []Outcome{ErrorAnswer, ExchangeFailed} {
+		failures, calls := simulateFailures(t, 100, outcome)
 		assert.Assert(t, failures < calls/20, "%d of %d", failures, calls)
 	}
 }
 
-// An endpoint answers one call in seven with a failure: that is how the service
-// is. Leaving endpoints out would only load the others.
-func TestAFewFailuresLeaveNobodyOut(t *testing.T) {
-	failures, calls := failing(t, 15, ErrorAnswer)
+// Guards against ejecting an endpoint that fails one call in seven, which is normal for the service:
+// ejection would only move load to the other endpoints.
+func TestAUsualFailureRateEjectsNoEndpoint(t *testing.T) {
+	failures, calls := simulateFailures(t, 15, ErrorAnswer)
 	assert.Assert(t, failures > calls/50, "%d of %d", failures, calls)
 }
 
 func TestWhenMostEndpointsFailAllAreTried(t *testing.T) {
-	w := newWorld(t, engine("a", catalog.Whole), engine("b", catalog.Whole))
-	for _, e := range w.open {
-		w.p.MarkStale(0, e)
+	c := newCluster(t, engine("a", catalog.Whole), engine("b", catalog.Whole))
+	for _, e := range c.open {
+		c.p.MarkStale(0, e)
 	}
-	assert.Assert(t, w.p.ChooseEndpoint(0, w.open, nil) != nil)
-	assert.Assert(t, w.p.ChooseEndpoint(0, w.open, map[string]bool{"a": true, "b": true}) == nil)
+	assert.Assert(t, c.p.ChooseEndpoint(0, c.open, nil) != nil)
+	assert.Assert(t, c.p.ChooseEndpoint(0, c.open, map[string]bool{"a": true, "b": true}) == nil)
 }
 
-// Five engines prefill and one decodes, after the others were lost. Two streams in a
-// row break off at it, as its callers' connections are cut. Left out as one bad
-// engine of six, it left every prompt without an engine to run at, and callers were
-// refused while it was idle.
-func TestTheLastDecodeEngineIsNotLeftOut(t *testing.T) {
-	w := newWorld(t, split(5, 1)...)
-	for range 2 * inRow {
-		w.p.End(0, w.p.Begin(0, w.open[0], Job{}), ExchangeFailed)
+// Guards against ejecting the last decode engine, next to five prefill engines, after two streams
+// in a row broke off at it because their callers' connections were cut. When it was ejected as one
+// of six engines, no prompt could be placed, and callers were refused while it was idle.
+func TestTheLastDecodeEngineIsNotEjected(t *testing.T) {
+	c := newCluster(t, split(5, 1)...)
+	for range 2 * maxConsecutiveFailures {
+		c.p.End(0, c.p.Begin(0, c.open[0], Job{}), ExchangeFailed)
 	}
-	assert.Equal(t, w.open[0].Stage, catalog.Decode)
-	assert.Equal(t, w.plan(t, 0, prompt(1, 5000, 7000)).Engine.ID, w.open[0].ID)
-	assert.Equal(t, w.p.ChooseDecodeEngine(0, w.open, w.open[1], nil).ID, w.open[0].ID)
+	assert.Equal(t, c.open[0].Stage, catalog.Decode)
+	assert.Equal(t, c.plan(t, 0, prompt(1, 5000, 7000)).Engine.ID, c.open[0].ID)
+	assert.Equal(t, c.p.ChooseDecodeEngine(0, c.open, c.open[1], nil).ID, c.open[0].ID)
 }
 
-// An engine answers that it isn't the one that is asked for: it has restarted,
-// and the entries don't show it yet. Asked again by each request, each would be
-// turned away.
-func TestAnEngineThatMovedIsLeftOutForAWhile(t *testing.T) {
-	w := newWorld(t, split(0, 3)...)
-	moved := w.plan(t, 0, prompt(1, 100, 100)).Engine
-	w.p.MarkStale(0, moved)
-	assert.Assert(t, w.plan(t, 0, prompt(1, 100, 100)).Engine.ID != moved.ID)
+// Guards against sending every request to an engine that rejects them as meant for another process:
+// it has restarted, and its catalog entry doesn't show that yet.
+func TestAStaleEngineIsEjectedForAWhile(t *testing.T) {
+	c := newCluster(t, split(0, 3)...)
+	stale := c.plan(t, 0, prompt(1, 100, 100)).Engine
+	c.p.MarkStale(0, stale)
+	assert.Assert(t, c.plan(t, 0, prompt(1, 100, 100)).Engine.ID != stale.ID)
 }
 
-func TestCallsGoToTheLeastLoaded(t *testing.T) {
-	w := newWorld(t, engine("a", catalog.Whole), engine("b", catalog.Whole))
-	a := w.p.ChooseEndpoint(0, w.open, nil)
-	w.p.Begin(0, a, Job{})
-	b := w.p.ChooseEndpoint(0, w.open, nil)
+func TestCallsGoToTheLeastLoadedEndpoint(t *testing.T) {
+	c := newCluster(t, engine("a", catalog.Whole), engine("b", catalog.Whole))
+	a := c.p.ChooseEndpoint(0, c.open, nil)
+	c.p.Begin(0, a, Job{})
+	b := c.p.ChooseEndpoint(0, c.open, nil)
 	assert.Assert(t, a.ID != b.ID)
-	w.p.ReceiveReport(0, "peer", []Report{{Endpoint: Key(b.ID), Running: 5}}, Demand{})
-	assert.Equal(t, w.p.ChooseEndpoint(0, w.open, nil).ID, a.ID)
+	c.p.ReceiveReport(0, "peer", []Report{{Endpoint: Key(b.ID), Running: 5}}, Demand{})
+	assert.Equal(t, c.p.ChooseEndpoint(0, c.open, nil).ID, a.ID)
 }
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -1,26 +1,25 @@
-// Package place chooses the endpoints of requests: for a model request, whether
-// one engine prefills and another decodes or one does both, and which; for a
-// call of a plain service, which endpoint.
+// Package place chooses endpoints for requests. For a model request it decides whether one engine
+// prefills and another one decodes or one engine does both, and which engines these are. For a call
+// of a plain service it chooses the endpoint.
 //
-// Load pattern: a fixed set of engines, some of which prefill at full and
-// others at half speed, takes prompts whose length is heavy-tailed and whose
-// first parts are shared by many requests. An engine prefills in order of
-// arrival: a more urgent prompt doesn't overtake one that has begun. Several VMs
-// send to the same engines. Sent blindly, a short question waits behind a prompt
-// of 50,000 tokens, a shared part is prefilled again by each engine in turn, and
-// decode engines slow the tokens of all their streams by prefilling.
+// Load pattern: a fixed set of engines, some of which prefill at full and others at half speed,
+// serves prompts with a heavy-tailed length whose first parts are shared by many requests. An
+// engine prefills in order of arrival: a more urgent prompt doesn't overtake one that has started.
+// Several VMs send requests to the same engines. Without predictions, a short question waits behind
+// a prompt of 50,000 tokens, each engine prefills the same shared parts, and decode engines delay
+// the tokens of all their streams by prefilling.
 //
-// So a plan is the choice with the earliest predicted first event, plus what it
-// costs those who come after. The prediction adds the prefill work that is
-// outstanding at the engine, by this VM's own count and by what the other VMs
-// told last, to the time for the part of the prompt that the engine isn't
-// believed to have cached, or for fetching that from an engine which has it. How
-// fast the engines of a service are is learned from their answers (package speed).
-// Where a prompt's shared part is cached nowhere, all VMs favour the same engine
-// for it.
+// Approach: the planner chooses the plan with the earliest predicted first event, plus the plan's
+// cost to other requests. The prediction is the sum of
+//   - the prefill work that is outstanding at the engine, by this VM's own count and the last
+//     reports of the other VMs, and
+//   - the time to prefill what the engine doesn't have cached by this VM's estimate, or to fetch
+//     that from an engine that has it.
 //
-// The package does no I/O and reads no clock. A Planner is safe for concurrent
-// use.
+// The speed of a service's engines is estimated from their answers (package speed). If a prompt's
+// shared part is cached nowhere, all VMs prefer the same engine for it.
+//
+// The package does no I/O and reads no clock. A Planner is safe for concurrent use.
 package place
 
 import (
@@ -34,110 +33,111 @@
 )
 
 const (
-	// usualTransfer is assumed for one token's KV cache where the configuration
-	// doesn't say.
-	usualTransfer = 400 * time.Nanosecond
-	// zoneTime is what an exchange with another availability zone adds.
-	zoneTime = 3 * time.Millisecond
-	// peerStale is the age from which a peer's figures are ignored: ten of
-	// its reports are missing.
-	peerStale = 2 * time.Second
+	// defaultTransferPerToken is the assumed time to transfer one token's KV cache if the
+	// configuration doesn't specify it.
+	defaultTransferPerToken = 400 * time.Nanosecond
+	// otherZoneTime is the time that an exchange with another availability zone adds.
+	otherZoneTime = 3 * time.Millisecond
+	// maxPeerReportAge is the age from which a peer's report is ignored: ten of its reports are
+	// missing then.
+	maxPeerReportAge = 2 * time.Second
 )
 
-// Part is one piece of a prompt.
+// Part is a part of a prompt. Prompts share it if its ID is the same.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Prompt is what placement needs to know of a model request.
+// Prompt is the data of a model request that placement uses.
 type Prompt struct {
-	Parts  []Part // in order; the last one is the request's own
+	Parts  []Part // in order; the last one belongs to this request alone
 	Tokens int    // of the whole prompt
 }
 
-// Planner holds one VM's beliefs about the endpoints.
+// Planner places one VM's requests. It holds the VM's estimates of the endpoints' load, caches and
+// health.
 type Planner struct {
-	// Admits tells whether an endpoint takes a request now. It is set before the first use;
-	// all do if it is nil.
+	// Admits reports whether an endpoint takes a request now. It must be set before the first use;
+	// if it is nil, all endpoints do.
 	Admits func(now clock.Time, e *catalog.Endpoint) bool
 
 	zone string
 
-	mu    sync.Mutex
-	seed  uint64
-	known map[string]*state
-	keys  map[uint32]string // ids of the known endpoints by their Key
-	peers map[string]peerReport
-	meter meter
+	mu        sync.Mutex
+	seed      uint64
+	endpoints map[string]*endpointState // by ID
+	keys      map[uint32]string         // IDs of the endpoints by their Key
+	peers     map[string]peerReport
+	meter     demandMeter
 
-	engines map[string]catalog.Engine // by service, as the configuration has them
+	engines map[string]catalog.Engine // configuration by service
 	speeds  speeds
 }
 
-// New returns a planner for a VM in zone. Planners of different VMs take
-// different seeds, so that ties are broken differently.
+// New returns a planner for a VM in zone. The planners of different VMs must have different seeds,
+// so that they break ties differently.
 func New(zone string, seed uint64) *Planner {
 	return &Planner{
-		zone: zone, seed: seed, known: map[string]*state{}, peers: map[string]peerReport{}, speeds: speeds{},
+		zone: zone, seed: seed, endpoints: map[string]*endpointState{}, peers: map[string]peerReport{}, speeds: speeds{},
 	}
 }
 
-// state is what is believed of one endpoint.
-type state struct {
-	ep      *catalog.Endpoint
-	hash    uint64               // of its id
-	jobs    map[*Ticket]struct{} // prefills sent and not finished
-	running int                  // this VM's exchanges that have not ended
-	speed   float64              // prefill time over that of its service's engines
-	cache   cache
-	health  health
-	load    reportedLoad
+// endpointState is the estimated state of one endpoint.
+type endpointState struct {
+	ep       *catalog.Endpoint
+	hash     uint64               // of its ID
+	prefills map[*Ticket]struct{} // that were sent and haven't finished
+	running  int                  // this VM's exchanges that haven't ended
+	slowness float64              // ratio of its prefill time to that of its service's engines
+	cache    cache
+	health   health
+	load     reportedLoad
 }
 
-func newState(e *catalog.Endpoint) *state {
-	return &state{ep: e, hash: hashOf(e.ID), speed: 1, cache: newCache(0), jobs: map[*Ticket]struct{}{}}
+func newEndpointState(e *catalog.Endpoint) *endpointState {
+	return &endpointState{ep: e, hash: hashOf(e.ID), slowness: 1, cache: newCache(0), prefills: map[*Ticket]struct{}{}}
 }
 
-// reportedLoad is what an endpoint said of itself with an answer.
+// reportedLoad is the number of requests that an endpoint reported with an answer.
 type reportedLoad struct {
 	requests int
 	at       clock.Time
 }
 
-// SetView takes the endpoints of a view. What is believed of an endpoint ends
-// with its process.
+// SetView sets the endpoints and the configuration to those of v. The state of an endpoint is
+// discarded when its process is replaced by another one.
 func (p *Planner) SetView(v *catalog.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := make(map[string]*state, len(v.All()))
+	next := make(map[string]*endpointState, len(v.All()))
 	p.engines = enginesOf(v)
 	for _, e := range v.All() {
-		s := p.known[e.ID]
+		s := p.endpoints[e.ID]
 		if s == nil || s.ep.Born != e.Born || s.ep.Address != e.Address {
-			s = newState(e)
+			s = newEndpointState(e)
 		}
 		s.ep = e
 		s.cache.resize(p.engines[e.Service].CacheTokens)
 		next[e.ID] = s
 	}
-	p.known = next
+	p.endpoints = next
 	p.keys = make(map[uint32]string, len(next))
 	for id, s := range next {
 		p.keys[s.key()] = id
 	}
 }
 
-// Key is a short name of an endpoint for messages. Two endpoints share one once
-// in a million deployments of a hundred, which makes a view less exact.
+// Key returns a short identifier of an endpoint for messages between VMs. Two endpoints have the
+// same one in one of a million deployments of a hundred endpoints; the estimates are then less
+// exact.
 func Key(id string) uint32 { return uint32(hashOf(id)) }
 
 func hashOf(id string) uint64 { return xxhash.Sum64String(id) }
 
-// key is the endpoint's Key.
-func (s *state) key() uint32 { return uint32(s.hash) }
+func (s *endpointState) key() uint32 { return uint32(s.hash) }
 
-// enginesOf returns what the configuration says of the engines of each service.
+// enginesOf returns the engine configuration of each service.
 func enginesOf(v *catalog.View) map[string]catalog.Engine {
 	out := map[string]catalog.Engine{}
 	if v.Config == nil {
@@ -151,49 +151,49 @@
 	return out
 }
 
-// transfer is the time to hand a prompt's KV cache over to e.
-func (p *Planner) transfer(e *catalog.Endpoint, tokens int) time.Duration {
-	return p.speeds.of(e.Service).handOver.Value() + time.Duration(tokens)*p.perToken(e)
+// transferTime returns the predicted time to transfer a prompt's KV cache to e.
+func (p *Planner) transferTime(e *catalog.Endpoint, tokens int) time.Duration {
+	return p.speeds.of(e.Service).handoff.Value() + time.Duration(tokens)*p.transferPerToken(e)
 }
 
-// perToken is the time in which one token's KV cache goes to e within its zone.
-func (p *Planner) perToken(e *catalog.Endpoint) time.Duration {
+// transferPerToken returns the time to transfer one token's KV cache to e within its zone.
+func (p *Planner) transferPerToken(e *catalog.Endpoint) time.Duration {
 	if t := p.engines[e.Service].TokenTransfer; t > 0 {
 		return t
 	}
-	return usualTransfer
+	return defaultTransferPerToken
 }
 
-// wait is the predicted time until a prompt that is sent now starts at s: the
-// whole work of all prefills that haven't been answered, as an engine that is
-// slower than predicted shows only by their number, less the work that is done
-// and whose answers are under way.
-func (p *Planner) wait(now clock.Time, s *state) time.Duration {
+// wait returns the predicted time until a prompt that is sent now starts at s. It counts the full
+// work of each unanswered prefill, however long ago it was sent: if an engine is slower than
+// predicted, only the number of its unanswered prefills shows it. The fixed time is subtracted for
+// prefills that are done and whose answers are on their way.
+func (p *Planner) wait(now clock.Time, s *endpointState) time.Duration {
 	return max(s.outstanding()+p.peerWork(now, s.key())-p.fixed(s), 0)
 }
 
-// outstanding is the work that this VM has sent to s and that isn't answered.
-func (s *state) outstanding() time.Duration {
+// outstanding returns the prefill work that this VM has sent to s and that s hasn't answered.
+func (s *endpointState) outstanding() time.Duration {
 	var sum time.Duration
-	for t := range s.jobs {
+	for t := range s.prefills {
 		sum += t.job.Work
 	}
 	return sum
 }
 
-// work is the predicted time of a prefill at s.
-func (p *Planner) work(s *state, pr *Prompt) (t time.Duration, cached int) {
-	cached = s.cache.prefix(pr.Parts)
+// work returns the predicted time of a prefill at s, and the number of tokens that s has cached.
+func (p *Planner) work(s *endpointState, pr *Prompt) (t time.Duration, cached int) {
+	cached = s.cache.prefixTokens(pr.Parts)
 	return p.workAfter(s, pr, cached), cached
 }
 
-// workAfter is the predicted time to prefill what follows the cached tokens of pr.
-func (p *Planner) workAfter(s *state, pr *Prompt, cached int) time.Duration {
-	f := p.speeds.figures(s.ep)
-	return time.Duration(float64(f.Work(max(pr.Tokens-cached, 1), cached)) * s.speed)
+// workAfter returns the predicted time to prefill what follows the cached tokens of pr.
+func (p *Planner) workAfter(s *endpointState, pr *Prompt, cached int) time.Duration {
+	c := p.speeds.coefficients(s.ep)
+	return time.Duration(float64(c.Work(max(pr.Tokens-cached, 1), cached)) * s.slowness)
 }
 
-// SharedTokens is the length of the parts that other prompts may share.
+// SharedTokens returns the total length of the parts that other prompts may share.
 func (pr *Prompt) SharedTokens() int {
 	n := 0
 	for i := range len(pr.Parts) - 1 {
@@ -202,7 +202,7 @@
 	return n
 }
 
-// sharedID identifies the longest shared prefix; zero if there is none.
+// sharedID returns an identifier of the longest shared prefix, or zero if there is none.
 func sharedID(parts []Part) uint64 {
 	if len(parts) < 2 {
 		return 0
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -14,8 +14,8 @@
 
 const ms = time.Millisecond
 
-// world is a fleet with one planner.
-type world struct {
+// cluster holds the endpoints of a service and one VM's planner.
+type cluster struct {
 	p    *Planner
 	open []*catalog.Endpoint
 }
@@ -24,24 +24,24 @@
 	return &catalog.Endpoint{ID: id, Service: "labels", Address: id + ":1", Zone: "z", Stage: s, Slots: 96}
 }
 
-func newWorld(t *testing.T, endpoints ...*catalog.Endpoint) *world {
+func newCluster(t *testing.T, endpoints ...*catalog.Endpoint) *cluster {
 	t.Helper()
-	return newWorldOf(t, catalog.Engine{CacheTokens: 900_000}, endpoints...)
+	return newClusterOf(t, catalog.Engine{CacheTokens: 900_000}, endpoints...)
 }
 
-// newWorldOf is newWorld with engines as they are declared.
-func newWorldOf(t *testing.T, e catalog.Engine, endpoints ...*catalog.Endpoint) *world {
+// newClusterOf returns a cluster whose service has the engine configuration e.
+func newClusterOf(t *testing.T, e catalog.Engine, endpoints ...*catalog.Endpoint) *cluster {
 	t.Helper()
-	c := clock.Manual{}
-	s := catalog.NewStore(&c)
+	manual := clock.Manual{}
+	s := catalog.NewStore(&manual)
 	s.SetConfig(catalog.NewConfig(1, nil, []*catalog.Service{{Name: "labels", Engine: &e}}))
 	for _, e := range endpoints {
 		s.SetEndpoint(e)
 	}
-	w := &world{p: New("z", 1)}
-	w.p.SetView(s.View())
-	w.open = s.View().Open("labels")
-	return w
+	c := &cluster{p: New("z", 1)}
+	c.p.SetView(s.View())
+	c.open = s.View().Open("labels")
+	return c
 }
 
 func split(prefill, decode int) []*catalog.Endpoint {
@@ -59,133 +59,133 @@
 	return &Prompt{Parts: []Part{{shared, sharedTokens}, {shared + 1_000_000, own}}, Tokens: sharedTokens + own}
 }
 
-func (w *world) plan(t *testing.T, now clock.Time, pr *Prompt) Plan {
+func (c *cluster) plan(t *testing.T, now clock.Time, pr *Prompt) Plan {
 	t.Helper()
-	plan, ok := w.p.Plan(now, w.open, pr, nil)
+	plan, ok := c.p.Plan(now, c.open, pr, nil)
 	assert.Assert(t, ok)
 	return plan
 }
 
-func TestALongPromptIsPrefilledApart(t *testing.T) {
-	w := newWorld(t, split(2, 2)...)
-	plan := w.plan(t, 0, prompt(1, 5000, 7000))
+func TestALongPromptIsPrefilledAtAPrefillEngine(t *testing.T) {
+	c := newCluster(t, split(2, 2)...)
+	plan := c.plan(t, 0, prompt(1, 5000, 7000))
 	assert.Assert(t, plan.Prefill != nil)
 	assert.Equal(t, plan.Engine.Stage, catalog.Decode)
 }
 
-func TestAShortPromptSparesTheHandOver(t *testing.T) {
-	w := newWorld(t, split(2, 2)...)
-	plan := w.plan(t, 0, prompt(1, 100, 200))
+func TestAShortPromptIsPrefilledAtItsDecodeEngine(t *testing.T) {
+	c := newCluster(t, split(2, 2)...)
+	plan := c.plan(t, 0, prompt(1, 100, 200))
 	assert.Assert(t, plan.Prefill == nil)
 }
 
-// One decode engine is left, with sixty streams. It still read the short prompts by
-// itself, so that all streams stood still for each of them, took longer, and became
-// more: callers left streams that no longer moved, while prefill engines were idle.
-func TestABusyDecodeEngineReadsNoPrompts(t *testing.T) {
-	w := newWorld(t, split(3, 1)...)
-	assert.Assert(t, w.plan(t, 0, prompt(1, 100, 200)).Prefill == nil, "an idle one does")
+// Guards against prefilling short prompts at the last decode engine while it runs sixty streams.
+// All streams stalled for each prompt, took longer and became more, and callers abandoned stalled
+// streams while prefill engines were idle.
+func TestABusyDecodeEngineIsNotUsedForPrefills(t *testing.T) {
+	c := newCluster(t, split(3, 1)...)
+	assert.Assert(t, c.plan(t, 0, prompt(1, 100, 200)).Prefill == nil, "an idle decode engine prefills")
 	for range 60 {
-		w.p.Begin(0, w.open[0], Job{})
+		c.p.Begin(0, c.open[0], Job{})
 	}
-	assert.Equal(t, w.open[0].Stage, catalog.Decode)
-	assert.Assert(t, w.plan(t, 0, prompt(1, 100, 200)).Prefill != nil)
+	assert.Equal(t, c.open[0].Stage, catalog.Decode)
+	assert.Assert(t, c.plan(t, 0, prompt(1, 100, 200)).Prefill != nil)
 }
 
-func TestWithoutPrefillEnginesDecodeEnginesDoTheWhole(t *testing.T) {
-	w := newWorld(t, split(0, 2)...)
-	plan := w.plan(t, 0, prompt(1, 5000, 7000))
+func TestWithoutPrefillEnginesDecodeEnginesPrefill(t *testing.T) {
+	c := newCluster(t, split(0, 2)...)
+	plan := c.plan(t, 0, prompt(1, 5000, 7000))
 	assert.Assert(t, plan.Prefill == nil)
-	_, ok := newWorld(t, split(2, 0)...).p.Plan(0, w.open[:0], prompt(1, 1, 1), nil)
+	_, ok := newCluster(t, split(2, 0)...).p.Plan(0, c.open[:0], prompt(1, 1, 1), nil)
 	assert.Assert(t, !ok)
 }
 
-// Seven VMs get prompts with the same shared part. Each reading it at another
-// engine would have it prefilled seven times, and take the memory of seven
-// engines for it.
+// Guards against seven VMs that choose seven engines for prompts with the same shared part: it
+// would be prefilled seven times and occupy the memory of seven engines.
 func TestAllVMsPreferOneEngineForASharedPart(t *testing.T) {
 	for shared := range uint64(20) {
 		chosen := map[string]bool{}
 		for seed := range uint64(7) {
-			w := newWorld(t, split(6, 6)...)
-			w.p.seed = seed
-			chosen[w.plan(t, 0, prompt(shared, 5000, 5000)).Prefill.ID] = true
+			c := newCluster(t, split(6, 6)...)
+			c.p.seed = seed
+			chosen[c.plan(t, 0, prompt(shared, 5000, 5000)).Prefill.ID] = true
 		}
 		assert.Equal(t, len(chosen), 1, "shared part %d", shared)
 	}
 }
 
-func TestACachedPartDrawsItsPrompts(t *testing.T) {
-	w := newWorld(t, split(6, 2)...)
+func TestAPromptGoesToTheEngineWithItsCachedPart(t *testing.T) {
+	c := newCluster(t, split(6, 2)...)
 	pr := prompt(1, 5000, 5000)
-	first := w.plan(t, 0, pr)
+	first := c.plan(t, 0, pr)
 	other := "p0"
 	if first.Prefill.ID == other {
 		other = "p1"
 	}
-	w.p.RecordCached(Key(other), pr.Parts)
+	c.p.RecordCached(Key(other), pr.Parts)
 	next := &Prompt{Parts: []Part{{1, 5000}, {99, 3000}}, Tokens: 8000}
-	plan := w.plan(t, 0, next)
+	plan := c.plan(t, 0, next)
 	assert.Equal(t, plan.Prefill.ID, other)
 	assert.Equal(t, plan.CachedTokens, 5000)
 }
 
-// One shared part is asked for by every second caller. Held to its engine
-// whatever the queue, all of them would wait there while the others idle.
+// Guards against a shared part that every second request has in common and that keeps all of them
+// at the engine that has it cached, however long its queue is, while the other engines are idle.
 func TestAHotSharedPartSpreadsWhenItsEngineIsFull(t *testing.T) {
-	w := newWorld(t, split(4, 4)...)
+	c := newCluster(t, split(4, 4)...)
 	used := map[string]int{}
 	for i := range 40 {
 		pr := prompt(1, 5000, 5000)
-		plan := w.plan(t, 0, pr)
+		plan := c.plan(t, 0, pr)
 		assert.Assert(t, plan.Wait < 800*ms, "prompt %d waits %s", i, plan.Wait)
 		e := plan.Engine
 		if plan.Prefill != nil {
 			e = plan.Prefill
 		}
 		used[e.ID]++
-		w.p.Begin(0, e, Job{Work: plan.Work})
+		c.p.Begin(0, e, Job{Work: plan.Work})
 	}
 	assert.Assert(t, len(used) >= 4, "%v", used)
 }
 
-// One of many engines has a shared part of 5,400 tokens cached, with a queue of 150
-// ms, and others are idle, but can't fetch it. Sent to these, a third of all shared
-// parts are read again within seconds, and the time for it is missing in the next
-// burst. Of a few engines each has it cached soon, and waiting for one costs more.
+// Guards against prefilling cached parts again at idle engines. One of many engines has a shared
+// part of 5,400 tokens cached and a queue of 150 ms; the others are idle but can't fetch the part.
+// If its prompts went to these, a third of all shared parts would be prefilled again within
+// seconds, and that time would be missing in the next burst. With only a few engines each soon has
+// the part cached, and waiting costs more.
 func TestAPromptWaitsForTheEngineThatHasItCached(t *testing.T) {
 	for engines, want := range map[int]time.Duration{3: 50 * ms, 20: 200 * ms} {
-		w := newWorld(t, split(engines, engines)...)
-		w.p.speeds.of("labels").prefill = speed.New(speed.Coefficients{Fixed: 31 * ms, PerToken: 8130 * time.Nanosecond, PerPair: 0.109})
-		first := w.plan(t, 0, prompt(1, 5400, 6600))
+		c := newCluster(t, split(engines, engines)...)
+		c.p.speeds.of("labels").prefill = speed.New(speed.Coefficients{Fixed: 31 * ms, PerToken: 8130 * time.Nanosecond, PerPair: 0.109})
+		first := c.plan(t, 0, prompt(1, 5400, 6600))
 		holder := first.Prefill
-		w.p.PrefillDone(0, w.p.Begin(0, holder, Job{Work: first.Work}), prompt(1, 5400, 6600).Parts)
+		c.p.PrefillDone(0, c.p.Begin(0, holder, Job{Work: first.Work}), prompt(1, 5400, 6600).Parts)
 		next := &Prompt{Parts: []Part{{1, 5400}, {99, 6000}}, Tokens: 11_400}
 		chosen := func() string {
-			o, ok := w.p.best(0, w.p.candidates(0, w.open, nil).prefill, next, sources{})
+			o, ok := c.p.best(0, c.p.candidates(0, c.open, nil).prefill, next, sources{})
 			assert.Assert(t, ok)
 			return o.s.ep.ID
 		}
 		waited := time.Duration(0)
-		w.p.Begin(0, holder, Job{Work: priorPrefill.Fixed})
+		c.p.Begin(0, holder, Job{Work: priorPrefill.Fixed})
 		for chosen() == holder.ID {
 			waited += 10 * ms
-			w.p.Begin(0, holder, Job{Work: 10 * ms})
+			c.p.Begin(0, holder, Job{Work: 10 * ms})
 		}
 		assert.Assert(t, waited > want && waited < want+100*ms, "%d engines: a queue of %s", engines, waited)
 	}
 }
 
-// An engine that has a manual of 13,000 tokens cached has a queue of half a second.
-// Its next question waited there, or the manual was read again at an idle engine for
-// a tenth of a second, while the idle engine could have had it in a fiftieth.
+// Guards against not fetching. An engine with a cached manual of 13,000 tokens has a queue of half
+// a second. The next question either waited there, or an idle engine took a tenth of a second to
+// prefill the manual again, which it could fetch in a fiftieth.
 func TestAnIdleEngineFetchesWhatABusyOneHas(t *testing.T) {
-	w := newWorld(t, split(3, 3)...)
-	w.p.RecordCached(Key("p1"), prompt(1, 13_000, 2000).Parts)
+	c := newCluster(t, split(3, 3)...)
+	c.p.RecordCached(Key("p1"), prompt(1, 13_000, 2000).Parts)
 	question := &Prompt{Parts: []Part{{1, 13_000}, {99, 2000}}, Tokens: 15_000}
-	assert.Assert(t, w.plan(t, 0, question).Source == nil, "the engine itself is idle")
-	w.p.Begin(0, w.p.known["p1"].ep, Job{Work: 500 * ms})
-	plan := w.plan(t, 0, question)
+	assert.Assert(t, c.plan(t, 0, question).Source == nil, "the engine itself is idle")
+	c.p.Begin(0, c.p.endpoints["p1"].ep, Job{Work: 500 * ms})
+	plan := c.plan(t, 0, question)
 	assert.Assert(t, plan.Prefill.ID != "p1")
 	assert.Equal(t, plan.Source.ID, "p1")
 	assert.Equal(t, plan.CachedTokens, 13_000)
@@ -193,117 +193,115 @@
 	assert.Assert(t, plan.Work < 40*ms, "%s", plan.Work)
 }
 
-// Two engines have a part cached, one of them in the zone of the engine that lacks
-// it. A transfer between zones takes twice as long.
+// Guards against fetching a part from another zone, which takes twice as long, while an engine in
+// the same zone has it cached as well.
 func TestPartsAreFetchedWithinTheZone(t *testing.T) {
 	far, near, idle := engine("p0", catalog.Prefill), engine("p1", catalog.Prefill), engine("p2", catalog.Prefill)
 	far.Zone = "elsewhere"
-	w := newWorld(t, far, near, idle, engine("d0", catalog.Decode))
+	c := newCluster(t, far, near, idle, engine("d0", catalog.Decode))
 	for _, e := range []*catalog.Endpoint{far, near} {
-		w.p.RecordCached(Key(e.ID), prompt(1, 13_000, 2000).Parts)
-		w.p.Begin(0, e, Job{Work: 500 * ms})
+		c.p.RecordCached(Key(e.ID), prompt(1, 13_000, 2000).Parts)
+		c.p.Begin(0, e, Job{Work: 500 * ms})
 	}
-	plan := w.plan(t, 0, &Prompt{Parts: []Part{{1, 13_000}, {99, 2000}}, Tokens: 15_000})
+	plan := c.plan(t, 0, &Prompt{Parts: []Part{{1, 13_000}, {99, 2000}}, Tokens: 15_000})
 	assert.Equal(t, plan.Prefill.ID, "p2")
 	assert.Equal(t, plan.Source.ID, "p1")
 }
 
-// A prompt of 50,000 tokens is under way at an engine. A question that went there
-// would wait for half a second behind it.
+// Guards against sending a question to an engine that prefills a prompt of 50,000 tokens: it would
+// wait for half a second.
 func TestAQuestionAvoidsTheEngineOfALongPrompt(t *testing.T) {
-	w := newWorld(t, split(2, 2)...)
+	c := newCluster(t, split(2, 2)...)
 	long := prompt(1, 1000, 49_000)
-	plan := w.plan(t, 0, long)
-	w.p.Begin(0, plan.Prefill, Job{Work: plan.Work})
+	plan := c.plan(t, 0, long)
+	c.p.Begin(0, plan.Prefill, Job{Work: plan.Work})
 	for i := range uint64(10) {
-		q := w.plan(t, 0, prompt(100+i, 1000, 2000))
+		q := c.plan(t, 0, prompt(100+i, 1000, 2000))
 		if q.Prefill != nil {
 			assert.Assert(t, q.Prefill.ID != plan.Prefill.ID)
 		}
 	}
 }
 
-// Another VM has just sent a long prompt to an engine. Its load would show here
-// only when this VM's own prompts come late.
-func TestPeersWorkCounts(t *testing.T) {
-	w := newWorld(t, split(2, 2)...)
+// Guards against ignoring the prompts of other VMs. Without a peer's report, a long prompt that it
+// sent to an engine would show only when this VM's own prompts are late.
+func TestPeerReportsCountAsLoad(t *testing.T) {
+	c := newCluster(t, split(2, 2)...)
 	pr := prompt(1, 5000, 5000)
-	first := w.plan(t, 0, pr).Prefill.ID
-	w.p.ReceiveReport(0, "peer", []Report{{Endpoint: Key(first), PendingWork: 2 * time.Second}}, Demand{})
-	assert.Assert(t, w.plan(t, 0, pr).Prefill.ID != first)
-	assert.Equal(t, w.plan(t, clock.Time(peerStale+ms), pr).Prefill.ID, first, "a report that is too old")
+	first := c.plan(t, 0, pr).Prefill.ID
+	c.p.ReceiveReport(0, "peer", []Report{{Endpoint: Key(first), PendingWork: 2 * time.Second}}, Demand{})
+	assert.Assert(t, c.plan(t, 0, pr).Prefill.ID != first)
+	assert.Equal(t, c.plan(t, clock.Time(maxPeerReportAge+ms), pr).Prefill.ID, first, "the report is too old")
 }
 
-// An engine takes three times as long as predicted, and its backlog grows.
-// Believed to have been worked off after the predicted time, it would be sent
-// more while its callers wait for half a second.
+// Guards against sending more prompts to an engine that takes three times as long as predicted. If
+// its backlog counted as processed after the predicted time, callers would wait for half a second.
 func TestABacklogCountsUntilItIsAnswered(t *testing.T) {
-	w := newWorld(t, split(1, 1)...)
-	e := w.open[1]
+	c := newCluster(t, split(1, 1)...)
+	e := c.open[1]
 	var tickets []*Ticket
 	for range 5 {
-		tickets = append(tickets, w.p.Begin(0, e, Job{Work: 100 * ms}))
+		tickets = append(tickets, c.p.Begin(0, e, Job{Work: 100 * ms}))
 	}
 	later := clock.Time(2 * time.Second)
-	assert.Equal(t, w.p.wait(later, w.p.known[e.ID]), 500*ms-priorDecode.Fixed)
+	assert.Equal(t, c.p.wait(later, c.p.endpoints[e.ID]), 500*ms-priorDecode.Fixed)
 	for _, tk := range tickets {
-		w.p.PrefillDone(later, tk, nil)
-		w.p.End(later, tk, Success)
-		w.p.End(later, tk, Success)
+		c.p.PrefillDone(later, tk, nil)
+		c.p.End(later, tk, Success)
+		c.p.End(later, tk, Success)
 	}
-	assert.Equal(t, w.p.wait(later, w.p.known[e.ID]), time.Duration(0))
-	assert.Equal(t, w.p.Running(e.ID), 0)
+	assert.Equal(t, c.p.wait(later, c.p.endpoints[e.ID]), time.Duration(0))
+	assert.Equal(t, c.p.Running(e.ID), 0)
 }
 
-func TestSpeedIsNotLearnedFromWaits(t *testing.T) {
-	w := newWorld(t, split(1, 1)...)
-	e := w.open[1]
-	s := w.p.known[e.ID]
-	first := w.p.Begin(0, e, Job{Work: 50 * ms})
-	second := w.p.Begin(0, e, Job{Work: 50 * ms})
-	w.p.PrefillDone(clock.Time(100*ms+priorDecode.Fixed), first, nil)
-	assert.Assert(t, s.speed > 1, "an engine that took twice as long")
-	learned := s.speed
-	w.p.PrefillDone(clock.Time(800*ms), second, nil)
-	assert.Equal(t, s.speed, learned)
+func TestSlownessIsNotEstimatedFromWaits(t *testing.T) {
+	c := newCluster(t, split(1, 1)...)
+	e := c.open[1]
+	s := c.p.endpoints[e.ID]
+	first := c.p.Begin(0, e, Job{Work: 50 * ms})
+	second := c.p.Begin(0, e, Job{Work: 50 * ms})
+	c.p.PrefillDone(clock.Time(100*ms+priorDecode.Fixed), first, nil)
+	assert.Assert(t, s.slowness > 1, "the engine took twice as long as predicted")
+	slowness := s.slowness
+	c.p.PrefillDone(clock.Time(800*ms), second, nil)
+	assert.Equal(t, s.slowness, slowness)
 }
 
-// A deployment's engines take four times as long as any that are known. Its VMs went by
-// the figures of others: prompts were sent into queues four times as long as they
-// looked, and each came late.
-func TestTheSpeedOfAServicesEnginesIsLearned(t *testing.T) {
-	w := newWorld(t, split(2, 2)...)
+// Guards against predictions for engines that take four times as long as the prior assumes: prompts
+// were sent into queues four times as long as predicted, and all first events were late.
+func TestTheSpeedOfAServicesEnginesIsEstimated(t *testing.T) {
+	c := newCluster(t, split(2, 2)...)
 	now := clock.Time(0)
 	for i := range uint64(200) {
 		now = now.Add(time.Second)
 		pr := prompt(2*i, 2000, 1000+100*int(i%40))
-		plan := w.plan(t, now, pr)
+		plan := c.plan(t, now, pr)
 		at, perToken := plan.Engine, 80*time.Microsecond
 		if plan.Prefill != nil {
 			at, perToken = plan.Prefill, 40*time.Microsecond
 		}
 		took := 100*ms + time.Duration(pr.Tokens)*perToken
-		tk := w.p.Begin(now, at, plan.Job())
-		w.p.PrefillDone(now.Add(took), tk, nil)
-		w.p.End(now.Add(took), tk, Success)
+		tk := c.p.Begin(now, at, plan.Job())
+		c.p.PrefillDone(now.Add(took), tk, nil)
+		c.p.End(now.Add(took), tk, Success)
 	}
-	plan := w.plan(t, now, prompt(9999, 2000, 4000))
+	plan := c.plan(t, now, prompt(9999, 2000, 4000))
 	assert.Assert(t, plan.Prefill != nil)
 	assert.Assert(t, plan.Work > 200*ms && plan.Work < 280*ms, "%s", plan.Work)
-	assert.Assert(t, w.p.fixed(w.p.known[plan.Prefill.ID]) > 70*ms)
+	assert.Assert(t, c.p.fixed(c.p.endpoints[plan.Prefill.ID]) > 70*ms)
 }
 
-// A deployment's engines have links of 1 Gbit/s, not 370. Handing a KV cache of
-// 3,000 tokens over takes half a second there; predicted by other engines' links,
-// each prompt of that length came that much late.
-func TestSlowLinksSpareTheHandOver(t *testing.T) {
+// Guards against predicting transfers by the default time per token where the engines' links have 1
+// Gbit/s instead of 370: a KV cache transfer of 3,000 tokens takes half a second there, by which
+// the first events of such prompts were late.
+func TestSlowLinksAvoidKVCacheTransfers(t *testing.T) {
 	endpoints := split(2, 2)
 	for _, tc := range []struct {
 		perToken time.Duration
-		apart    bool
+		split    bool
 	}{{0, true}, {400 * time.Nanosecond, true}, {150 * time.Microsecond, false}} {
-		w := newWorldOf(t, catalog.Engine{CacheTokens: 900_000, TokenTransfer: tc.perToken}, endpoints...)
-		plan := w.plan(t, 0, prompt(1, 1000, 2000))
-		assert.Equal(t, plan.Prefill != nil, tc.apart, "%s a token", tc.perToken)
+		c := newClusterOf(t, catalog.Engine{CacheTokens: 900_000, TokenTransfer: tc.perToken}, endpoints...)
+		plan := c.plan(t, 0, prompt(1, 1000, 2000))
+		assert.Equal(t, plan.Prefill != nil, tc.split, "%s per token", tc.perToken)
 	}
 }
--- a/internal/policy/place/plan.go
+++ b/internal/policy/place/plan.go
@@ -8,28 +8,31 @@
 	"fescuestand/internal/splitmix"
 )
 
-// Plan says where a model request goes.
+// Plan is the placement of a model request.
 type Plan struct {
-	// Prefill is the engine that prefills and hands over; nil if Engine does
-	// the whole.
-	Prefill *catalog.Endpoint
-	Engine  *catalog.Endpoint
-	Source  *catalog.Endpoint // from which the prefilling engine fetches what it lacks; nil for none
-	CachedTokens  int               // tokens believed to be cached where the prefill runs, after the fetch
-	Fetch   time.Duration     // predicted time of the fetch
+	// Prefill is the engine that prefills and then transfers the KV cache to Engine. It is nil if
+	// Engine does both.
+	Prefill      *catalog.Endpoint
+	Engine       *catalog.Endpoint
+	Source       *catalog.Endpoint // from which the prefilling engine fetches a cached prefix, nil for none
+	CachedTokens int               // estimated tokens that are cached where the prefill runs, after the fetch
+	Fetch        time.Duration     // predicted time of the fetch
 	FirstEvent   time.Duration     // predicted time to the first event
-	Work    time.Duration     // predicted prefill work
-	Wait    time.Duration     // predicted time until the prefill starts
-	Candidates int               // that could have prefilled it
+	Work         time.Duration     // predicted prefill work
+	Wait         time.Duration     // predicted time until the prefill starts
+	Candidates   int               // number of engines that could have prefilled it
 
-	fresh int // tokens that the engine reads
+	fresh int // tokens that the engine prefills
 }
 
-// Job is the prefill of the plan.
-func (p *Plan) Job() Job { return Job{Work: p.Work, Fetch: p.Fetch, fresh: p.fresh, cached: p.CachedTokens} }
+// Job returns the job of the engine that prefills.
+func (p *Plan) Job() Job {
+	return Job{Work: p.Work, Fetch: p.Fetch, fresh: p.fresh, cached: p.CachedTokens}
+}
 
-// Plan returns the plan with the earliest predicted first event among the open
-// endpoints but those in exclude. It returns false if no engine can take pr.
+// Plan returns the plan with the earliest predicted first event, adjusted by its cost to other
+// requests, among the open endpoints that aren't in exclude. It returns false if no engine can take
+// pr.
 func (p *Planner) Plan(now clock.Time, open []*catalog.Endpoint, pr *Prompt, exclude map[string]bool) (Plan, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,11 +40,11 @@
 	from := c.sourcesOf(pr)
 	whole, haveWhole := p.best(now, c.decode, pr, from)
 	split, haveSplit := p.best(now, c.prefill, pr, from)
-	target := p.leastRunning(now, c.decode, split.s)
+	target := p.leastLoadedDecode(now, c.decode, split.s)
 	if haveSplit && target != nil {
-		over := p.transfer(target.ep, pr.Tokens)
-		split.first += over
-		split.score += over
+		transfer := p.transferTime(target.ep, pr.Tokens)
+		split.firstEvent += transfer
+		split.score += transfer
 	}
 	switch {
 	case haveSplit && target != nil && (!haveWhole || split.score < whole.score):
@@ -54,15 +57,16 @@
 	return Plan{}, false
 }
 
-// candidates are the engines in reach, by what they can do.
-type candidates struct{ prefill, decode []*state }
+// candidates are the engines that a request may be sent to, by stage. Engines that aren't prefill
+// engines are in decode.
+type candidates struct{ prefill, decode []*endpointState }
 
-// candidates judges the engines of each stage among themselves: the last decode
-// engine of a service is a small share of it, and left out as one of many it would
-// leave nobody to run what the others prefill.
+// candidates returns the healthy engines. Outliers are ejected for each stage separately: if the
+// last decode engine of a service were ejected as one of many engines, no engine would be left to
+// decode what the others prefill.
 func (p *Planner) candidates(now clock.Time, open []*catalog.Endpoint, exclude map[string]bool) candidates {
 	var c candidates
-	for _, s := range p.within(now, open, exclude) {
+	for _, s := range p.eligible(now, open, exclude) {
 		if s.ep.Stage == catalog.Prefill {
 			c.prefill = append(c.prefill, s)
 		} else {
@@ -75,21 +79,21 @@
 
 // option is one engine for a prompt's prefill.
 type option struct {
-	s      *state
-	source *state // that it fetches from, nil for none
-	cached int
-	fetch  time.Duration
-	work   time.Duration
-	wait   time.Duration
-	first  time.Duration
-	score  time.Duration // first, with what favours and hinders the engine
+	s          *endpointState
+	source     *endpointState // that it fetches from, nil for none
+	cached     int            // tokens, after the fetch
+	fetch      time.Duration
+	work       time.Duration
+	wait       time.Duration
+	firstEvent time.Duration
+	score      time.Duration // firstEvent plus costs and minus credits; the lowest one is chosen
 }
 
-// plan is the plan in which the option's engine does the whole. engines is how many
-// could have.
-func (o *option) plan(pr *Prompt, engines int) Plan {
+// plan returns the plan in which the option's engine both prefills and decodes. candidates is the
+// number of engines that could.
+func (o *option) plan(pr *Prompt, candidates int) Plan {
 	p := Plan{
-		Engine: o.s.ep, CachedTokens: o.cached, Fetch: o.fetch, FirstEvent: o.first, Work: o.work, Wait: o.wait, Candidates: engines,
+		Engine: o.s.ep, CachedTokens: o.cached, Fetch: o.fetch, FirstEvent: o.firstEvent, Work: o.work, Wait: o.wait, Candidates: candidates,
 		fresh: max(pr.Tokens-o.cached, 1),
 	}
 	if o.source != nil {
@@ -98,19 +102,21 @@
 	return p
 }
 
-func (p *Planner) best(now clock.Time, list []*state, pr *Prompt, from sources) (option, bool) {
+// best returns the engine of list with the lowest score for the prefill of pr. It returns false if
+// list is empty.
+func (p *Planner) best(now clock.Time, list []*endpointState, pr *Prompt, from sources) (option, bool) {
 	var best option
 	preferred := preferredFor(list, sharedID(pr.Parts))
-	for _, s := range p.choices(list, preferred, pr) {
+	for _, s := range p.sample(list, preferred, pr) {
 		o := option{s: s, wait: p.wait(now, s)}
 		o.work, o.cached = p.work(s, pr)
 		if f, ok := p.bestFetch(s, pr, from, o.cached, o.work); ok {
-			o.source, o.cached, o.fetch, o.work = f.from, f.cached, f.takes, f.work
+			o.source, o.cached, o.fetch, o.work = f.from, f.cached, f.transfer, f.work
 		}
-		o.first = o.wait + o.fetch + o.work + p.fixed(s)
-		o.score = o.first + fetchBurden*o.fetch + s.burden(o.work, len(list), s.running+p.peerRunning(now, s.key())) - p.credit(s, pr, o.cached, preferred)
+		o.firstEvent = o.wait + o.fetch + o.work + p.fixed(s)
+		o.score = o.firstEvent + fetchCostWeight*o.fetch + s.costToOthers(o.work, len(list), s.running+p.peerRunning(now, s.key())) - p.prefixCredit(s, pr, o.cached, preferred)
 		if s.ep.Zone != p.zone {
-			o.score += zoneTime
+			o.score += otherZoneTime
 		}
 		if best.s == nil || o.score < best.score {
 			best = o
@@ -119,24 +125,24 @@
 	return best, best.s != nil
 }
 
-// maxChoices is how many engines are looked at besides those that are wanted for
-// what they have cached. The VMs' views of a large fleet are some hundred
-// milliseconds old: choosing the best of all, each would send to the engine that
-// was idle then, and it would be the busiest of all until the next beat. A few
-// at random keep most of the gain of choosing and spread the VMs.
-const maxChoices = 5
+// sampleSize is how many random engines, on average, are compared in addition to those that have a
+// part of the prompt cached. In a large fleet the VMs' data on the engines is some hundred
+// milliseconds old. If each VM compared all engines, all VMs would send to the engine that was idle
+// at that time, and it would be the busiest one until the next beat. A small random sample keeps
+// most of the gain of choosing and makes the VMs choose different engines.
+const sampleSize = 5
 
-// choices returns the engines to look at for a prompt.
-func (p *Planner) choices(list []*state, preferred *state, pr *Prompt) []*state {
-	if len(list) <= 2*maxChoices {
+// sample returns the engines to compare for a prompt.
+func (p *Planner) sample(list []*endpointState, preferred *endpointState, pr *Prompt) []*endpointState {
+	if len(list) <= 2*sampleSize {
 		return list
 	}
-	out := make([]*state, 0, 2*maxChoices)
-	start := int(p.turn() % uint32(len(list)))
+	out := make([]*endpointState, 0, 2*sampleSize)
+	start := int(p.random() % uint32(len(list)))
 	for i := range list {
 		s := list[(start+i)%len(list)]
-		wanted := s == preferred || s.cache.prefix(pr.Parts) >= minShared && len(pr.Parts) > 1
-		if wanted || int(p.turn()%uint32(len(list))) < maxChoices {
+		required := s == preferred || s.cache.prefixTokens(pr.Parts) >= minSharedTokens && len(pr.Parts) > 1
+		if required || int(p.random()%uint32(len(list))) < sampleSize {
 			out = append(out, s)
 		}
 	}
@@ -146,25 +152,25 @@
 	return out
 }
 
-// preferredFor is the engine that every VM prefers for a shared prefix, by
-// rendezvous hashing: a VM more or less moves no prefix, an engine more or less
-// moves only its own.
-func preferredFor(list []*state, id uint64) *state {
+// preferredFor returns the engine that every VM prefers for a shared prefix, by rendezvous hashing:
+// a change of the VMs moves no prefix, and an engine that is added or removed moves only its own
+// prefixes.
+func preferredFor(list []*endpointState, id uint64) *endpointState {
 	if id == 0 {
 		return nil
 	}
-	var best *state
-	var top uint64
+	var best *endpointState
+	var maxHash uint64
 	for _, s := range list {
-		if h := splitmix.Mix(id ^ s.hash); best == nil || h > top {
-			best, top = s, h
+		if h := splitmix.Mix(id ^ s.hash); best == nil || h > maxHash {
+			best, maxHash = s, h
 		}
 	}
 	return best
 }
 
-// turn returns a pseudo-random number that the seed fixes.
-func (p *Planner) turn() uint32 {
+// random returns the next pseudo-random number of the sequence that the seed determines.
+func (p *Planner) random() uint32 {
 	p.seed = splitmix.Mix(p.seed)
 	return uint32(p.seed >> 33)
 }
--- a/internal/policy/place/speeds.go
+++ b/internal/policy/place/speeds.go
@@ -7,28 +7,28 @@
 	"fescuestand/internal/policy/speed"
 )
 
-// What engines are taken for until they have answered: an order of magnitude. One that
-// decodes reads prompts at half of the speed and in smaller pieces.
+// The coefficients that are assumed until engines have answered. They are right only in their order
+// of magnitude. A decode engine prefills at half of the speed and in smaller chunks.
 var (
 	priorPrefill = speed.Coefficients{Fixed: 30 * time.Millisecond, PerToken: 10 * time.Microsecond, PerPair: 0.1}
 	priorDecode  = speed.Coefficients{Fixed: 30 * time.Millisecond, PerToken: 25 * time.Microsecond, PerPair: 0.1}
 )
 
 const (
-	// priorHandOver is the fixed time of a hand-over until one was seen, and
-	// handOverStep is how far each one moves it.
-	priorHandOver = 20 * time.Millisecond
-	handOverStep  = 500 * time.Microsecond
+	// priorHandoff is the assumed fixed time of a KV cache transfer before the first one was
+	// observed, and handoffStep is how far each observation moves the estimate.
+	priorHandoff = 20 * time.Millisecond
+	handoffStep  = 500 * time.Microsecond
 )
 
-// serviceSpeed is what is learned of a service's engines.
+// serviceSpeed holds the estimated speeds of a service's engines.
 type serviceSpeed struct {
-	prefill  *speed.Model
-	decode   *speed.Model
-	handOver speed.MedianEstimate // fixed time of a hand-over, beside the transfer
+	prefill *speed.Model
+	decode  *speed.Model
+	handoff speed.MedianEstimate // fixed time of a KV cache transfer, without the time per token
 }
 
-// speeds are learned by service.
+// speeds holds the estimates by service.
 type speeds map[string]*serviceSpeed
 
 func (m speeds) of(service string) *serviceSpeed {
@@ -36,14 +36,14 @@
 	if s == nil {
 		s = &serviceSpeed{
 			prefill: speed.New(priorPrefill), decode: speed.New(priorDecode),
-			handOver: speed.NewMedianEstimate(priorHandOver, handOverStep),
+			handoff: speed.NewMedianEstimate(priorHandoff, handoffStep),
 		}
 		m[service] = s
 	}
 	return s
 }
 
-// model is that of e's stage.
+// model returns the model of e's stage.
 func (m speeds) model(e *catalog.Endpoint) *speed.Model {
 	if e.Stage == catalog.Decode {
 		return m.of(e.Service).decode
@@ -51,9 +51,11 @@
 	return m.of(e.Service).prefill
 }
 
-func (m speeds) figures(e *catalog.Endpoint) speed.Coefficients { return m.model(e).Coefficients() }
+func (m speeds) coefficients(e *catalog.Endpoint) speed.Coefficients {
+	return m.model(e).Coefficients()
+}
 
-// atPrefill is the time that a prefill at e would take at an engine for prefill.
+// atPrefill converts the time of a prefill at e to the time that it would take at a prefill engine.
 func (m speeds) atPrefill(e *catalog.Endpoint, work time.Duration) time.Duration {
 	if e.Stage != catalog.Decode {
 		return work
@@ -62,5 +64,5 @@
 	return time.Duration(float64(work) * float64(s.prefill.Coefficients().PerToken) / float64(s.decode.Coefficients().PerToken))
 }
 
-// fixed is the time between the end of a prefill at s and its answer.
-func (p *Planner) fixed(s *state) time.Duration { return p.speeds.figures(s.ep).Fixed }
+// fixed returns the time between the end of a prefill at s and its answer.
+func (p *Planner) fixed(s *endpointState) time.Duration { return p.speeds.coefficients(s.ep).Fixed }
--- a/internal/policy/place/target.go
+++ b/internal/policy/place/target.go
@@ -5,67 +5,68 @@
 	"fescuestand/internal/clock"
 )
 
-// ChooseDecodeEngine returns the decode engine that a KV cache at holder goes to.
+// ChooseDecodeEngine returns the decode engine to which the KV cache at holder should be
+// transferred, or nil if there is none.
 func (p *Planner) ChooseDecodeEngine(now clock.Time, open []*catalog.Endpoint, holder *catalog.Endpoint, exclude map[string]bool) *catalog.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.candidates(now, open, exclude)
-	if s := p.leastRunning(now, c.decode, p.known[holder.ID]); s != nil {
+	if s := p.leastLoadedDecode(now, c.decode, p.endpoints[holder.ID]); s != nil {
 		return s.ep
 	}
 	return nil
 }
 
-// leastRunning is the decode engine with the fewest requests, within the source's
-// zone where it can be.
-func (p *Planner) leastRunning(now clock.Time, list []*state, source *state) *state {
-	var best *state
-	var least float64
-	start := int(p.turn() % uint32(max(len(list), 1)))
-	near, far := len(list), len(list)
-	if len(list) > 2*maxChoices {
-		near, far = maxChoices, farChoices
+// leastLoadedDecode returns the decode engine with the lowest load, with a preference for the zone
+// of source. In a large fleet it compares only a few engines.
+func (p *Planner) leastLoadedDecode(now clock.Time, list []*endpointState, source *endpointState) *endpointState {
+	var best *endpointState
+	var minLoad float64
+	start := int(p.random() % uint32(max(len(list), 1)))
+	sameZoneLeft, otherZonesLeft := len(list), len(list)
+	if len(list) > 2*sampleSize {
+		sameZoneLeft, otherZonesLeft = sampleSize, otherZonesSampleSize
 	}
 	for i := range list {
 		s := list[(start+i)%len(list)]
-		left := &near
+		left := &sameZoneLeft
 		if source != nil && s.ep.Zone != source.ep.Zone {
-			left = &far
+			left = &otherZonesLeft
 		}
 		if *left == 0 {
 			continue
 		}
 		*left--
-		if n := p.decodeLoad(now, s, source); best == nil || n < least {
-			best, least = s, n
+		if load := p.decodeLoad(now, s, source); best == nil || load < minLoad {
+			best, minLoad = s, load
 		}
 	}
 	return best
 }
 
-// farChoices is how many decode engines of other zones are looked at in a large
-// fleet, for the case that those of the source's zone are full.
-const farChoices = 2
+// otherZonesSampleSize is how many decode engines of other zones are compared in a large fleet, in
+// case those of the source's zone are full.
+const otherZonesSampleSize = 2
 
-// decodeLoad is the load of a decode engine, in requests.
-func (p *Planner) decodeLoad(now clock.Time, s, source *state) float64 {
+// decodeLoad returns the load of a decode engine, in requests.
+func (p *Planner) decodeLoad(now clock.Time, s, source *endpointState) float64 {
 	running := s.running + p.peerRunning(now, s.key())
-	n := float64(running) + p.wait(now, s).Seconds()*decodeSharePerSecond
+	load := float64(running) + p.wait(now, s).Seconds()*requestsPerWaitSecond
 	if s.ep.Slots > 0 && running >= s.ep.Slots {
-		n += float64(s.ep.Slots) // it would wait, or be turned away
+		load += float64(s.ep.Slots) // the request would wait or be rejected
 	}
 	if source != nil && s.ep.Zone != source.ep.Zone {
-		n += otherZoneRequests
+		load += otherZoneRequests
 	}
-	return n
+	return load
 }
 
-// otherZoneRequests is how many requests fewer a decode engine of another zone must
-// have than one in the source's: a transfer between zones holds both links for
-// twice as long, and the next ones wait behind it.
+// otherZoneRequests is how many requests fewer a decode engine of another zone must have to be
+// preferred over one in the source's zone: a transfer between zones occupies both links for twice
+// as long, and the next transfers wait behind it.
 const otherZoneRequests = 3
 
-// decodeSharePerSecond weighs prefill work that waits at a decode engine against
-// running requests: 100 ms of it slows the engine's streams about as much as
-// three more requests in its batch.
-const decodeSharePerSecond = 30.0
+// requestsPerWaitSecond converts the time of the prefill work that waits at a decode engine to
+// running requests: 100 ms of it slow the engine's streams about as much as three more requests in
+// its batch.
+const requestsPerWaitSecond = 30.0
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -7,128 +7,128 @@
 	"fescuestand/internal/clock"
 )
 
-// Job is what an exchange asks of its engine before the first event. The zero value is
+// Job is the work that an exchange requires of its engine before the first event. The zero value is
 // an exchange without a prompt.
 type Job struct {
-	Work  time.Duration // of the prefill
-	Fetch time.Duration // of the fetch before it
-	HandoffTokens int           // tokens of a KV cache that the engine takes over
+	Work          time.Duration // of the prefill
+	Fetch         time.Duration // of the fetch before it
+	HandoffTokens int           // tokens of a KV cache that is transferred to the engine
 
-	fresh  int // tokens that are read
+	fresh  int // tokens that are prefilled
 	cached int // tokens that are cached before them
 }
 
-// Ticket counts one exchange at an endpoint from its sending to its end.
+// Ticket represents one exchange at an endpoint between Begin and End.
 type Ticket struct {
-	s        *state
+	s        *endpointState
 	job      Job
-	expected time.Duration // wait and work at the sending
+	expected time.Duration // wait and work, as predicted by Begin
 	sentAt   clock.Time
 	ended    bool
 }
 
-// Outcome is how an exchange ended.
+// Outcome is how an exchange ended, as far as the endpoint's health is concerned.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Success     Outcome = iota
-	ErrorAnswer            // answered with a failure of its own
-	ExchangeFailed              // was cut, didn't answer, or answered wrongly
-	Rejected             // the endpoint refused without running it
-	Ignored         // ended by the caller; says nothing about the endpoint
+	Success        Outcome = iota
+	ErrorAnswer            // the endpoint answered with an error of its own
+	ExchangeFailed         // the connection was cut, or the answer is missing or invalid
+	Rejected               // the endpoint refused the request without running it
+	Ignored                // says nothing about the endpoint, for example as the caller ended the exchange
 )
 
-// Begin counts an exchange that is about to start at e.
+// Begin counts an exchange that is about to start at e. The returned ticket must be passed to End.
 func (p *Planner) Begin(now clock.Time, e *catalog.Endpoint, job Job) *Ticket {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.known[e.ID]
+	s := p.endpoints[e.ID]
 	if s == nil {
-		s = newState(e)
+		s = newEndpointState(e)
 	}
 	t := &Ticket{s: s, job: job, sentAt: now}
 	t.expected = p.wait(now, s) + job.Work
 	s.running++
-	p.count(now, t)
+	p.countDemand(now, t)
 	if job.Work > 0 {
-		s.jobs[t] = struct{}{}
+		s.prefills[t] = struct{}{}
 	}
 	return t
 }
 
-// count adds an exchange to the demand. A prefill at a decode engine is counted
-// as the time that it would take at a prefill engine.
-func (p *Planner) count(now clock.Time, t *Ticket) {
+// countDemand adds an exchange to the demand. A prefill at a decode engine counts as the time that
+// it would take at a prefill engine.
+func (p *Planner) countDemand(now clock.Time, t *Ticket) {
 	if t.s.ep.Stage == catalog.Decode {
-		p.meter.stream(now, 1)
+		p.meter.addStreams(now, 1)
 	}
-	p.meter.sent(now, p.speeds.atPrefill(t.s.ep, t.job.Work))
+	p.meter.addPrefill(now, p.speeds.atPrefill(t.s.ep, t.job.Work))
 }
 
-// PrefillDone notes that the exchange's prefill is over: its first event came, or
-// its KV cache is ready. parts are in the engine's cache now.
+// PrefillDone records that the exchange's prefill is over, because its first event has arrived or
+// its KV cache is ready. The engine has parts in its cache now.
 func (p *Planner) PrefillDone(now clock.Time, t *Ticket, parts []Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	took := now.Sub(t.sentAt)
-	if _, pending := t.s.jobs[t]; pending {
-		p.learn(took, t)
-		delete(t.s.jobs, t)
+	if _, pending := t.s.prefills[t]; pending {
+		p.observePrefill(took, t)
+		delete(t.s.prefills, t)
 	}
 	if t.job.HandoffTokens > 0 {
-		p.speeds.of(t.s.ep.Service).handOver.Add(took - time.Duration(t.job.HandoffTokens)*p.perToken(t.s.ep))
+		p.speeds.of(t.s.ep.Service).handoff.Add(took - time.Duration(t.job.HandoffTokens)*p.transferPerToken(t.s.ep))
 	}
 	t.s.cache.add(parts)
 }
 
-// speedWeight is the weight of one measurement of an engine's speed: an engine
-// that turned slow shows within ten prompts.
-const speedWeight = 0.1
+// slownessWeight is the weight of one prefill in an engine's slowness: an engine that becomes slow
+// is detected within ten prompts.
+const slownessWeight = 0.1
 
-// The bounds of a learned speed, measured over predicted time.
+// The bounds of an engine's slowness, the ratio of measured to predicted time.
 const (
-	minSpeed = 0.8
-	maxSpeed = 2.0
+	minSlowness = 0.8
+	maxSlowness = 2.0
 )
 
 const (
-	// minLearned is the least work that says something of an engine's speed
-	// against others.
-	minLearned = 8 * time.Millisecond
-	// maxWaitShare is the most of a prefill's time that may have been spent
-	// waiting, beside a little, for it to say something: a wait measures the
-	// other VMs' work, not the engine's speed.
-	maxWaitShare = 0.25
-	littleWait   = 2 * time.Millisecond
+	// minObservedWork is the minimum work of a prefill from which an engine's slowness is estimated.
+	minObservedWork = 8 * time.Millisecond
+	// maxWaitShare limits the predicted wait of a prefill that is used for the estimates, as a
+	// share of its work; waits up to negligibleWait are always accepted. A longer wait would
+	// measure the other VMs' work instead of the engine's speed.
+	maxWaitShare   = 0.25
+	negligibleWait = 2 * time.Millisecond
 )
 
-// learn takes the time of a prefill: it corrects what is known of the service's
-// engines, and of this one against them. A fetch takes its own time, which says
-// nothing of either.
-func (p *Planner) learn(took time.Duration, t *Ticket) {
+// observePrefill updates the estimated speed of the service's engines, and the slowness of this
+// engine, with the time of a prefill. A prefill after a fetch is ignored, as its time includes the
+// transfer.
+func (p *Planner) observePrefill(took time.Duration, t *Ticket) {
 	waited := t.expected - t.job.Work
-	if t.job.Fetch > 0 || waited > max(time.Duration(maxWaitShare*float64(t.job.Work)), littleWait) {
+	if t.job.Fetch > 0 || waited > max(time.Duration(maxWaitShare*float64(t.job.Work)), negligibleWait) {
 		return
 	}
 	fixed := p.fixed(t.s)
-	if t.job.Work >= minLearned {
-		t.s.learn(took-fixed, t.expected)
+	if t.job.Work >= minObservedWork {
+		t.s.observeSlowness(took-fixed, t.expected)
 	}
 	if t.job.fresh > 0 {
-		usual := time.Duration(float64(took-fixed) / t.s.speed)
-		p.speeds.model(t.s.ep).Observe(t.job.fresh, t.job.cached, fixed+usual)
+		normalized := time.Duration(float64(took-fixed) / t.s.slowness)
+		p.speeds.model(t.s.ep).Observe(t.job.fresh, t.job.cached, fixed+normalized)
 	}
 }
 
-// learn corrects the engine's speed by a measurement.
-func (s *state) learn(took, expected time.Duration) {
+// observeSlowness updates the engine's slowness with the measured and the predicted time of a
+// prefill.
+func (s *endpointState) observeSlowness(took, expected time.Duration) {
 	ratio := float64(max(took, 0)) / float64(expected)
 	ratio = min(max(ratio, 0.5), 2) // one outlier moves the estimate by a tenth at most
-	s.speed = min(max(s.speed*(1+speedWeight*(ratio-1)), minSpeed), maxSpeed)
+	s.slowness = min(max(s.slowness*(1+slownessWeight*(ratio-1)), minSlowness), maxSlowness)
 }
 
-// End ends the exchange. Another call does nothing.
+// End ends the exchange. Further calls have no effect.
 func (p *Planner) End(now clock.Time, t *Ticket, o Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,55 +136,55 @@
 		return
 	}
 	t.ended = true
-	delete(t.s.jobs, t)
+	delete(t.s.prefills, t)
 	t.s.running--
 	if t.s.ep.Stage == catalog.Decode {
-		p.meter.stream(now, -1)
+		p.meter.addStreams(now, -1)
 	}
-	t.s.health.note(now, o)
+	t.s.health.record(now, o)
 }
 
-// RecordLoad takes what an endpoint said of its own load: running and waiting
-// requests.
+// RecordLoad records the number of running and waiting requests that an endpoint has reported.
 func (p *Planner) RecordLoad(now clock.Time, t *Ticket, requests int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t.s.load = reportedLoad{requests, now}
 }
 
-// MarkStale notes that the endpoint is no longer what it is known as: it has
-// restarted, or changed its stage, and its entry doesn't show it yet.
+// MarkStale ejects an endpoint for a while whose catalog entry is outdated: the endpoint has
+// restarted or changed its stage, and the entry doesn't show it yet.
 func (p *Planner) MarkStale(now clock.Time, e *catalog.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s := p.known[e.ID]; s != nil {
-		s.health.leave(now)
+	if s := p.endpoints[e.ID]; s != nil {
+		s.health.eject(now)
 	}
 }
 
-// usualChange is assumed for a change of an engine's stage where the configuration
-// doesn't say.
-const usualChange = 3 * time.Second
+// defaultStageChange is the assumed time of a change of an engine's stage if the configuration
+// doesn't specify it.
+const defaultStageChange = 3 * time.Second
 
-// MarkChangingStage notes that an engine was ordered to another stage: it takes no work
-// until it has changed.
+// MarkChangingStage ejects an engine that was ordered to change its stage until the change is
+// expected to be complete.
 func (p *Planner) MarkChangingStage(now clock.Time, id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.known[id]
+	s := p.endpoints[id]
 	if s == nil {
 		return
 	}
-	away := p.engines[s.ep.Service].StageChange
-	if away == 0 {
-		away = usualChange
+	duration := p.engines[s.ep.Service].StageChange
+	if duration == 0 {
+		duration = defaultStageChange
 	}
-	s.health.outUntil = max(s.health.outUntil, now.Add(away))
+	s.health.ejectedUntil = max(s.health.ejectedUntil, now.Add(duration))
 }
 
-// MarkUnresponsive notes that e shows no sign of life for an exchange.
+// MarkUnresponsive records that the endpoint of an exchange shows no sign of life. It counts as a
+// failed exchange.
 func (p *Planner) MarkUnresponsive(now clock.Time, t *Ticket) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t.s.health.note(now, ExchangeFailed)
+	t.s.health.record(now, ExchangeFailed)
 }
