--- a/internal/policy/crash/crash_test.go
+++ b/internal/policy/crash/crash_test.go
@@ -33,8 +33,8 @@
 	assert.Equal(t, r.CrashCount(0, 7), 1)
 }
 
-// Guards against refusing, for minutes, a lookup that many callers send, because three endpoints were
-// running it when their connections were cut.
+// Guards against refusing, for minutes, a lookup that many callers send, because three endpoints
+// were running it when their connections were cut.
 func TestARequestThatIsAlsoAnsweredIsNotRefused(t *testing.T) {
 	r := New()
 	now := clock.Time(time.Hour)
--- a/internal/policy/ontime/ontime.go
+++ b/internal/policy/ontime/ontime.go
@@ -1,10 +1,10 @@
 // Package ontime decides whether a stream request is sent to an engine now, is held at its VM, or is
 // refused with a Retry-After delay.
 //
-// Load pattern: a burst brings more prompts than the engines can prefill. Engines prefill in order of
-// arrival. Without a limit their queues grow until each first event misses the callers' target, and
-// then until callers time out. The prefills for callers that have disconnected are wasted, and it
-// takes as long again until the queues are short.
+// Load pattern: a burst brings more prompts than the engines can prefill. Engines prefill in order
+// of arrival. Without a limit their queues grow until each first event misses the callers' target,
+// and then until callers time out. The prefills for callers that have disconnected are wasted, and
+// it takes as long again until the queues are short.
 //
 // Approach: a request whose first event would be late only because of the queue isn't sent. It is
 // held at its VM until an engine is almost idle, so that the queues stay short enough for the next
@@ -86,16 +86,17 @@
 	slackPerRank = 40 * time.Millisecond
 )
 
-// UrgencyRank returns a prompt's rank by its slack, which is the time that it can wait and still be on
-// time: left is the rest of its target and work its prefill. If engines served by the routes' priority
-// alone, long prompts, which have the least slack, would wait for all short ones and be late at half
-// of the sustainable load.
+// UrgencyRank returns a prompt's rank by its slack, which is the time that it can wait and still be
+// on time: left is the rest of its target and work its prefill. If engines served by the routes'
+// priority alone, long prompts, which have the least slack, would wait for all short ones and be
+// late at half of the sustainable load.
 func UrgencyRank(left, work time.Duration) int {
 	slack := left - work - fixedOverhead
 	return min(max(int(slack/slackPerRank), 0), MaxUrgencyRank)
 }
 
-// retryAfter returns the time in which the queued or held requests are processed, plus a random time.
+// retryAfter returns the time in which the queued or held requests are processed, plus a random
+// time.
 func retryAfter(r Request) time.Duration { return RetryAfter(max(r.Wait, r.Backlog), r.Random) }
 
 // RetryAfter returns the Retry-After delay for a request that there will be capacity for after wait.
@@ -103,8 +104,8 @@
 	return max(wait, minRetryAfter) + time.Duration(random%uint64(retryAfterSpread))
 }
 
-// HeldWork counts the prefill work of the requests that are held at this VM. It is safe for concurrent
-// use.
+// HeldWork counts the prefill work of the requests that are held at this VM. It is safe for
+// concurrent use.
 type HeldWork struct{ work atomic.Int64 }
 
 // Add counts a request's work until done is called.
@@ -113,8 +114,8 @@
 	return func() { h.work.Add(-int64(work)) }
 }
 
-// Backlog returns the time that the engines need for the requests held at all VMs, assuming that each
-// VM holds as much work as this one.
+// Backlog returns the time that the engines need for the requests held at all VMs, assuming that
+// each VM holds as much work as this one.
 func (h *HeldWork) Backlog(vms, engines int) time.Duration {
 	return time.Duration(h.work.Load()) * time.Duration(vms) / time.Duration(max(engines, 1))
 }
--- a/internal/policy/ontime/ontime_test.go
+++ b/internal/policy/ontime/ontime_test.go
@@ -38,8 +38,8 @@
 	assert.Equal(t, v, Serve)
 }
 
-// Guards against retries that arrive as one burst: requests that are refused within a few milliseconds
-// of each other would all be refused again if they got the same Retry-After delay.
+// Guards against retries that arrive as one burst: requests that are refused within a few
+// milliseconds of each other would all be refused again if they got the same Retry-After delay.
 func TestRetryAfterSpreadsRequestsRefusedTogether(t *testing.T) {
 	buckets := map[time.Duration]int{}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -87,8 +87,8 @@
 	}
 }
 
-// overload sends an engine 1.3 times the load that it can prefill for 20 s and half of that capacity for
-// another 20 s. With hold, requests are sent as Decide says, else at once.
+// overload sends an engine 1.3 times the load that it can prefill for 20 s and half of that
+// capacity for another 20 s. With hold, requests are sent as Decide says, else at once.
 func overload(hold bool) *server {
 	const work, target, timeout = 50 * ms, 400 * ms, 2000 * ms
 	s := &server{}
@@ -124,10 +124,10 @@
 	return s
 }
 
-// Guards against a burst that makes all first events late. When callers send 1.3 times what the engine
-// can prefill for 20 seconds and all requests are sent at once, each first event is late after two
-// seconds and each caller times out after eight, until seconds after the burst. With requests held,
-// most first events stay on time.
+// Guards against a burst that makes all first events late. When callers send 1.3 times what the
+// engine can prefill for 20 seconds and all requests are sent at once, each first event is late
+// after two seconds and each caller times out after eight, until seconds after the burst. With
+// requests held, most first events stay on time.
 func TestABurstIsServedOnTime(t *testing.T) {
 	held, unheld := overload(true), overload(false)
 	assert.Assert(t, held.onTime > 550, "%+v", held)
--- a/internal/policy/ontime/starting_test.go
+++ b/internal/policy/ontime/starting_test.go
@@ -9,9 +9,9 @@
 	"fescuestand/internal/splitmix"
 )
 
-// simulateRetries simulates callers that arrive at a constant rate during an outage and retry once. It
-// returns the share that is served, and the largest number that retry within a tenth of a second after
-// the outage.
+// simulateRetries simulates callers that arrive at a constant rate during an outage and retry once.
+// It returns the share that is served, and the largest number that retry within a tenth of a second
+// after the outage.
 func simulateRetries(outage time.Duration, retryAfter func(waited time.Duration, random uint64) time.Duration) (share float64, peak int) {
 	const interval = time.Millisecond
 	total, ok := 0, 0
@@ -30,8 +30,8 @@
 	return float64(ok) / float64(total), peak
 }
 
-// Guards against callers that spend their only retry while all VMs start and the configuration store is
-// unavailable, and against retries that arrive in one wave.
+// Guards against callers that spend their only retry while all VMs start and the configuration
+// store is unavailable, and against retries that arrive in one wave.
 func TestCallersAreServedAfterASlowStart(t *testing.T) {
 	constant := func(time.Duration, uint64) time.Duration { return minStartingRetryAfter }
 	for _, outage := range []time.Duration{100 * time.Millisecond, time.Second, 2 * time.Second} {
--- a/internal/policy/serving/serving.go
+++ b/internal/policy/serving/serving.go
@@ -3,9 +3,9 @@
 // Load pattern: each caller picks one of the advertised addresses at random. Each VM that serves
 // callers keeps connections to every endpoint, and its own requests are the only ones it can count
 // without delay. If the traffic of a small deployment is spread over all VMs, connections stay idle
-// until their endpoint closes them, so that every fourth request opens a new one, and each VM places
-// requests by the other VMs' counts of a tenth of a second ago. If small VMs are advertised too, their
-// callers wait for these VMs' network links.
+// until their endpoint closes them, so that every fourth request opens a new one, and each VM
+// places requests by the other VMs' counts of a tenth of a second ago. If small VMs are advertised
+// too, their callers wait for these VMs' network links.
 //
 // Approach: as few VMs are advertised as can carry the load with headroom for a burst and for the
 // loss of a VM, some of them in each zone. The others are on standby.
@@ -51,9 +51,10 @@
 	Capacity uint32 // requests per second
 }
 
-// ChooseAdvertised returns the VMs to advertise to callers under a load of rate requests per second,
-// in order of preference. It is deterministic: VMs with the same input choose the same set. A rate of
-// zero means that the load is unknown; up to maxWithUnknownRate large VMs are advertised then.
+// ChooseAdvertised returns the VMs to advertise to callers under a load of rate requests per
+// second, in order of preference. It is deterministic: VMs with the same input choose the same set.
+// A rate of zero means that the load is unknown; up to maxWithUnknownRate large VMs are advertised
+// then.
 func ChooseAdvertised(vms []VM, rate float64) []VM {
 	large := largeVMs(vms)
 	ordered := interleaveZones(large)
@@ -125,9 +126,9 @@
 	return len(seen)
 }
 
-// largeVMs returns vms without the small ones, or all of them if the large ones can't carry the load.
-// As callers pick addresses at random, a VM with a twentieth of another's network bandwidth would get
-// as many requests, and its callers would wait.
+// largeVMs returns vms without the small ones, or all of them if the large ones can't carry the
+// load. As callers pick addresses at random, a VM with a twentieth of another's network bandwidth
+// would get as many requests, and its callers would wait.
 func largeVMs(vms []VM) []VM {
 	maxCapacity, total := uint32(0), uint32(0)
 	for _, v := range vms {
--- a/internal/policy/serving/serving_test.go
+++ b/internal/policy/serving/serving_test.go
@@ -49,8 +49,8 @@
 	assert.Equal(t, len(ChooseAdvertised(nil, 100)), 0)
 }
 
-// Guards against small VMs that are advertised next to large ones: callers pick addresses at random, so
-// that both get as many requests.
+// Guards against small VMs that are advertised next to large ones: callers pick addresses at
+// random, so that both get as many requests.
 func TestSmallVMsAreNamedOnlyWhereTheyAreNeeded(t *testing.T) {
 	advertisedWith := func(large int) int {
 		vms := fleet(51, 51, 30)
@@ -64,8 +64,8 @@
 	assert.Equal(t, advertisedWith(2), 51, "two large VMs can't carry the load of fifty")
 }
 
-// Guards against spreading the callers of the first seconds over hundreds of VMs that have no data on
-// each other's load.
+// Guards against spreading the callers of the first seconds over hundreds of VMs that have no data
+// on each other's load.
 func TestWhileTheLoadIsUnknownOnlyActiveVMsAreAdvertised(t *testing.T) {
 	vms := fleet(95, 19, 87)
 	for i := range vms {
--- a/internal/policy/speed/speed.go
+++ b/internal/policy/speed/speed.go
@@ -1,9 +1,10 @@
 // Package speed estimates how fast the engines of a service prefill prompts.
 //
 // Load pattern: requests are placed by the predicted time of their first events. The engines of one
-// deployment may be several times faster or slower than those of another, take longer for each token
-// of a long prompt than of a short one, and add a fixed time. With the coefficients of other engines,
-// prompts are sent into queues that are longer than predicted, or are refused although there was time.
+// deployment may be several times faster or slower than those of another, take longer for each
+// token of a long prompt than of a short one, and add a fixed time. With the coefficients of other
+// engines, prompts are sent into queues that are longer than predicted, or are refused although
+// there was time.
 //
 // Approach: the time of a prefill is modelled as a fixed part, a part for each token that is
 // processed, and one for each pair of tokens that attention compares. The three coefficients are
@@ -56,8 +57,8 @@
 	pairUnit  = 1e6 // pairs
 )
 
-// Model estimates the coefficients of one service's engines of one stage. Its zero value isn't usable,
-// and it isn't safe for concurrent use.
+// Model estimates the coefficients of one service's engines of one stage. Its zero value isn't
+// usable, and it isn't safe for concurrent use.
 type Model struct {
 	fit          leastSquares
 	coefficients Coefficients
--- a/internal/policy/speed/speed_test.go
+++ b/internal/policy/speed/speed_test.go
@@ -11,8 +11,8 @@
 
 var prior = Coefficients{Fixed: 30 * time.Millisecond, PerToken: 10 * time.Microsecond, PerPair: 0.15}
 
-// engines are coefficients that differ widely: a fast engine, a slow one, and one that spends most of
-// the time of long prompts on attention.
+// engines are coefficients that differ widely: a fast engine, a slow one, and one that spends most
+// of the time of long prompts on attention.
 var engines = map[string]Coefficients{
 	"fast":      {Fixed: 8 * time.Millisecond, PerToken: 2 * time.Microsecond, PerPair: 0.02},
 	"slow":      {Fixed: 90 * time.Millisecond, PerToken: 70 * time.Microsecond, PerPair: 0.6},
