--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -80,7 +80,7 @@
 }
 
 // Guards against prefilling short prompts at the last decode engine while it runs sixty streams.
-// All streams stalled for each prompt, took longer and became more, and callers abandoned stalled
+// All streams stalled for each prompt, took longer and grew in number, and callers abandoned stalled
 // streams while prefill engines were idle.
 func TestABusyDecodeEngineIsNotUsedForPrefills(t *testing.T) {
 	c := newCluster(t, split(3, 1)...)
