--- a/internal/gateway/judgement_test.go
+++ b/internal/gateway/judgement_test.go
@@ -12,10 +12,10 @@
 // Guards against an endpoint that is left out for a request that never left this VM.
 func TestWhatAVMDecidesIsNoFaultOfTheEndpoint(t *testing.T) {
 	for c, want := range map[code.Code]place.Outcome{
-		code.EndpointCut:      place.Bad,
-		code.RetryBudgetSpent: place.Unjudged,
-		code.EndpointsLimited: place.Unjudged,
-		code.EndpointLeft:     place.Unjudged,
+		code.EndpointCut:      place.ExchangeFailed,
+		code.RetryBudgetSpent: place.Ignored,
+		code.EndpointsLimited: place.Ignored,
+		code.EndpointLeft:     place.Ignored,
 	} {
 		assert.Equal(t, judgement(&result{outcome: notSent, code: c}), want, c)
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -57,7 +57,7 @@
 	b.Notices = noticesOf(x.Pressure.Tell(x.Clock.Now()))
 	for _, r := range x.Planner.Outstanding() {
 		b.Outstanding = append(b.Outstanding, &wire.Outstanding{
-			Endpoint: r.Endpoint, Running: uint32(r.Running), PendingUs: uint32(r.Pending.Microseconds()),
+			Endpoint: r.Endpoint, Running: uint32(r.Running), PendingUs: uint32(r.PendingWork.Microseconds()),
 		})
 	}
 }
@@ -148,7 +148,7 @@
 	}
 	now := x.Clock.Now()
 	for _, c := range b.GetCrashes() {
-		if x.Crashes.Note(now, c.GetRequest(), c.GetEndpoint()) {
+		if x.Crashes.RecordCrash(now, c.GetRequest(), c.GetEndpoint()) {
 			x.crashes.add(now, c)
 			x.News()
 		}
@@ -162,19 +162,19 @@
 	for _, o := range b.GetOutstanding() {
 		reports = append(reports, place.Report{
 			Endpoint: o.GetEndpoint(), Running: int(o.GetRunning()),
-			Pending: time.Duration(o.GetPendingUs()) * time.Microsecond,
+			PendingWork: time.Duration(o.GetPendingUs()) * time.Microsecond,
 		})
 	}
 	d := b.GetDemand()
-	x.Planner.Hear(now, from, reports, place.Demand{
+	x.Planner.ReceiveReport(now, from, reports, place.Demand{
 		Prefill: float64(d.GetPrefillMs()) / 1000, Streams: float64(d.GetCentiStreams()) / 100,
 	})
 	x.Pressure.Hear(now, from, float64(b.GetRequests()), toldOf(b.GetNotices()))
 	for _, id := range b.GetChanging() {
-		x.Planner.Changing(now, id)
+		x.Planner.MarkChangingStage(now, id)
 		x.Ordered(id)
 	}
 	for _, c := range b.GetCached() {
-		x.Planner.HearCached(c.GetEndpoint(), cachesync.Parts(c))
+		x.Planner.RecordCached(c.GetEndpoint(), cachesync.Parts(c))
 	}
 }
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -34,7 +34,7 @@
 	maps.Copy(others, x.tried)
 	w := &watchdog{gap: silentGap}
 	w.timer = time.AfterFunc(silentFirst+firstFactor*(plan.Wait+plan.Fetch+plan.Work), func() {
-		x.g.o.Planner.Stuck(x.now(), t)
+		x.g.o.Planner.MarkUnresponsive(x.now(), t)
 		switch {
 		case !repeat:
 		case x.another(s.Endpoint, others):
@@ -54,7 +54,7 @@
 // another tells whether an engine but those in exclude can go on with the
 // stream, and takes the repeat from the budget if so.
 func (x *execution) another(e *catalog.Endpoint, exclude map[string]bool) bool {
-	if x.g.o.Planner.Target(x.now(), x.open(), e, exclude) == nil {
+	if x.g.o.Planner.ChooseDecodeEngine(x.now(), x.open(), e, exclude) == nil {
 		return false
 	}
 	for range continueSends {
