--- a/internal/entry/dispatch/gate.go
+++ b/internal/entry/dispatch/gate.go
@@ -209,7 +209,7 @@
 	defer g.mu.Unlock()
 	c := g.setCapacity()
 	for {
-		room := admit.Room{Normal: c.Normal - g.granted, Urgent: c.Urgent - g.granted}
+		room := admit.FreeSlots{Normal: c.Normal - g.granted, Urgent: c.Urgent - g.granted}
 		r, dropped := g.queue.Next(g.clk.Now(), room)
 		g.tell(dropped)
 		if r == nil {
--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -105,7 +105,7 @@
 		if q.Offer(0, r).Err == nil {
 			all = append(all, r)
 		}
-		q.Next(0, Room{Normal: slots - q.running, Urgent: slots})
+		q.Next(0, FreeSlots{Normal: slots - q.running, Urgent: slots})
 	}
 	dropped := q.SetCapacity(1, slots/3)
 	assert.Assert(t, len(dropped) > 5 && len(dropped) < len(all), "%d of %d", len(dropped), len(all))
@@ -139,7 +139,7 @@
 	commit := offer("commit", "c", time.Minute)
 	assert.Equal(t, commit.Dropped[0].Err.Code, code.ShedForPriority)
 	assert.Equal(t, q.Snapshot().Queued, 4)
-	r, _ := q.Next(0, Room{Normal: 1, Urgent: 1})
+	r, _ := q.Next(0, FreeSlots{Normal: 1, Urgent: 1})
 	assert.Equal(t, r.Class, "commit")
 }
 
@@ -175,7 +175,7 @@
 					delete(open, r)
 				}
 			case 2:
-				r, dropped := q.Next(now, Room{Normal: 1, Urgent: 1})
+				r, dropped := q.Next(now, FreeSlots{Normal: 1, Urgent: 1})
 				end(dropped)
 				if r != nil {
 					running = append(running, r)
--- a/internal/policy/admit/pool_test.go
+++ b/internal/policy/admit/pool_test.go
@@ -94,7 +94,7 @@
 	for {
 		now := p.loop.Now()
 		free := p.slots - p.running
-		r, dropped := p.q.Next(now, Room{Normal: free, Urgent: free})
+		r, dropped := p.q.Next(now, FreeSlots{Normal: free, Urgent: free})
 		p.refused(dropped)
 		if r == nil {
 			return
@@ -134,7 +134,7 @@
 		assert.Assert(t, offer() == nil)
 	}
 	for ; now < clock.Time(3*time.Second); now = now.Add(20 * time.Millisecond) {
-		r, dropped := q.Next(now, Room{})
+		r, dropped := q.Next(now, FreeSlots{})
 		assert.Assert(t, r == nil && len(dropped) == 0)
 	}
 	err := offer()
--- a/internal/policy/admit/serve.go
+++ b/internal/policy/admit/serve.go
@@ -65,13 +65,13 @@
 	return dst
 }
 
-// Room is how many requests the endpoints take now.
-type Room struct{ Normal, Urgent int }
+// FreeSlots is how many requests the endpoints take now.
+type FreeSlots struct{ Normal, Urgent int }
 
 // Next returns the request to be dispatched now, nil if there is none or no
 // slot is free. Dropped are the requests that have become infeasible while
 // they were queued: the work for them would be wasted.
-func (q *Queue) Next(now clock.Time, room Room) (*Request, []Refusal) {
+func (q *Queue) Next(now clock.Time, room FreeSlots) (*Request, []Refusal) {
 	dropped := q.Expire(now)
 	for _, l := range q.levels {
 		for i := range l.lanes {
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -243,7 +243,7 @@
 		a.slots = c.Slots
 		dropped = a.queue.SetCapacity(now, c.Slots)
 	}
-	r, late := a.queue.Next(now, admit.Room{Normal: c.Normal, Urgent: c.Urgent})
+	r, late := a.queue.Next(now, admit.FreeSlots{Normal: c.Normal, Urgent: c.Urgent})
 	var refused []loadtest.Refused
 	for _, d := range append(dropped, late...) {
 		q := d.Request.Value.(*loadtest.Request)
