--- a/internal/entry/dispatch/gate.go
+++ b/internal/entry/dispatch/gate.go
@@ -193,7 +193,7 @@
 }
 
 // leave ends a request that enter let through.
-func (g *gate) leave(t *turn, m admit.Measured) {
+func (g *gate) leave(t *turn, m admit.Measurement) {
 	g.mu.Lock()
 	g.settle(t)
 	g.inside[t.req.Class]--
--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -192,7 +192,7 @@
 					q.Return(r)
 					continue
 				}
-				q.Done(now, r, Measured{OK: true})
+				q.Done(now, r, Measurement{OK: true})
 				assert.Assert(rt, open[r])
 				delete(open, r)
 			}
--- a/internal/policy/admit/serve.go
+++ b/internal/policy/admit/serve.go
@@ -178,8 +178,8 @@
 // SetRates takes newly measured rates of the engines.
 func (q *Queue) SetRates(r Rates) { q.rates = r }
 
-// Measured is what a request showed about the rates.
-type Measured struct {
+// Measurement is what a request showed about the rates.
+type Measurement struct {
 	OK         bool          // the answer was whole; only then do the rates learn
 	FirstToken time.Duration // from dispatch
 	Step       time.Duration // mean time between tokens
@@ -187,7 +187,7 @@
 }
 
 // Done ends a request that Next returned and learns from it.
-func (q *Queue) Done(now clock.Time, r *Request, m Measured) {
+func (q *Queue) Done(now clock.Time, r *Request, m Measurement) {
 	if r.state != running {
 		return
 	}
@@ -201,7 +201,7 @@
 	}
 }
 
-func (q *Queue) learn(r *Request, m Measured) {
+func (q *Queue) learn(r *Request, m Measurement) {
 	if m.FirstToken > 0 {
 		learn(&r.class.delay, m.FirstToken-r.prefill)
 	}
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -270,7 +270,7 @@
 	if r == nil {
 		return
 	}
-	m := admit.Measured{OK: o.OK}
+	m := admit.Measurement{OK: o.OK}
 	if o.OK {
 		m.FirstToken = o.Request.Arrive.Add(o.FirstToken).Sub(r.sentAt)
 		m.Output = o.Request.Output
