--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -121,7 +121,7 @@
 	cfg := testConfig(Guards{})
 	cfg.MaxQueued = 4
 	q := NewQueue(cfg)
-	offer := func(class, caller string, budget time.Duration) Verdict {
+	offer := func(class, caller string, budget time.Duration) OfferResult {
 		return q.Offer(0, &Request{Class: class, Caller: caller, Workspace: caller, Prompt: question, Deadline: clock.Time(budget)})
 	}
 	assert.Equal(t, offer("question", "a", -1).Err.Code, code.DeadlinePassed)
--- a/internal/policy/admit/queue.go
+++ b/internal/policy/admit/queue.go
@@ -107,9 +107,9 @@
 }
 
 // Offer takes r into the queue or refuses it at once and finally.
-func (q *Queue) Offer(now clock.Time, r *Request) Verdict {
+func (q *Queue) Offer(now clock.Time, r *Request) OfferResult {
 	q.prepare(now, r)
-	var v Verdict
+	var v OfferResult
 	v.Wait = q.forecast(r, r.leaf.cost)
 	v.Err = q.check(now, r, v.Wait)
 	if v.Err == nil && len(q.expiry) >= q.cfg.MaxQueued {
--- a/internal/policy/admit/request.go
+++ b/internal/policy/admit/request.go
@@ -62,9 +62,9 @@
 	Err     *code.Error
 }
 
-// Verdict answers an offer. Err is nil if the request was taken; Dropped are
+// OfferResult answers an offer. Err is nil if the request was taken; Dropped are
 // queued requests that had to make room for it.
-type Verdict struct {
+type OfferResult struct {
 	Err     *code.Error
 	Wait    time.Duration // forecast
 	Dropped []Refusal
