--- a/internal/capacity/traffic_test.go
+++ b/internal/capacity/traffic_test.go
@@ -110,7 +110,7 @@
 	for _, n := range []int{16, 128, 512} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			fill := func() any {
-				q := admit.NewQueue(admit.Config{Off: admit.Guards{NoFeasibility: true}})
+				q := admit.NewQueue(admit.Config{Disabled: admit.Guards{NoFeasibility: true}})
 				for i := range n {
 					v := q.Offer(1, requestOf(i))
 					assert.Assert(b, v.Err == nil)
--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -27,7 +27,7 @@
 			{Name: "manifest", Priority: 1, Weight: 1, Output: 10},
 		},
 		Rates: Rates{PrefillPerToken: 100 * time.Microsecond, DecodePerToken: 10 * time.Millisecond, Batch: 1},
-		Off:   off,
+		Disabled:   off,
 	}
 }
 
--- a/internal/policy/admit/config.go
+++ b/internal/policy/admit/config.go
@@ -73,7 +73,7 @@
 	KeyLimit   int
 	LongFactor float64
 	LongShare  float64
-	Off        Guards
+	Disabled        Guards
 }
 
 func (c Config) withDefaults() Config {
@@ -85,7 +85,7 @@
 		if c.Classes[i].Weight <= 0 {
 			c.Classes[i].Weight = 1
 		}
-		if c.Off.NoPriority {
+		if c.Disabled.NoPriority {
 			c.Classes[i].Priority, c.Classes[i].Weight = 0, 1
 		}
 	}
--- a/internal/policy/admit/queue.go
+++ b/internal/policy/admit/queue.go
@@ -74,7 +74,7 @@
 		cfg:     cfg,
 		classes: map[string]*class{},
 		keys:    map[string]int{},
-		spread:  limit.NewSpreader(cfg.Off.NoSpread),
+		spread:  limit.NewSpreader(cfg.Disabled.NoSpread),
 		rates:   cfg.Rates,
 		slots:   1,
 		codes:   map[code.Code]int64{},
@@ -89,7 +89,7 @@
 	for _, c := range q.classes {
 		c.level = slices.IndexFunc(q.levels, func(l *level) bool { return l.priority == c.Priority })
 		key := flowKey{name: c.Name}
-		if cfg.Off.NoPriority {
+		if cfg.Disabled.NoPriority {
 			key.name = ""
 		}
 		c.flow = q.levels[c.level].root.child(key, c.Weight)
@@ -138,11 +138,11 @@
 		q.meanCost = float64(r.cost)
 		q.logCost = math.Log(q.meanCost)
 	}
-	r.long = math.Log(float64(r.cost)) > q.logCost+math.Log(q.cfg.LongFactor) && !q.cfg.Off.NoLongShare
+	r.long = math.Log(float64(r.cost)) > q.logCost+math.Log(q.cfg.LongFactor) && !q.cfg.Disabled.NoLongShare
 	q.meanCost += rateWeight * (float64(r.cost) - q.meanCost)
 	q.logCost += mixWeight * (math.Log(float64(r.cost)) - q.logCost)
 	workspace, caller := r.Workspace, r.Caller
-	if q.cfg.Off.NoFairness {
+	if q.cfg.Disabled.NoFairness {
 		workspace, caller = "", ""
 	}
 	r.leaf = r.class.flow.child(flowKey{name: workspace}, 1).child(flowKey{caller, r.long}, 1)
--- a/internal/policy/admit/refuse.go
+++ b/internal/policy/admit/refuse.go
@@ -13,11 +13,11 @@
 	if budget <= 0 {
 		return code.New(code.DeadlinePassed, "deadline passed %s ago", -budget)
 	}
-	if n := q.keys[r.Key]; r.Key != "" && n >= q.cfg.KeyLimit && !q.cfg.Off.NoKeyLimit {
+	if n := q.keys[r.Key]; r.Key != "" && n >= q.cfg.KeyLimit && !q.cfg.Disabled.NoKeyLimit {
 		return code.New(code.HotKey, "key has %d requests queued or running, limit %d", n, q.cfg.KeyLimit).
 			WithRetryAfter(q.comeBack(now, r, q.drainTime(r, q.meanCost*float64(n))))
 	}
-	if q.cfg.Off.NoFeasibility {
+	if q.cfg.Disabled.NoFeasibility {
 		return nil
 	}
 	slack := r.latestStart().Sub(now)
--- a/internal/policy/admit/serve.go
+++ b/internal/policy/admit/serve.go
@@ -28,7 +28,7 @@
 // that can't be on time. Later ones of a flow are dropped before earlier ones
 // of it, as they wait for them.
 func (q *Queue) Reassess(now clock.Time) []Refusal {
-	if q.cfg.Off.NoShedding {
+	if q.cfg.Disabled.NoShedding {
 		return nil
 	}
 	var late []Refusal
@@ -111,7 +111,7 @@
 
 // Expire drops the queued requests that can no longer end in time.
 func (q *Queue) Expire(now clock.Time) []Refusal {
-	if q.cfg.Off.NoShedding {
+	if q.cfg.Disabled.NoShedding {
 		return nil
 	}
 	var dropped []Refusal
--- a/internal/policy/policytest/compare_test.go
+++ b/internal/policy/policytest/compare_test.go
@@ -67,7 +67,7 @@
 	return func() loadtest.Policy {
 		o := policytest.Options{Name: "without " + name}
 		if a != nil {
-			o.Admit = func(c *admit.Config) { a(&c.Off) }
+			o.Admit = func(c *admit.Config) { a(&c.Disabled) }
 		}
 		if r != nil {
 			o.Route = func(c *route.Config) { r(&c.Off) }
