--- a/internal/entry/dispatch/gate.go
+++ b/internal/entry/dispatch/gate.go
@@ -144,7 +144,7 @@
 	if g.offProbe || refusal.Code != code.DeadlineInfeasible || g.inside[t.req.Class] > 0 {
 		return false
 	}
-	t.req.FirstBy = 0
+	t.req.FirstTokenDeadline = 0
 	t.req.Deadline = g.clk.Now().Add(longest)
 	return true
 }
--- a/internal/policy/admit/request.go
+++ b/internal/policy/admit/request.go
@@ -20,7 +20,7 @@
 	Cached    int        // tokens of the prompt expected in a cache
 	MaxOutput int        // tokens; zero if the caller set none
 	Deadline  clock.Time // of the whole answer
-	FirstBy   clock.Time // of the first token; zero if it has none
+	FirstTokenDeadline   clock.Time // of the first token; zero if it has none
 	Value     any        // the caller's own
 
 	class   *class
@@ -50,8 +50,8 @@
 // latestStart is the last moment at which r can begin and end in time.
 func (r *Request) latestStart() clock.Time {
 	t := r.Deadline.Add(-r.run)
-	if r.FirstBy != 0 {
-		t = min(t, r.FirstBy.Add(-r.first))
+	if r.FirstTokenDeadline != 0 {
+		t = min(t, r.FirstTokenDeadline.Add(-r.first))
 	}
 	return t
 }
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -215,7 +215,7 @@
 		Caller:    fmt.Sprint("caller-", q.Caller),
 		Prompt:    q.Prompt,
 		Deadline:  q.Deadline,
-		FirstBy:   q.Arrive.Add(c.FirstToken),
+		FirstTokenDeadline:   q.Arrive.Add(c.FirstToken),
 		Value:     q,
 	}}
 	r.route = route.Request{Pool: pool, Prompt: q.Prompt, Urgent: c.Priority > 0}
