--- a/internal/entry/dispatch/gate.go
+++ b/internal/entry/dispatch/gate.go
@@ -92,7 +92,7 @@
 // count notes that t joins or leaves those who wait.
 func (g *gate) count(t *turn, n int) {
 	g.queued += n
-	g.tokens += n * t.req.Prompt
+	g.tokens += n * t.req.PromptTokens
 }
 
 // enter returns when t may be dispatched, or with its refusal, which is final.
--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -101,7 +101,7 @@
 	q.SetCapacity(0, slots)
 	var all []*Request
 	for i := range 60 {
-		r := &Request{Class: "question", Caller: fmt.Sprint(i), Workspace: "w", Prompt: question, Deadline: clock.Time(1200 * time.Millisecond)}
+		r := &Request{Class: "question", Caller: fmt.Sprint(i), Workspace: "w", PromptTokens: question, Deadline: clock.Time(1200 * time.Millisecond)}
 		if q.Offer(0, r).Err == nil {
 			all = append(all, r)
 		}
@@ -122,7 +122,7 @@
 	cfg.MaxQueued = 4
 	q := NewQueue(cfg)
 	offer := func(class, caller string, budget time.Duration) OfferResult {
-		return q.Offer(0, &Request{Class: class, Caller: caller, Workspace: caller, Prompt: question, Deadline: clock.Time(budget)})
+		return q.Offer(0, &Request{Class: class, Caller: caller, Workspace: caller, PromptTokens: question, Deadline: clock.Time(budget)})
 	}
 	assert.Equal(t, offer("question", "a", -1).Err.Code, code.DeadlinePassed)
 	never := offer("question", "a", time.Millisecond).Err
@@ -166,7 +166,7 @@
 				r := &Request{
 					Class: rapid.SampledFrom([]string{"commit", "question", "manifest"}).Draw(rt, "class"),
 					Key:   rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"), Caller: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "caller"),
-					Prompt: rapid.IntRange(1, 9000).Draw(rt, "prompt"), Deadline: now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(rt, "budget")) * time.Millisecond),
+					PromptTokens: rapid.IntRange(1, 9000).Draw(rt, "prompt"), Deadline: now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(rt, "budget")) * time.Millisecond),
 				}
 				open[r] = true
 				v := q.Offer(now, r)
--- a/internal/policy/admit/pool_test.go
+++ b/internal/policy/admit/pool_test.go
@@ -72,7 +72,7 @@
 
 func (p *pool) offer(s stream) {
 	now := p.loop.Now()
-	r := &Request{Class: s.class, Workspace: s.caller, Caller: s.caller, Key: s.key, Prompt: s.prompt, Deadline: now.Add(s.budget)}
+	r := &Request{Class: s.class, Workspace: s.caller, Caller: s.caller, Key: s.key, PromptTokens: s.prompt, Deadline: now.Add(s.budget)}
 	p.origin[r] = s.name
 	p.tallies[s.name].offered++
 	v := p.q.Offer(now, r)
@@ -128,7 +128,7 @@
 	q.SetCapacity(0, slots)
 	now := clock.Time(0)
 	offer := func() *code.Error {
-		return q.Offer(now, &Request{Class: "question", Workspace: "a", Caller: "a", Prompt: question, Deadline: now.Add(6 * time.Second)}).Err
+		return q.Offer(now, &Request{Class: "question", Workspace: "a", Caller: "a", PromptTokens: question, Deadline: now.Add(6 * time.Second)}).Err
 	}
 	for range 6 {
 		assert.Assert(t, offer() == nil)
--- a/internal/policy/admit/request.go
+++ b/internal/policy/admit/request.go
@@ -16,7 +16,7 @@
 	Workspace string
 	Caller    string
 	Key       string     // of the thing asked about, for the hot-key limit; may be empty
-	Prompt    int        // tokens
+	PromptTokens    int        // tokens
 	Cached    int        // tokens of the prompt expected in a cache
 	MaxOutput int        // tokens; zero if the caller set none
 	Deadline  clock.Time // of the whole answer
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -213,7 +213,7 @@
 		Class:     c.Name,
 		Workspace: fmt.Sprint("workspace-", q.Caller),
 		Caller:    fmt.Sprint("caller-", q.Caller),
-		Prompt:    q.Prompt,
+		PromptTokens:    q.Prompt,
 		Deadline:  q.Deadline,
 		FirstTokenDeadline:   q.Arrive.Add(c.FirstToken),
 		Value:     q,
