--- a/internal/policy/admit/queue.go
+++ b/internal/policy/admit/queue.go
@@ -156,7 +156,7 @@
 	if r.MaxOutput > 0 {
 		output = min(output, float64(r.MaxOutput))
 	}
-	prefill := time.Duration(max(r.PromptTokens-r.Cached, 0)) * q.rates.PrefillPerToken
+	prefill := time.Duration(max(r.PromptTokens-r.CachedTokens, 0)) * q.rates.PrefillPerToken
 	decode := time.Duration(output * float64(q.rates.DecodePerToken))
 	r.prefill = q.rates.Base + prefill
 	r.first = r.prefill + max(r.class.delay, 0)
