--- a/internal/capacity/traffic_test.go
+++ b/internal/capacity/traffic_test.go
@@ -130,7 +130,7 @@
 func requestOf(i int) *admit.Request {
 	return &admit.Request{
 		ID: writerOf(i), Class: "default", Workspace: fmt.Sprint("workspace-", i), Caller: fmt.Sprint("caller-", i),
-		PromptTokens: 2000, MaxOutput: 400, Deadline: clock.Time(time.Hour),
+		PromptTokens: 2000, MaxOutputTokens: 400, Deadline: clock.Time(time.Hour),
 	}
 }
 
--- a/internal/entry/dispatch/gate_test.go
+++ b/internal/entry/dispatch/gate_test.go
@@ -39,7 +39,7 @@
 	g := newGate(r, clk, "p", art, &sheet.Sheet{Classes: []sheet.Class{{Name: "question"}}})
 	g.offProbe = off
 	ask := func(deadline, first time.Duration) *code.Error {
-		q := &turn{req: admit.Request{Class: "question", PromptTokens: 10, MaxOutput: 10, Deadline: clk.Now().Add(deadline)}}
+		q := &turn{req: admit.Request{Class: "question", PromptTokens: 10, MaxOutputTokens: 10, Deadline: clk.Now().Add(deadline)}}
 		if err := g.enter(context.Background(), q); err != nil {
 			return err
 		}
--- a/internal/entry/dispatch/generate.go
+++ b/internal/entry/dispatch/generate.go
@@ -75,7 +75,7 @@
 	gate := d.gate(s.pool.Name, route.Artifact{Model: s.pool.Model, Version: s.pool.Version}, d.fleet.Sheet())
 	t := &turn{req: admit.Request{
 		ID: g.RequestID, Class: class.Name, Workspace: g.Workspace, Caller: g.Name,
-		PromptTokens: prompt, MaxOutput: g.MaxTokens, Deadline: deadlineOf(ctx, d.clk),
+		PromptTokens: prompt, MaxOutputTokens: g.MaxTokens, Deadline: deadlineOf(ctx, d.clk),
 	}}
 	// The class's first-token objective is no bound for admission: a request that
 	// misses it is still whole and on time, and the burn report shows the miss.
--- a/internal/entry/dispatch/service.go
+++ b/internal/entry/dispatch/service.go
@@ -53,7 +53,7 @@
 	g := d.gate(pool, route.Artifact{}, sh)
 	t := &turn{req: admit.Request{
 		ID: c.RequestID, Workspace: c.Workspace, Caller: c.Name, Key: c.Key,
-		MaxOutput: 1, Deadline: deadlineOf(ctx, d.clk),
+		MaxOutputTokens: 1, Deadline: deadlineOf(ctx, d.clk),
 	}}
 	if err := g.enter(ctx, t); err != nil {
 		d.counts.add(pool, func(t *Totals) { t.Refused++ })
--- a/internal/policy/admit/queue.go
+++ b/internal/policy/admit/queue.go
@@ -153,8 +153,8 @@
 // all its answers, so each takes only its part of the engine's time.
 func (q *Queue) estimate(r *Request) {
 	output := r.class.output
-	if r.MaxOutput > 0 {
-		output = min(output, float64(r.MaxOutput))
+	if r.MaxOutputTokens > 0 {
+		output = min(output, float64(r.MaxOutputTokens))
 	}
 	prefill := time.Duration(max(r.PromptTokens-r.CachedTokens, 0)) * q.rates.PrefillPerToken
 	decode := time.Duration(output * float64(q.rates.DecodePerToken))
--- a/internal/policy/admit/request.go
+++ b/internal/policy/admit/request.go
@@ -18,7 +18,7 @@
 	Key       string     // of the thing asked about, for the hot-key limit; may be empty
 	PromptTokens    int        // tokens
 	CachedTokens    int        // tokens of the prompt expected in a cache
-	MaxOutput int        // tokens; zero if the caller set none
+	MaxOutputTokens int        // tokens; zero if the caller set none
 	Deadline  clock.Time // of the whole answer
 	FirstTokenDeadline   clock.Time // of the first token; zero if it has none
 	Value     any        // the caller's own
