--- a/internal/entry/dispatch/gate.go
+++ b/internal/entry/dispatch/gate.go
@@ -55,7 +55,7 @@
 	}
 	for _, c := range s.Classes {
 		cfg.Classes = append(cfg.Classes, admit.Class{
-			Name: c.Name, Priority: top - c.Priority, Weight: 1, Output: assumedOutput,
+			Name: c.Name, Priority: top - c.Priority, Weight: 1, OutputTokens: assumedOutput,
 			Urgent: urgent(s.Classes, &c),
 		})
 	}
--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -22,9 +22,9 @@
 func testConfig(off Guards) Config {
 	return Config{
 		Classes: []Class{
-			{Name: "commit", Priority: 0, Output: 1},
-			{Name: "question", Priority: 1, Weight: 2, Output: 10},
-			{Name: "manifest", Priority: 1, Weight: 1, Output: 10},
+			{Name: "commit", Priority: 0, OutputTokens: 1},
+			{Name: "question", Priority: 1, Weight: 2, OutputTokens: 10},
+			{Name: "manifest", Priority: 1, Weight: 1, OutputTokens: 10},
 		},
 		Rates: Rates{PrefillPerToken: 100 * time.Microsecond, DecodePerToken: 10 * time.Millisecond, Batch: 1},
 		Disabled:   off,
--- a/internal/policy/admit/config.go
+++ b/internal/policy/admit/config.go
@@ -40,7 +40,7 @@
 	Name     string
 	Priority int     // 0 is served first; a lower class waits while a higher one has work
 	Weight   float64 // share among the classes of one priority
-	Output   int     // expected output tokens, until measured
+	OutputTokens   int     // expected output tokens, until measured
 	Urgent   bool    // sent with the engine's higher priority
 }
 
--- a/internal/policy/admit/queue.go
+++ b/internal/policy/admit/queue.go
@@ -80,7 +80,7 @@
 		codes:   map[code.Code]int64{},
 	}
 	for _, c := range cfg.Classes {
-		q.classes[c.Name] = &class{Class: c, output: float64(c.Output)}
+		q.classes[c.Name] = &class{Class: c, output: float64(c.OutputTokens)}
 		if !slices.ContainsFunc(q.levels, func(l *level) bool { return l.priority == c.Priority }) {
 			q.levels = append(q.levels, &level{priority: c.Priority, root: newFlow(nil, flowKey{}, 1)})
 		}
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -96,7 +96,7 @@
 		},
 	}
 	for _, c := range s.Config.Workload.Classes() {
-		ac.Classes = append(ac.Classes, admit.Class{Name: c.Name, Output: c.Output, Weight: 1, Urgent: c.Priority > 0})
+		ac.Classes = append(ac.Classes, admit.Class{Name: c.Name, OutputTokens: c.Output, Weight: 1, Urgent: c.Priority > 0})
 	}
 	if o.Admit != nil {
 		o.Admit(&ac)
