--- a/internal/entry/dispatch/gate_test.go
+++ b/internal/entry/dispatch/gate_test.go
@@ -45,7 +45,7 @@
 		}
 		g.placed(q)
 		clk.T = clk.T.Add(first + 100*time.Millisecond)
-		g.leave(q, admit.Measurement{OK: true, FirstToken: first, Step: 10 * time.Millisecond, Output: 10})
+		g.leave(q, admit.Measurement{OK: true, FirstToken: first, Step: 10 * time.Millisecond, OutputTokens: 10})
 		return nil
 	}
 	for range 60 {
--- a/internal/entry/dispatch/generate.go
+++ b/internal/entry/dispatch/generate.go
@@ -191,7 +191,7 @@
 
 // measured is what the request showed about the pool's rates.
 func (s *session) measured(err error) admit.Measurement {
-	m := admit.Measurement{OK: err == nil, Output: s.asm.Next()}
+	m := admit.Measurement{OK: err == nil, OutputTokens: s.asm.Next()}
 	if s.firstAt > 0 {
 		m.FirstToken = s.firstAt.Sub(s.began)
 		m.Step = s.step()
--- a/internal/entry/dispatch/service.go
+++ b/internal/entry/dispatch/service.go
@@ -62,7 +62,7 @@
 	// The endpoint counts it at once: nothing comes between here and there.
 	g.placed(t)
 	return func(ok bool) {
-		g.leave(t, admit.Measurement{OK: ok, Output: 1})
+		g.leave(t, admit.Measurement{OK: ok, OutputTokens: 1})
 		if ok && ctx.Err() == nil {
 			d.counts.add(pool, func(t *Totals) { t.OnTime++ })
 		}
--- a/internal/policy/admit/pool_test.go
+++ b/internal/policy/admit/pool_test.go
@@ -115,7 +115,7 @@
 	} else {
 		t.late++
 	}
-	p.q.Done(now, r, Measurement{OK: true, Output: 10})
+	p.q.Done(now, r, Measurement{OK: true, OutputTokens: 10})
 	p.pump()
 }
 
--- a/internal/policy/admit/serve.go
+++ b/internal/policy/admit/serve.go
@@ -183,7 +183,7 @@
 	OK         bool          // the answer was whole; only then do the rates learn
 	FirstToken time.Duration // from dispatch
 	Step       time.Duration // mean time between tokens
-	Output     int           // tokens
+	OutputTokens     int           // tokens
 }
 
 // Done ends a request that Next returned and learns from it.
@@ -208,8 +208,8 @@
 	if m.Step > 0 {
 		learn(&q.rates.DecodePerToken, m.Step)
 	}
-	if m.Output > 0 {
-		r.class.output += rateWeight * (float64(m.Output) - r.class.output)
+	if m.OutputTokens > 0 {
+		r.class.output += rateWeight * (float64(m.OutputTokens) - r.class.output)
 	}
 }
 
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -273,7 +273,7 @@
 	m := admit.Measurement{OK: o.OK}
 	if o.OK {
 		m.FirstToken = o.Request.Arrive.Add(o.FirstToken).Sub(r.sentAt)
-		m.Output = o.Request.Output
+		m.OutputTokens = o.Request.Output
 		m.Step = (o.Total - o.FirstToken) / time.Duration(max(o.Request.Output-1, 1))
 	}
 	if o.OK || now >= o.Request.Deadline {
