--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -189,7 +189,7 @@
 				r := running[0]
 				running = running[1:]
 				if rapid.Bool().Draw(rt, "again") {
-					q.Return(r)
+					q.Requeue(r)
 					continue
 				}
 				q.Done(now, r, Measurement{OK: true})
--- a/internal/policy/admit/serve.go
+++ b/internal/policy/admit/serve.go
@@ -149,9 +149,9 @@
 	}
 }
 
-// Return puts a request that Next returned back in front of its flow, because
+// Requeue puts a request that Next returned back in front of its flow, because
 // no endpoint took it or its attempt may be repeated.
-func (q *Queue) Return(r *Request) {
+func (q *Queue) Requeue(r *Request) {
 	if r.state != running {
 		return
 	}
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -262,7 +262,7 @@
 		return
 	}
 	a.router.Done(now, &r.dispatch, route.Canceled)
-	a.queue.Return(&r.admit)
+	a.queue.Requeue(&r.admit)
 }
 
 func (a admission) Done(now clock.Time, o loadtest.Outcome) {
