--- a/internal/policy/admit/refuse.go
+++ b/internal/policy/admit/refuse.go
@@ -53,7 +53,7 @@
 }
 
 func (q *Queue) comeBack(now clock.Time, r *Request, wait time.Duration) time.Duration {
-	return q.spread.After(now, max(wait, 0), q.drainTime(r, float64(r.cost)))
+	return q.spread.RetryAfter(now, max(wait, 0), q.drainTime(r, float64(r.cost)))
 }
 
 // makeRoom finds a queued request that has less claim to its place than r:
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -78,7 +78,7 @@
 		times := map[time.Duration]int{}
 		most := 0
 		for range 100 {
-			d := s.After(0, time.Second, 20*time.Millisecond).Truncate(100 * time.Millisecond)
+			d := s.RetryAfter(0, time.Second, 20*time.Millisecond).Truncate(100 * time.Millisecond)
 			times[d]++
 			most = max(most, times[d])
 		}
--- a/internal/policy/limit/spread.go
+++ b/internal/policy/limit/spread.go
@@ -31,9 +31,9 @@
 // everybody, for comparison.
 func NewSpreader(off bool) *Spreader { return &Spreader{off: off} }
 
-// After returns how long a refused request should stay away, when the queue
+// RetryAfter returns how long a refused request should stay away, when the queue
 // ahead takes wait to drain and the request itself adds cost to it.
-func (s *Spreader) After(now clock.Time, wait, cost time.Duration) time.Duration {
+func (s *Spreader) RetryAfter(now clock.Time, wait, cost time.Duration) time.Duration {
 	end := now.Add(wait)
 	if s.off {
 		return clamp(wait)
