--- a/internal/policy/route/dispatch.go
+++ b/internal/policy/route/dispatch.go
@@ -133,7 +133,7 @@
 	case Refused:
 	}
 	l.lim.Observe(now, limit.Sample{
-		FirstToken: d.firstRatio,
+		FirstTokenRatio: d.firstRatio,
 		Step:       d.stepRatio,
 		InFlight:   inFlight,
 		Overloaded: o == Refused,
