--- a/internal/policy/limit/limit.go
+++ b/internal/policy/limit/limit.go
@@ -77,7 +77,7 @@
 // Sample is what one request showed about its endpoint's load.
 type Sample struct {
 	FirstTokenRatio float64 // measured time to the first token over the unloaded one; zero if unknown
-	Step       float64 // measured time between tokens over the unloaded one; zero if unknown
+	StepRatio       float64 // measured time between tokens over the unloaded one; zero if unknown
 	Overloaded bool    // the endpoint refused the work
 	InFlight   int     // requests of this entry at the endpoint, this one included
 }
@@ -132,7 +132,7 @@
 	}
 	l.peak = max(l.peak, s.InFlight)
 	l.refused = l.refused || s.Overloaded
-	if worst := max(s.FirstTokenRatio, s.Step); worst > 0 {
+	if worst := max(s.FirstTokenRatio, s.StepRatio); worst > 0 {
 		l.sum += worst
 		l.n++
 	}
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -30,7 +30,7 @@
 		for _, l := range limiters {
 			ratio := max(1, float64(total)/float64(capacity))
 			for range 3 {
-				l.Observe(now, Sample{Step: ratio, InFlight: l.Limit()})
+				l.Observe(now, Sample{StepRatio: ratio, InFlight: l.Limit()})
 			}
 		}
 	}
--- a/internal/policy/route/dispatch.go
+++ b/internal/policy/route/dispatch.go
@@ -134,7 +134,7 @@
 	}
 	l.lim.Observe(now, limit.Sample{
 		FirstTokenRatio: d.firstRatio,
-		Step:       d.stepRatio,
+		StepRatio:       d.stepRatio,
 		InFlight:   inFlight,
 		Overloaded: o == Refused,
 	})
