--- a/internal/policy/limit/limit.go
+++ b/internal/policy/limit/limit.go
@@ -42,7 +42,7 @@
 
 // Config sets one limiter. Zero fields take the defaults.
 type Config struct {
-	Min, Max, Start int
+	Min, Max, Initial int
 	Target          float64       // tolerated ratio of measured to unloaded time
 	Window          time.Duration // one decision each
 	Backoff         float64       // factor when over Target
@@ -55,10 +55,10 @@
 	if c.Max == 0 {
 		c.Max = 64
 	}
-	if c.Start == 0 {
-		c.Start = c.Max / 2
+	if c.Initial == 0 {
+		c.Initial = c.Max / 2
 	}
-	c.Start = min(max(c.Start, c.Min), c.Max)
+	c.Initial = min(max(c.Initial, c.Min), c.Max)
 	if c.Target == 0 {
 		c.Target = defaultTarget
 	}
@@ -99,8 +99,8 @@
 // NewLimiter returns a limiter at cfg.Start.
 func NewLimiter(cfg Config) *Limiter {
 	l := &Limiter{cfg: cfg.withDefaults()}
-	l.exact = float64(l.cfg.Start)
-	l.limit.Store(int64(l.cfg.Start))
+	l.exact = float64(l.cfg.Initial)
+	l.limit.Store(int64(l.cfg.Initial))
 	return l
 }
 
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -15,7 +15,7 @@
 func share(cfg Config, entries, capacity int) []int {
 	limiters := make([]*Limiter, entries)
 	for i := range limiters {
-		cfg.Start = 2 + 6*i
+		cfg.Initial = 2 + 6*i
 		limiters[i] = NewLimiter(cfg)
 	}
 	for step := range 600 {
@@ -64,7 +64,7 @@
 }
 
 func TestRefusalShrinksAtOnce(t *testing.T) {
-	l := NewLimiter(Config{Max: 20, Start: 20})
+	l := NewLimiter(Config{Max: 20, Initial: 20})
 	l.Observe(1, Sample{Overloaded: true, InFlight: 20})
 	l.Observe(clock.Time(1).Add(defaultWindow), Sample{InFlight: 20})
 	assert.Equal(t, l.Limit(), 14)
--- a/internal/policy/route/fleet_test.go
+++ b/internal/policy/route/fleet_test.go
@@ -54,7 +54,7 @@
 	}
 	for i := range entries {
 		cfg := Config{Entries: entries, Off: off}
-		cfg.Limit.Max, cfg.Limit.Start, cfg.Limit.Fixed = 64, 64, true
+		cfg.Limit.Max, cfg.Limit.Initial, cfg.Limit.Fixed = 64, 64, true
 		cfg.Overcommit = 1000
 		r := NewRouter(cfg, uint64(i))
 		r.Publish(0, NewTable(cfg, eps))
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -52,7 +52,7 @@
 func TestHotPrefixIsBounded(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		cfg := Config{Credit: 50, Off: Guards{NoBound: off, NoAhead: true}}
-		cfg.Limit.Max, cfg.Limit.Start = 1000, 1000
+		cfg.Limit.Max, cfg.Limit.Initial = 1000, 1000
 		r := newRouter(cfg, fleet(12))
 		at := map[string]int{}
 		most := 0
--- a/internal/policy/route/router.go
+++ b/internal/policy/route/router.go
@@ -87,10 +87,10 @@
 	if c.Max == 0 {
 		c.Max = 2 * int(e.slots)
 	}
-	if c.Start == 0 {
+	if c.Initial == 0 {
 		// One entry's fair part of the slots, doubled: entries are seldom all
 		// busy at once, and the limiter takes back what is too much.
-		c.Start = max(2*int(e.slots)/r.sharers(), 1)
+		c.Initial = max(2*int(e.slots)/r.sharers(), 1)
 	}
 	return c
 }
