--- a/internal/entry/dispatch/generate.go
+++ b/internal/entry/dispatch/generate.go
@@ -136,7 +136,7 @@
 		last = s.attempt(ctx, place, x)
 		if last == nil {
 			s.d.suspects.Clear(s.d.clk.Now(), s.print)
-			s.d.retries.Success(s.pool.Name, s.g.Name)
+			s.d.retries.RecordSuccess(s.pool.Name, s.g.Name)
 			return nil
 		}
 		if ctx.Err() != nil || errors.Is(last, errSink) {
--- a/internal/entry/dispatch/service.go
+++ b/internal/entry/dispatch/service.go
@@ -80,7 +80,7 @@
 			Attempt: d.newAttempt(), Operation: c.Operation, Body: c.Body,
 		})
 		if err == nil {
-			d.retries.Success(pool, c.Name)
+			d.retries.RecordSuccess(pool, c.Name)
 			return body, nil
 		}
 		touched = touched || !untouched(err) && ep != nil
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Success earns budget for the pool and the caller.
-func (p *Policy) Success(pool, caller string) {
+// RecordSuccess earns budget for the pool and the caller.
+func (p *Policy) RecordSuccess(pool, caller string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pool(pool).earn(p.cfg)
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -42,7 +42,7 @@
 func storm(cfg Config) int {
 	p := New(cfg, 1)
 	for range 1000 {
-		p.Success("drafts", "caller")
+		p.RecordSuccess("drafts", "caller")
 	}
 	attempts := 0
 	for i := range 1000 {
@@ -82,12 +82,12 @@
 	a := Attempt{Pool: "p", Idempotent: true, Tries: 1}
 	assert.Assert(t, !New(Config{}, 1).Hedge(a))
 	p := New(Config{HedgeShare: 0.5}, 1)
-	p.Success("p", "c")
-	p.Success("p", "c")
+	p.RecordSuccess("p", "c")
+	p.RecordSuccess("p", "c")
 	assert.Assert(t, p.Hedge(a))
 	assert.Assert(t, !p.Hedge(a))
 	a.Idempotent = false
-	p.Success("p", "c")
-	p.Success("p", "c")
+	p.RecordSuccess("p", "c")
+	p.RecordSuccess("p", "c")
 	assert.Assert(t, !p.Hedge(a))
 }
