--- a/internal/entry/dispatch/generate.go
+++ b/internal/entry/dispatch/generate.go
@@ -176,7 +176,7 @@
 	default:
 		s.tries++
 		now := s.d.clk.Now()
-		d := s.d.retries.Failed(now, retry.Attempt{
+		d := s.d.retries.DecideRetry(now, retry.Attempt{
 			Pool: s.pool.Name, Caller: s.g.Name, Idempotent: true, Tries: s.tries,
 			Deadline: deadlineOf(ctx, s.d.clk), Err: numbered(ctx, err, !untouched(err), false),
 		})
--- a/internal/entry/dispatch/service.go
+++ b/internal/entry/dispatch/service.go
@@ -87,7 +87,7 @@
 		if ep == nil {
 			return nil, numbered(ctx, err, touched, false)
 		}
-		next := d.retries.Failed(d.clk.Now(), retry.Attempt{
+		next := d.retries.DecideRetry(d.clk.Now(), retry.Attempt{
 			Pool: pool, Caller: c.Name, Idempotent: true, Tries: n,
 			Deadline: deadlineOf(ctx, d.clk), Err: numbered(ctx, err, !untouched(err), false),
 		})
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -127,8 +127,8 @@
 	p.caller(caller).earn(p.cfg)
 }
 
-// Failed decides whether the attempt is repeated.
-func (p *Policy) Failed(now clock.Time, a Attempt) Decision {
+// DecideRetry decides whether the attempt is repeated.
+func (p *Policy) DecideRetry(now clock.Time, a Attempt) Decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -28,7 +28,7 @@
 		{"too late", Attempt{Idempotent: true, Deadline: 5, Expect: 10, Tries: 1, Err: failed(code.EndpointCut, code.Unknown)}, false, code.DeadlineInfeasible},
 		{"third try", Attempt{Idempotent: true, Deadline: later, Tries: 3, Err: failed(code.EndpointCut, code.Unknown)}, false, code.EndpointCut},
 	} {
-		d := New(Config{}, 1).Failed(1, x.attempt)
+		d := New(Config{}, 1).DecideRetry(1, x.attempt)
 		assert.Equal(t, d.Retry, x.retry, x.name)
 		if !x.retry {
 			assert.Equal(t, d.Err.Code, x.code, x.name)
@@ -49,7 +49,7 @@
 		a := Attempt{Pool: "drafts", Caller: string(rune(i)), Idempotent: true, Deadline: clock.Time(time.Hour), Err: failed(code.EndpointCut, code.Unknown)}
 		for a.Tries = 1; ; a.Tries++ {
 			attempts++
-			if !p.Failed(1, a).Retry {
+			if !p.DecideRetry(1, a).Retry {
 				break
 			}
 		}
@@ -69,13 +69,13 @@
 	a := Attempt{Pool: "drafts", Caller: "hot", Idempotent: true, Tries: 1, Deadline: clock.Time(time.Hour), Err: failed(code.EndpointCut, code.Unknown)}
 	retries := 0
 	for range 100 {
-		if p.Failed(1, a).Retry {
+		if p.DecideRetry(1, a).Retry {
 			retries++
 		}
 	}
 	assert.Equal(t, retries, int(defaultCallerBurst))
 	a.Caller = "other"
-	assert.Assert(t, p.Failed(1, a).Retry)
+	assert.Assert(t, p.DecideRetry(1, a).Retry)
 }
 
 func TestHedgeIsOffByDefault(t *testing.T) {
