--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -158,10 +158,10 @@
 	return Decision{Retry: true, After: after}
 }
 
-// Hedge says whether a second attempt may be sent while the first still runs.
+// AllowHedge says whether a second attempt may be sent while the first still runs.
 // It is off unless HedgeShare is set: a hedge costs a whole prefill, and the
 // slowness it hides is what ejection measures.
-func (p *Policy) Hedge(a Attempt) bool {
+func (p *Policy) AllowHedge(a Attempt) bool {
 	if p.cfg.HedgeShare == 0 || !a.Idempotent || a.Tries > 1 {
 		return false
 	}
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -80,14 +80,14 @@
 
 func TestHedgeIsOffByDefault(t *testing.T) {
 	a := Attempt{Pool: "p", Idempotent: true, Tries: 1}
-	assert.Assert(t, !New(Config{}, 1).Hedge(a))
+	assert.Assert(t, !New(Config{}, 1).AllowHedge(a))
 	p := New(Config{HedgeShare: 0.5}, 1)
 	p.RecordSuccess("p", "c")
 	p.RecordSuccess("p", "c")
-	assert.Assert(t, p.Hedge(a))
-	assert.Assert(t, !p.Hedge(a))
+	assert.Assert(t, p.AllowHedge(a))
+	assert.Assert(t, !p.AllowHedge(a))
 	a.Idempotent = false
 	p.RecordSuccess("p", "c")
 	p.RecordSuccess("p", "c")
-	assert.Assert(t, !p.Hedge(a))
+	assert.Assert(t, !p.AllowHedge(a))
 }
