--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -49,7 +49,7 @@
 	CallerBurst float64 // repeats saved up by a caller
 	MaxTries    int
 	Backoff     time.Duration
-	HedgeShare  float64 // hedges per success; zero turns hedging off
+	HedgeRatio  float64 // hedges per success; zero turns hedging off
 	NoBudget    bool    // turns the budget off, for comparison
 }
 
@@ -162,7 +162,7 @@
 // It is off unless HedgeShare is set: a hedge costs a whole prefill, and the
 // slowness it hides is what ejection measures.
 func (p *Policy) AllowHedge(a Attempt) bool {
-	if p.cfg.HedgeShare == 0 || !a.Idempotent || a.Tries > 1 {
+	if p.cfg.HedgeRatio == 0 || !a.Idempotent || a.Tries > 1 {
 		return false
 	}
 	p.mu.Lock()
@@ -218,7 +218,7 @@
 
 func (b *budget) earn(c Config) {
 	b.tokens = min(b.tokens+c.Ratio, b.most)
-	b.hedges = min(b.hedges+c.HedgeShare, 1)
+	b.hedges = min(b.hedges+c.HedgeRatio, 1)
 }
 
 func (p *Policy) pool(name string) *budget {
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -81,7 +81,7 @@
 func TestHedgeIsOffByDefault(t *testing.T) {
 	a := Attempt{Pool: "p", Idempotent: true, Tries: 1}
 	assert.Assert(t, !New(Config{}, 1).AllowHedge(a))
-	p := New(Config{HedgeShare: 0.5}, 1)
+	p := New(Config{HedgeRatio: 0.5}, 1)
 	p.RecordSuccess("p", "c")
 	p.RecordSuccess("p", "c")
 	assert.Assert(t, p.AllowHedge(a))
