--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -79,7 +79,7 @@
 	Idempotent bool
 	Tries      int           // made so far
 	Deadline   clock.Time    // of the request
-	Expect     time.Duration // that another attempt takes
+	ExpectedDuration     time.Duration // that another attempt takes
 	Err        *code.Error   // of the attempt; its Run says what is known
 }
 
@@ -144,10 +144,10 @@
 		return Decision{Err: a.Err}
 	}
 	after := p.backoff(a.Tries)
-	if now.Add(after+a.Expect) > a.Deadline {
+	if now.Add(after+a.ExpectedDuration) > a.Deadline {
 		p.stats.TooLate++
 		return Decision{Err: code.Wrap(code.DeadlineInfeasible, a.Err, "another try needs %s, has %s",
-			after+a.Expect, a.Deadline.Sub(now)).WithRun(a.Err.Run)}
+			after+a.ExpectedDuration, a.Deadline.Sub(now)).WithRun(a.Err.Run)}
 	}
 	if !p.spend(a) {
 		p.stats.OverBudget++
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -25,7 +25,7 @@
 		{"commit that was not sent", Attempt{Deadline: later, Tries: 1, Err: failed(code.EndpointRefused, code.NotRun)}, true, 0},
 		{"answered", Attempt{Idempotent: true, Deadline: later, Tries: 1, Err: failed(code.EndpointCut, code.Ran)}, false, code.EndpointCut},
 		{"poison", Attempt{Idempotent: true, Deadline: later, Tries: 1, Err: failed(code.Poison, code.Unknown)}, false, code.Poison},
-		{"too late", Attempt{Idempotent: true, Deadline: 5, Expect: 10, Tries: 1, Err: failed(code.EndpointCut, code.Unknown)}, false, code.DeadlineInfeasible},
+		{"too late", Attempt{Idempotent: true, Deadline: 5, ExpectedDuration: 10, Tries: 1, Err: failed(code.EndpointCut, code.Unknown)}, false, code.DeadlineInfeasible},
 		{"third try", Attempt{Idempotent: true, Deadline: later, Tries: 3, Err: failed(code.EndpointCut, code.Unknown)}, false, code.EndpointCut},
 	} {
 		d := New(Config{}, 1).DecideRetry(1, x.attempt)
