--- a/internal/entry/dispatch/generate.go
+++ b/internal/entry/dispatch/generate.go
@@ -183,7 +183,7 @@
 		if !d.Retry {
 			return false, d.Err
 		}
-		pause = d.After
+		pause = d.Delay
 	}
 	wait(ctx, pause)
 	return ctx.Err() == nil, err
--- a/internal/entry/dispatch/service.go
+++ b/internal/entry/dispatch/service.go
@@ -95,7 +95,7 @@
 			return nil, numbered(ctx, next.Err, touched, false)
 		}
 		exclude = append(exclude, ep)
-		wait(ctx, next.After)
+		wait(ctx, next.Delay)
 	}
 }
 
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -87,7 +87,7 @@
 // final answer.
 type Decision struct {
 	Retry bool
-	After time.Duration
+	Delay time.Duration
 	Err   *code.Error
 }
 
@@ -155,7 +155,7 @@
 			100*p.cfg.Ratio).WithRun(a.Err.Run).WithRetryAfter(a.Err.RetryAfter)}
 	}
 	p.stats.Retries++
-	return Decision{Retry: true, After: after}
+	return Decision{Retry: true, Delay: after}
 }
 
 // AllowHedge says whether a second attempt may be sent while the first still runs.
