--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,7 +30,7 @@
 	Budget  *repeat.Budget
 	Crashes *crash.Register
 	// Pressure is what endpoints say of the work that they take.
-	Pressure *backpressure.Register
+	Pressure *backpressure.Tracker
 	Pool     *exchange.Pool
 	Clock    clock.Clock
 	// Leaving tells whether this VM was told to stop.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -20,7 +20,7 @@
 type Exchange struct {
 	Clock    clock.Clock
 	Planner  *place.Planner
-	Pressure *backpressure.Register
+	Pressure *backpressure.Tracker
 	Crashes  *crash.Register
 	Catalog  *catalog.Store
 	Changes  *Changes
--- a/internal/policy/backpressure/limit.go
+++ b/internal/policy/backpressure/limit.go
@@ -66,7 +66,7 @@
 func (rec *record) rate() float64 { return max(rec.limit, leastLimit) }
 
 // fill brings both buckets up to now.
-func (r *Register) fill(now clock.Time, rec *record) {
+func (r *Tracker) fill(now clock.Time, rec *record) {
 	rate := rec.rate()
 	part := rate * r.shareNow(now)
 	rec.all.fill(now, rate)
@@ -75,7 +75,7 @@
 	rec.own.lapse(part)
 }
 
-func (r *Register) admits(now clock.Time, life Lifetime, rec *record) bool {
+func (r *Tracker) admits(now clock.Time, life Lifetime, rec *record) bool {
 	if now < rec.until || !rec.limited {
 		return now >= rec.until
 	}
@@ -95,7 +95,7 @@
 // asks tells whether this VM is the one that asks an endpoint whether its limit still holds: one
 // of those that have callers, another one for each endpoint. A VM that hears no other leaves it to
 // them.
-func (r *Register) asks(now clock.Time, life Lifetime) bool {
+func (r *Tracker) asks(now clock.Time, life Lifetime) bool {
 	own, heard := rankOf(r.Self, life), r.VMs() <= 1
 	for vm, p := range r.peers {
 		if now.Sub(p.at) > peerStale {
@@ -114,7 +114,7 @@
 }
 
 // Admits tells whether e takes a request now.
-func (r *Register) Admits(now clock.Time, e *catalog.Endpoint) bool {
+func (r *Tracker) Admits(now clock.Time, e *catalog.Endpoint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.known) == 0 {
@@ -126,7 +126,7 @@
 }
 
 // Take counts a request that is about to be sent to e. It returns false if e takes none now.
-func (r *Register) Take(now clock.Time, e *catalog.Endpoint) bool {
+func (r *Tracker) Take(now clock.Time, e *catalog.Endpoint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.known) == 0 {
@@ -147,7 +147,7 @@
 }
 
 // Count counts a request that is sent to e whatever it takes.
-func (r *Register) Count(now clock.Time, e *catalog.Endpoint) {
+func (r *Tracker) Count(now clock.Time, e *catalog.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if rec := r.known[LifetimeOf(e)]; rec != nil && rec.limited {
@@ -167,7 +167,7 @@
 // Wait is the time until one of list takes one more request than the queued ones: as this VM's part
 // of their limits has room, or as the time is over for which one wants to be left alone. It
 // returns false if none of them asks for either.
-func (r *Register) Wait(now clock.Time, list []*catalog.Endpoint, queued int) (time.Duration, bool) {
+func (r *Tracker) Wait(now clock.Time, list []*catalog.Endpoint, queued int) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var perSecond, level float64
@@ -195,7 +195,7 @@
 }
 
 // shareNow is the part of the callers' requests that comes to this VM.
-func (r *Register) shareNow(now clock.Time) float64 {
+func (r *Tracker) shareNow(now clock.Time) float64 {
 	if r.share > 0 && now.Sub(r.sharedAt) < shareFor {
 		return r.share
 	}
--- a/internal/policy/backpressure/limit_test.go
+++ b/internal/policy/backpressure/limit_test.go
@@ -53,7 +53,7 @@
 	*fleet
 	rng  *rand.Rand
 	now  clock.Time
-	vm   []*Register
+	vm   []*Tracker
 	due  []clock.Time
 	rate []float64
 	eps  []*catalog.Endpoint
@@ -88,7 +88,7 @@
 	return s.weights[i%len(s.weights)]
 }
 
-func (s *sim) newVM(i int) *Register {
+func (s *sim) newVM(i int) *Tracker {
 	r := New(s.rng.Uint64())
 	r.guards = s.guards
 	r.Self = fmt.Sprint(i)
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -37,8 +37,8 @@
 	return Lifetime(xxhash.Sum64String(e.ID) ^ splitmix.Mix(uint64(e.Born)))
 }
 
-// Register is what one VM knows of the endpoints' limits.
-type Register struct {
+// Tracker is what one VM knows of the endpoints' limits.
+type Tracker struct {
 	// Self is this VM's name among those that it hears of.
 	Self string
 	// Requests is the rate of callers' requests at this VM, and VMs is how many serve
@@ -86,15 +86,15 @@
 
 // New returns an empty register of a VM that knows of no other. Those of different processes
 // take different seeds, so that their parts of a small limit fall due one after the other.
-func New(seed uint64) *Register {
-	return &Register{
+func New(seed uint64) *Tracker {
+	return &Tracker{
 		Requests: func() float64 { return 0 }, VMs: func() int { return 1 }, News: func() {},
 		known: map[Lifetime]*record{}, peers: map[string]peer{}, seed: seed,
 	}
 }
 
 // Limited is how many endpoints name a limit.
-func (r *Register) Limited() int {
+func (r *Tracker) Limited() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -107,14 +107,14 @@
 }
 
 // Answered takes what e said with its answer to the request id, which was sent at sentAt.
-func (r *Register) Answered(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) {
+func (r *Tracker) Answered(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) {
 	if r.answered(now, sentAt, e, id, n) {
 		r.News()
 	}
 }
 
 // answered returns whether the answer says something new.
-func (r *Register) answered(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) bool {
+func (r *Tracker) answered(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.known[LifetimeOf(e)]
@@ -158,7 +158,7 @@
 	return true
 }
 
-func (r *Register) add(life Lifetime) *record {
+func (r *Tracker) add(life Lifetime) *record {
 	rec := &record{heard: map[string]uint32{}}
 	r.known[life] = rec
 	return rec
@@ -166,7 +166,7 @@
 
 // set takes what the endpoint said at saidAt. It returns whether that differs from what was
 // known.
-func (r *Register) set(now, saidAt clock.Time, rec *record, limited bool, limit float64) bool {
+func (r *Tracker) set(now, saidAt clock.Time, rec *record, limited bool, limit float64) bool {
 	changed := limited != rec.limited || limited && limit != rec.limit
 	if limited && !rec.limited {
 		rec.all, rec.own, rec.beganAt = bucket{at: now}, bucket{level: r.draw(), at: now}, now
@@ -179,7 +179,7 @@
 }
 
 // draw returns a pseudo-random number of 0 to 1.
-func (r *Register) draw() float64 {
+func (r *Tracker) draw() float64 {
 	r.seed = splitmix.Mix(r.seed)
 	return float64(r.seed>>11) / (1 << 53)
 }
@@ -201,7 +201,7 @@
 const forgetAfter = time.Minute
 
 // Follow forgets the endpoints that are gone.
-func (r *Register) Follow(now clock.Time, v *catalog.View) {
+func (r *Tracker) Follow(now clock.Time, v *catalog.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.known) == 0 {
--- a/internal/policy/backpressure/told.go
+++ b/internal/policy/backpressure/told.go
@@ -35,7 +35,7 @@
 }
 
 // Tell returns what the other VMs should know now.
-func (r *Register) Tell(now clock.Time) []Told {
+func (r *Tracker) Tell(now clock.Time) []Told {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Told
@@ -53,7 +53,7 @@
 }
 
 // Hear takes what another VM told.
-func (r *Register) Hear(now clock.Time, vm string, requests float64, told []Told) {
+func (r *Tracker) Hear(now clock.Time, vm string, requests float64, told []Told) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.peers[vm] = peer{requests, now}
@@ -62,7 +62,7 @@
 	}
 }
 
-func (r *Register) hear(now clock.Time, vm string, t *Told) {
+func (r *Tracker) hear(now clock.Time, vm string, t *Told) {
 	rec := r.known[t.Endpoint]
 	if rec == nil {
 		if !t.Said || !t.Limited {
@@ -79,7 +79,7 @@
 }
 
 // debit takes what vm has sent since it was last heard from the common bucket.
-func (rec *record) debit(now clock.Time, r *Register, vm string, sent uint32) {
+func (rec *record) debit(now clock.Time, r *Tracker, vm string, sent uint32) {
 	before, known := rec.heard[vm]
 	rec.heard[vm] = sent
 	if !rec.limited || sent == before {
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -122,7 +122,7 @@
 	planner  *place.Planner
 	budget   *repeat.Budget
 	crashes  *crash.Register
-	pressure *backpressure.Register
+	pressure *backpressure.Tracker
 	gateway  *gateway.Gateway
 	gossip   *gossip.Unit
 	exchange *gateway.Exchange
