--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -63,7 +63,7 @@
 }
 
 // noticesOf writes what is told of the endpoints' limits.
-func noticesOf(told []backpressure.Told) []*wire.EndpointNotice {
+func noticesOf(told []backpressure.Report) []*wire.EndpointNotice {
 	out := make([]*wire.EndpointNotice, 0, len(told))
 	for _, t := range told {
 		n := &wire.EndpointNotice{Endpoint: uint64(t.Endpoint), Sent: t.Sent}
@@ -76,10 +76,10 @@
 }
 
 // toldOf reads what noticesOf has written.
-func toldOf(notices []*wire.EndpointNotice) []backpressure.Told {
-	out := make([]backpressure.Told, 0, len(notices))
+func toldOf(notices []*wire.EndpointNotice) []backpressure.Report {
+	out := make([]backpressure.Report, 0, len(notices))
 	for _, n := range notices {
-		t := backpressure.Told{Endpoint: backpressure.Lifetime(n.GetEndpoint()), Sent: n.GetSent()}
+		t := backpressure.Report{Endpoint: backpressure.Lifetime(n.GetEndpoint()), Sent: n.GetSent()}
 		if age := n.GetSaidAgeMs(); age > 0 && backpressure.Valid(float64(n.GetLimit())) {
 			t.Said, t.Age = true, time.Duration(age-1)*time.Millisecond
 			t.Limited, t.Limit = n.GetLimited(), float64(n.GetLimit())
--- a/internal/policy/backpressure/told.go
+++ b/internal/policy/backpressure/told.go
@@ -24,8 +24,8 @@
 	at       clock.Time
 }
 
-// Told is what a VM tells the others of one endpoint.
-type Told struct {
+// Report is what a VM tells the others of one endpoint.
+type Report struct {
 	Endpoint Lifetime
 	Said     bool          // the endpoint has answered this VM
 	Age      time.Duration // of that answer
@@ -35,15 +35,15 @@
 }
 
 // Tell returns what the other VMs should know now.
-func (r *Tracker) Tell(now clock.Time) []Told {
+func (r *Tracker) Tell(now clock.Time) []Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []Told
+	var out []Report
 	for life, rec := range r.known {
 		if now.Sub(max(rec.usedAt, rec.newsAt)) > tellFor || len(out) == maxTold {
 			continue
 		}
-		t := Told{Endpoint: life, Sent: rec.sent}
+		t := Report{Endpoint: life, Sent: rec.sent}
 		if rec.toldAt != 0 {
 			t.Said, t.Age, t.Limited, t.Limit = true, now.Sub(rec.toldAt), rec.limited, rec.limit
 		}
@@ -53,7 +53,7 @@
 }
 
 // Hear takes what another VM told.
-func (r *Tracker) Hear(now clock.Time, vm string, requests float64, told []Told) {
+func (r *Tracker) Hear(now clock.Time, vm string, requests float64, told []Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.peers[vm] = peer{requests, now}
@@ -62,7 +62,7 @@
 	}
 }
 
-func (r *Tracker) hear(now clock.Time, vm string, t *Told) {
+func (r *Tracker) hear(now clock.Time, vm string, t *Report) {
 	rec := r.known[t.Endpoint]
 	if rec == nil {
 		if !t.Said || !t.Limited {
