--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -54,7 +54,7 @@
 	d := x.Planner.Demand(x.Clock.Now())
 	b.Demand = &wire.Demand{PrefillMs: uint32(1000 * d.Prefill), CentiStreams: uint32(100 * d.Streams)}
 	b.LeavingEndpoints = x.leaving.tell(x.Clock.Now())
-	b.Notices = noticesOf(x.Pressure.Tell(x.Clock.Now()))
+	b.Notices = noticesOf(x.Pressure.Reports(x.Clock.Now()))
 	for _, r := range x.Planner.Outstanding() {
 		b.Outstanding = append(b.Outstanding, &wire.Outstanding{
 			Endpoint: r.Endpoint, Running: uint32(r.Running), PendingUs: uint32(r.Pending.Microseconds()),
--- a/internal/policy/backpressure/limit_test.go
+++ b/internal/policy/backpressure/limit_test.go
@@ -141,7 +141,7 @@
 }
 
 func (s *sim) tell(i int) {
-	told := s.vm[i].Tell(s.now)
+	told := s.vm[i].Reports(s.now)
 	for j := range s.vm {
 		if j == i || i < s.alone || j < s.alone || s.rng.Float64() < s.loss {
 			continue
--- a/internal/policy/backpressure/register_test.go
+++ b/internal/policy/backpressure/register_test.go
@@ -42,7 +42,7 @@
 	assert.Assert(t, asked)
 	assert.Equal(t, wait, time.Second)
 	assert.Assert(t, r.Admits(at(2*time.Second+10), endpoint))
-	assert.Equal(t, len(r.Tell(late)), 0, "it concerns this VM only")
+	assert.Equal(t, len(r.Reports(late)), 0, "it concerns this VM only")
 	again := *endpoint
 	again.Born++
 	assert.Assert(t, r.Admits(late, &again), "another process has asked for nothing")
--- a/internal/policy/backpressure/told.go
+++ b/internal/policy/backpressure/told.go
@@ -34,8 +34,8 @@
 	Sent     uint32        // requests of this process
 }
 
-// Tell returns what the other VMs should know now.
-func (r *Tracker) Tell(now clock.Time) []Report {
+// Reports returns what the other VMs should know now.
+func (r *Tracker) Reports(now clock.Time) []Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Report
