--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -169,7 +169,7 @@
 	x.Planner.Hear(now, from, reports, place.Demand{
 		Prefill: float64(d.GetPrefillMs()) / 1000, Streams: float64(d.GetCentiStreams()) / 100,
 	})
-	x.Pressure.Hear(now, from, float64(b.GetRequests()), toldOf(b.GetNotices()))
+	x.Pressure.MergeReports(now, from, float64(b.GetRequests()), toldOf(b.GetNotices()))
 	for _, id := range b.GetChanging() {
 		x.Planner.Changing(now, id)
 		x.Ordered(id)
--- a/internal/policy/backpressure/limit_test.go
+++ b/internal/policy/backpressure/limit_test.go
@@ -146,7 +146,7 @@
 		if j == i || i < s.alone || j < s.alone || s.rng.Float64() < s.loss {
 			continue
 		}
-		s.vm[j].Hear(s.now, fmt.Sprint(i), s.vm[i].Requests(), told)
+		s.vm[j].MergeReports(s.now, fmt.Sprint(i), s.vm[i].Requests(), told)
 	}
 }
 
--- a/internal/policy/backpressure/told.go
+++ b/internal/policy/backpressure/told.go
@@ -52,8 +52,8 @@
 	return out
 }
 
-// Hear takes what another VM told.
-func (r *Tracker) Hear(now clock.Time, vm string, requests float64, told []Report) {
+// MergeReports takes what another VM told.
+func (r *Tracker) MergeReports(now clock.Time, vm string, requests float64, told []Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.peers[vm] = peer{requests, now}
