--- a/internal/policy/backpressure/told.go
+++ b/internal/policy/backpressure/told.go
@@ -27,7 +27,7 @@
 // Report is what a VM tells the others of one endpoint.
 type Report struct {
 	Endpoint Lifetime
-	Said     bool          // the endpoint has answered this VM
+	HasAnswer     bool          // the endpoint has answered this VM
 	Age      time.Duration // of that answer
 	Limited  bool          // by that answer
 	Limit    float64       // requests a second, if Limited
@@ -45,7 +45,7 @@
 		}
 		t := Report{Endpoint: life, Sent: rec.sent}
 		if rec.toldAt != 0 {
-			t.Said, t.Age, t.Limited, t.Limit = true, now.Sub(rec.toldAt), rec.limited, rec.limit
+			t.HasAnswer, t.Age, t.Limited, t.Limit = true, now.Sub(rec.toldAt), rec.limited, rec.limit
 		}
 		out = append(out, t)
 	}
@@ -65,12 +65,12 @@
 func (r *Tracker) hear(now clock.Time, vm string, t *Report) {
 	rec := r.known[t.Endpoint]
 	if rec == nil {
-		if !t.Said || !t.Limited {
+		if !t.HasAnswer || !t.Limited {
 			return
 		}
 		rec = r.add(t.Endpoint)
 	}
-	if saidAt := now.Add(-t.Age); t.Said && saidAt > rec.saidAt {
+	if saidAt := now.Add(-t.Age); t.HasAnswer && saidAt > rec.saidAt {
 		if r.set(now, saidAt, rec, t.Limited, t.Limit) && rec.mayLog(now) {
 			log.WithField("vm", vm).WithField("limited", t.Limited).WithField("per_second", t.Limit).Info("limit heard of a VM")
 		}
