--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -68,7 +68,7 @@
 	for _, t := range told {
 		n := &wire.EndpointNotice{Endpoint: uint64(t.Endpoint), Sent: t.Sent}
 		if t.HasAnswer {
-			n.SaidAgeMs, n.Limited, n.Limit = 1+uint32(t.Age.Milliseconds()), t.Limited, float32(t.Limit)
+			n.SaidAgeMs, n.Limited, n.Limit = 1+uint32(t.AnswerAge.Milliseconds()), t.Limited, float32(t.Limit)
 		}
 		out = append(out, n)
 	}
@@ -81,7 +81,7 @@
 	for _, n := range notices {
 		t := backpressure.Report{Endpoint: backpressure.Lifetime(n.GetEndpoint()), Sent: n.GetSent()}
 		if age := n.GetSaidAgeMs(); age > 0 && backpressure.Valid(float64(n.GetLimit())) {
-			t.HasAnswer, t.Age = true, time.Duration(age-1)*time.Millisecond
+			t.HasAnswer, t.AnswerAge = true, time.Duration(age-1)*time.Millisecond
 			t.Limited, t.Limit = n.GetLimited(), float64(n.GetLimit())
 		}
 		out = append(out, t)
--- a/internal/policy/backpressure/told.go
+++ b/internal/policy/backpressure/told.go
@@ -28,7 +28,7 @@
 type Report struct {
 	Endpoint Lifetime
 	HasAnswer     bool          // the endpoint has answered this VM
-	Age      time.Duration // of that answer
+	AnswerAge      time.Duration // of that answer
 	Limited  bool          // by that answer
 	Limit    float64       // requests a second, if Limited
 	Sent     uint32        // requests of this process
@@ -45,7 +45,7 @@
 		}
 		t := Report{Endpoint: life, Sent: rec.sent}
 		if rec.toldAt != 0 {
-			t.HasAnswer, t.Age, t.Limited, t.Limit = true, now.Sub(rec.toldAt), rec.limited, rec.limit
+			t.HasAnswer, t.AnswerAge, t.Limited, t.Limit = true, now.Sub(rec.toldAt), rec.limited, rec.limit
 		}
 		out = append(out, t)
 	}
@@ -70,7 +70,7 @@
 		}
 		rec = r.add(t.Endpoint)
 	}
-	if saidAt := now.Add(-t.Age); t.HasAnswer && saidAt > rec.saidAt {
+	if saidAt := now.Add(-t.AnswerAge); t.HasAnswer && saidAt > rec.saidAt {
 		if r.set(now, saidAt, rec, t.Limited, t.Limit) && rec.mayLog(now) {
 			log.WithField("vm", vm).WithField("limited", t.Limited).WithField("per_second", t.Limit).Info("limit heard of a VM")
 		}
