--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -17,7 +17,7 @@
 	if n.Leaving {
 		g.o.Leaves(e)
 	}
-	g.o.Pressure.Answered(g.o.Clock.Now(), sentAt, e, id, n)
+	g.o.Pressure.ObserveAnswer(g.o.Clock.Now(), sentAt, e, id, n)
 }
 
 // queue lists the requests that wait for the endpoints of a service to take one, by the order
--- a/internal/policy/backpressure/limit_test.go
+++ b/internal/policy/backpressure/limit_test.go
@@ -105,7 +105,7 @@
 	}
 	// The endpoints have told each VM.
 	for _, e := range s.eps {
-		r.Answered(s.now, s.now, e, "", Notice{Limited: true, Limit: s.limit})
+		r.ObserveAnswer(s.now, s.now, e, "", Notice{Limited: true, Limit: s.limit})
 	}
 	return r
 }
@@ -135,7 +135,7 @@
 		}
 		s.came[j] = append(s.came[j], s.now)
 		limited := s.ends == 0 || s.now < at(s.ends)
-		s.vm[i].Answered(s.now.Add(time.Millisecond), s.now, s.eps[j], "", Notice{Limited: limited, Limit: s.limit})
+		s.vm[i].ObserveAnswer(s.now.Add(time.Millisecond), s.now, s.eps[j], "", Notice{Limited: limited, Limit: s.limit})
 		return
 	}
 }
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -106,8 +106,8 @@
 	return n
 }
 
-// Answered takes what e said with its answer to the request id, which was sent at sentAt.
-func (r *Tracker) Answered(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) {
+// ObserveAnswer takes what e said with its answer to the request id, which was sent at sentAt.
+func (r *Tracker) ObserveAnswer(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) {
 	if r.answered(now, sentAt, e, id, n) {
 		r.News()
 	}
--- a/internal/policy/backpressure/register_test.go
+++ b/internal/policy/backpressure/register_test.go
@@ -18,24 +18,24 @@
 func TestALimitHoldsWhileTheEndpointNamesIt(t *testing.T) {
 	r := New(1)
 	named := Notice{Limited: true, Limit: 8}
-	r.Answered(at(10), at(0), endpoint, "1", Notice{})
+	r.ObserveAnswer(at(10), at(0), endpoint, "1", Notice{})
 	assert.Equal(t, r.Limited(), 0)
-	r.Answered(at(20), at(10), endpoint, "2", named)
+	r.ObserveAnswer(at(20), at(10), endpoint, "2", named)
 	assert.Equal(t, r.Limited(), 1)
-	r.Answered(at(30), at(15), endpoint, "3", Notice{})
+	r.ObserveAnswer(at(30), at(15), endpoint, "3", Notice{})
 	assert.Equal(t, r.Limited(), 1, "the answer to a request from before the limit says nothing of it")
-	r.Answered(at(40), at(35), endpoint, "4", Notice{Unreadable: true})
+	r.ObserveAnswer(at(40), at(35), endpoint, "4", Notice{Unreadable: true})
 	assert.Equal(t, r.Limited(), 1)
-	r.Answered(at(50), at(45), endpoint, "5", Notice{})
+	r.ObserveAnswer(at(50), at(45), endpoint, "5", Notice{})
 	assert.Equal(t, r.Limited(), 0)
 }
 
 func TestAnEndpointIsLeftAloneForAsLongAsItAsks(t *testing.T) {
 	r := New(1)
 	assert.Assert(t, r.Take(at(0), endpoint))
-	r.Answered(at(10), at(0), endpoint, "1", Notice{Away: 2 * time.Second})
-	r.Answered(at(20), at(0), endpoint, "2", Notice{Away: time.Second})
-	r.Answered(at(30), at(0), endpoint, "3", Notice{})
+	r.ObserveAnswer(at(10), at(0), endpoint, "1", Notice{Away: 2 * time.Second})
+	r.ObserveAnswer(at(20), at(0), endpoint, "2", Notice{Away: time.Second})
+	r.ObserveAnswer(at(30), at(0), endpoint, "3", Notice{})
 	late := at(2*time.Second + 9)
 	assert.Assert(t, !r.Admits(late, endpoint) && !r.Take(late, endpoint), "the longest time holds")
 	wait, asked := r.Wait(at(time.Second+10), []*catalog.Endpoint{endpoint}, 3)
@@ -50,7 +50,7 @@
 
 func TestANewProcessOfAnEndpointHasNamedNothing(t *testing.T) {
 	r := New(1)
-	r.Answered(at(10), at(0), endpoint, "1", Notice{Limited: true, Limit: 8})
+	r.ObserveAnswer(at(10), at(0), endpoint, "1", Notice{Limited: true, Limit: 8})
 	again := *endpoint
 	again.Born++
 	store := catalog.NewStore(&clock.Manual{})
