--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -192,7 +192,7 @@
 	switch {
 	case !x.g.o.Catalog.View().Takes(e):
 		return result{outcome: notSent, code: code.EndpointLeft, err: errLeft}, false
-	case !x.g.o.Pressure.Take(x.now(), e):
+	case !x.g.o.Pressure.TryAcquire(x.now(), e):
 		return result{outcome: notSent, code: code.EndpointsLimited, err: errLimited}, false
 	}
 	return result{}, true
--- a/internal/policy/backpressure/limit.go
+++ b/internal/policy/backpressure/limit.go
@@ -125,8 +125,8 @@
 	return rec == nil || r.admits(now, life, rec)
 }
 
-// Take counts a request that is about to be sent to e. It returns false if e takes none now.
-func (r *Tracker) Take(now clock.Time, e *catalog.Endpoint) bool {
+// TryAcquire counts a request that is about to be sent to e. It returns false if e takes none now.
+func (r *Tracker) TryAcquire(now clock.Time, e *catalog.Endpoint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.known) == 0 {
--- a/internal/policy/backpressure/limit_test.go
+++ b/internal/policy/backpressure/limit_test.go
@@ -130,7 +130,7 @@
 	start := s.rng.IntN(len(s.eps))
 	for k := range s.eps {
 		j := (start + k) % len(s.eps)
-		if !s.vm[i].Admits(s.now, s.eps[j]) || !s.vm[i].Take(s.now, s.eps[j]) {
+		if !s.vm[i].Admits(s.now, s.eps[j]) || !s.vm[i].TryAcquire(s.now, s.eps[j]) {
 			continue
 		}
 		s.came[j] = append(s.came[j], s.now)
