--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -231,7 +231,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	method, target := g.o.Codec.Release(h.Handle)
-	g.o.Pressure.Count(g.o.Clock.Now(), h.Holder)
+	g.o.Pressure.RecordSend(g.o.Clock.Now(), h.Holder)
 	at := h.Holder.Address
 	resp, err := g.o.Pool.Do(ctx, at, &exchange.Request{Method: method, Target: target, Host: at})
 	if err != nil {
--- a/internal/policy/backpressure/limit.go
+++ b/internal/policy/backpressure/limit.go
@@ -146,8 +146,8 @@
 	return true
 }
 
-// Count counts a request that is sent to e whatever it takes.
-func (r *Tracker) Count(now clock.Time, e *catalog.Endpoint) {
+// RecordSend counts a request that is sent to e whatever it takes.
+func (r *Tracker) RecordSend(now clock.Time, e *catalog.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if rec := r.known[LifetimeOf(e)]; rec != nil && rec.limited {
