--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -88,7 +88,7 @@
 	if !x.begun() {
 		ahead = x.queued.queue.ahead(x.queued.number)
 	}
-	wait, limited := x.g.o.Pressure.Wait(x.now(), x.untried(), ahead)
+	wait, limited := x.g.o.Pressure.EstimateWait(x.now(), x.untried(), ahead)
 	switch {
 	case !limited:
 		return result{outcome: notSent, code: code.NoEndpoint}, false
--- a/internal/policy/backpressure/limit.go
+++ b/internal/policy/backpressure/limit.go
@@ -164,10 +164,10 @@
 	rec.usedAt = now
 }
 
-// Wait is the time until one of list takes one more request than the queued ones: as this VM's part
+// EstimateWait is the time until one of list takes one more request than the queued ones: as this VM's part
 // of their limits has room, or as the time is over for which one wants to be left alone. It
 // returns false if none of them asks for either.
-func (r *Tracker) Wait(now clock.Time, list []*catalog.Endpoint, queued int) (time.Duration, bool) {
+func (r *Tracker) EstimateWait(now clock.Time, list []*catalog.Endpoint, queued int) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var perSecond, level float64
--- a/internal/policy/backpressure/register_test.go
+++ b/internal/policy/backpressure/register_test.go
@@ -38,7 +38,7 @@
 	r.ObserveAnswer(at(30), at(0), endpoint, "3", Notice{})
 	late := at(2*time.Second + 9)
 	assert.Assert(t, !r.Admits(late, endpoint) && !r.TryAcquire(late, endpoint), "the longest time holds")
-	wait, asked := r.Wait(at(time.Second+10), []*catalog.Endpoint{endpoint}, 3)
+	wait, asked := r.EstimateWait(at(time.Second+10), []*catalog.Endpoint{endpoint}, 3)
 	assert.Assert(t, asked)
 	assert.Equal(t, wait, time.Second)
 	assert.Assert(t, r.Admits(at(2*time.Second+10), endpoint))
