--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -128,7 +128,7 @@
 		changed := g.o.Catalog.Changed()
 		v := g.o.Catalog.View()
 		g.o.Planner.Follow(v)
-		g.o.Pressure.Follow(g.o.Clock.Now(), v)
+		g.o.Pressure.ObserveCatalog(g.o.Clock.Now(), v)
 		keep := map[string]bool{}
 		for _, e := range v.All() {
 			keep[e.Address] = true
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -200,8 +200,8 @@
 // come back after an outage of their store.
 const forgetAfter = time.Minute
 
-// Follow forgets the endpoints that are gone.
-func (r *Tracker) Follow(now clock.Time, v *catalog.View) {
+// ObserveCatalog forgets the endpoints that are gone.
+func (r *Tracker) ObserveCatalog(now clock.Time, v *catalog.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.known) == 0 {
--- a/internal/policy/backpressure/register_test.go
+++ b/internal/policy/backpressure/register_test.go
@@ -55,8 +55,8 @@
 	again.Born++
 	store := catalog.NewStore(&clock.Manual{})
 	store.SetEndpoint(&again)
-	r.Follow(at(forgetAfter), store.View())
+	r.ObserveCatalog(at(forgetAfter), store.View())
 	assert.Equal(t, r.Limited(), 1, "an entry may come back")
-	r.Follow(at(forgetAfter+time.Second), store.View())
+	r.ObserveCatalog(at(forgetAfter+time.Second), store.View())
 	assert.Equal(t, r.Limited(), 0)
 }
