--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Limited is how many endpoints name a limit.
-func (r *Tracker) Limited() int {
+// LimitedCount is how many endpoints name a limit.
+func (r *Tracker) LimitedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
--- a/internal/policy/backpressure/register_test.go
+++ b/internal/policy/backpressure/register_test.go
@@ -19,15 +19,15 @@
 	r := New(1)
 	named := Notice{Limited: true, Limit: 8}
 	r.ObserveAnswer(at(10), at(0), endpoint, "1", Notice{})
-	assert.Equal(t, r.Limited(), 0)
+	assert.Equal(t, r.LimitedCount(), 0)
 	r.ObserveAnswer(at(20), at(10), endpoint, "2", named)
-	assert.Equal(t, r.Limited(), 1)
+	assert.Equal(t, r.LimitedCount(), 1)
 	r.ObserveAnswer(at(30), at(15), endpoint, "3", Notice{})
-	assert.Equal(t, r.Limited(), 1, "the answer to a request from before the limit says nothing of it")
+	assert.Equal(t, r.LimitedCount(), 1, "the answer to a request from before the limit says nothing of it")
 	r.ObserveAnswer(at(40), at(35), endpoint, "4", Notice{Unreadable: true})
-	assert.Equal(t, r.Limited(), 1)
+	assert.Equal(t, r.LimitedCount(), 1)
 	r.ObserveAnswer(at(50), at(45), endpoint, "5", Notice{})
-	assert.Equal(t, r.Limited(), 0)
+	assert.Equal(t, r.LimitedCount(), 0)
 }
 
 func TestAnEndpointIsLeftAloneForAsLongAsItAsks(t *testing.T) {
@@ -56,7 +56,7 @@
 	store := catalog.NewStore(&clock.Manual{})
 	store.SetEndpoint(&again)
 	r.ObserveCatalog(at(forgetAfter), store.View())
-	assert.Equal(t, r.Limited(), 1, "an entry may come back")
+	assert.Equal(t, r.LimitedCount(), 1, "an entry may come back")
 	r.ObserveCatalog(at(forgetAfter+time.Second), store.View())
-	assert.Equal(t, r.Limited(), 0)
+	assert.Equal(t, r.LimitedCount(), 0)
 }
