--- a/internal/policy/backpressure/notice.go
+++ b/internal/policy/backpressure/notice.go
@@ -13,8 +13,8 @@
 	Limited bool
 	Limit   float64 // requests a second from all VMs together, if Limited
 	Leaving bool    // it wants no new requests, of any VM
-	// Away is how long it wants no requests of the VM that it answers.
-	Away time.Duration
+	// RetryAfter is how long it wants no requests of the VM that it answers.
+	RetryAfter time.Duration
 	// Unreadable tells that the endpoint said something that can't be read: the limit that
 	// it named before still holds.
 	Unreadable bool
@@ -32,7 +32,7 @@
 func Parse(f Fields) Notice {
 	n := parseLimit(f.Limit)
 	away, ok := parseAgain(f.Again, f.Now)
-	n.Away = away
+	n.RetryAfter = away
 	n.Unreadable = n.Unreadable || !ok
 	if f.Leaving = strings.TrimSpace(f.Leaving); f.Leaving == "" {
 		return n
--- a/internal/policy/backpressure/notice_test.go
+++ b/internal/policy/backpressure/notice_test.go
@@ -29,14 +29,14 @@
 		{Leaving: "soon"}:               {Unreadable: true},
 		{Limit: "2", Leaving: "1"}:      {Limited: true, Limit: 2, Leaving: true},
 		{Limit: "many", Leaving: " 1 "}: {Unreadable: true, Leaving: true},
-		{Again: "2"}:                    {Away: 2 * time.Second},
-		{Again: "0.25"}:                 {Away: 250 * time.Millisecond},
-		{Again: "3600"}:                 {Away: time.Hour},
-		{Again: "1e30"}:                 {Away: longestAway},
+		{Again: "2"}:                    {RetryAfter: 2 * time.Second},
+		{Again: "0.25"}:                 {RetryAfter: 250 * time.Millisecond},
+		{Again: "3600"}:                 {RetryAfter: time.Hour},
+		{Again: "1e30"}:                 {RetryAfter: longestAway},
 		{Again: "-1"}:                   {Unreadable: true},
 		{Again: "NaN"}:                  {Unreadable: true},
 		{Again: "later"}:                {Unreadable: true},
-		{Again: "Fri, 01 Jan 2027 00:00:05 GMT", Now: newYear}: {Away: 5 * time.Second},
+		{Again: "Fri, 01 Jan 2027 00:00:05 GMT", Now: newYear}: {RetryAfter: 5 * time.Second},
 		{Again: "Thu, 31 Dec 2026 23:00:00 GMT", Now: newYear}: {},
 	} {
 		assert.Equal(t, Parse(fields), want, "%+v", fields)
@@ -49,7 +49,7 @@
 	f.Add("0x1p-2", "", "Fri, 01 Jan 2027 00:00:05 GMT")
 	f.Fuzz(func(t *testing.T, limit, leaving, again string) {
 		n := Parse(Fields{Limit: limit, Leaving: leaving, Again: again, Now: newYear})
-		assert.Assert(t, n.Away >= 0 && n.Away <= longestAway)
+		assert.Assert(t, n.RetryAfter >= 0 && n.RetryAfter <= longestAway)
 		assert.Assert(t, n.Limit >= 0)
 	})
 }
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -118,7 +118,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.known[LifetimeOf(e)]
-	if rec == nil && !n.Limited && !n.Unreadable && n.Away == 0 {
+	if rec == nil && !n.Limited && !n.Unreadable && n.RetryAfter == 0 {
 		return false
 	}
 	if rec == nil {
@@ -127,10 +127,10 @@
 	line := func() *log.Entry {
 		return log.WithField("endpoint", e.ID).WithField("service", e.Service).WithField("per_second", rec.limit).WithField("id", id)
 	}
-	if until := now.Add(n.Away); n.Away > 0 && until > rec.until {
+	if until := now.Add(n.RetryAfter); n.RetryAfter > 0 && until > rec.until {
 		rec.until = until
 		if rec.mayLog(now) {
-			line().WithField("ms", n.Away.Milliseconds()).Info("endpoint asks for time")
+			line().WithField("ms", n.RetryAfter.Milliseconds()).Info("endpoint asks for time")
 		}
 	}
 	switch {
--- a/internal/policy/backpressure/register_test.go
+++ b/internal/policy/backpressure/register_test.go
@@ -33,8 +33,8 @@
 func TestAnEndpointIsLeftAloneForAsLongAsItAsks(t *testing.T) {
 	r := New(1)
 	assert.Assert(t, r.TryAcquire(at(0), endpoint))
-	r.ObserveAnswer(at(10), at(0), endpoint, "1", Notice{Away: 2 * time.Second})
-	r.ObserveAnswer(at(20), at(0), endpoint, "2", Notice{Away: time.Second})
+	r.ObserveAnswer(at(10), at(0), endpoint, "1", Notice{RetryAfter: 2 * time.Second})
+	r.ObserveAnswer(at(20), at(0), endpoint, "2", Notice{RetryAfter: time.Second})
 	r.ObserveAnswer(at(30), at(0), endpoint, "3", Notice{})
 	late := at(2*time.Second + 9)
 	assert.Assert(t, !r.Admits(late, endpoint) && !r.TryAcquire(late, endpoint), "the longest time holds")
