--- a/internal/policy/backpressure/notice.go
+++ b/internal/policy/backpressure/notice.go
@@ -15,9 +15,9 @@
 	Leaving bool    // it wants no new requests, of any VM
 	// RetryAfter is how long it wants no requests of the VM that it answers.
 	RetryAfter time.Duration
-	// Unreadable tells that the endpoint said something that can't be read: the limit that
+	// Malformed tells that the endpoint said something that can't be read: the limit that
 	// it named before still holds.
-	Unreadable bool
+	Malformed bool
 }
 
 // Fields are the texts by which an endpoint gives notice, empty ones if there are none.
@@ -33,13 +33,13 @@
 	n := parseLimit(f.Limit)
 	away, ok := parseAgain(f.Again, f.Now)
 	n.RetryAfter = away
-	n.Unreadable = n.Unreadable || !ok
+	n.Malformed = n.Malformed || !ok
 	if f.Leaving = strings.TrimSpace(f.Leaving); f.Leaving == "" {
 		return n
 	}
 	leaving, err := strconv.ParseBool(f.Leaving)
 	n.Leaving = leaving
-	n.Unreadable = n.Unreadable || err != nil
+	n.Malformed = n.Malformed || err != nil
 	return n
 }
 
@@ -75,7 +75,7 @@
 	}
 	limit, err := strconv.ParseFloat(text, 64)
 	if err != nil || !Valid(limit) {
-		return Notice{Unreadable: true}
+		return Notice{Malformed: true}
 	}
 	return Notice{Limited: true, Limit: limit}
 }
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -118,7 +118,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.known[LifetimeOf(e)]
-	if rec == nil && !n.Limited && !n.Unreadable && n.RetryAfter == 0 {
+	if rec == nil && !n.Limited && !n.Malformed && n.RetryAfter == 0 {
 		return false
 	}
 	if rec == nil {
@@ -134,7 +134,7 @@
 		}
 	}
 	switch {
-	case n.Unreadable:
+	case n.Malformed:
 		if rec.mayLog(now) {
 			line().Warn("endpoint's notice not understood")
 		}
--- a/internal/policy/backpressure/register_test.go
+++ b/internal/policy/backpressure/register_test.go
@@ -24,7 +24,7 @@
 	assert.Equal(t, r.LimitedCount(), 1)
 	r.ObserveAnswer(at(30), at(15), endpoint, "3", Notice{})
 	assert.Equal(t, r.LimitedCount(), 1, "the answer to a request from before the limit says nothing of it")
-	r.ObserveAnswer(at(40), at(35), endpoint, "4", Notice{Unreadable: true})
+	r.ObserveAnswer(at(40), at(35), endpoint, "4", Notice{Malformed: true})
 	assert.Equal(t, r.LimitedCount(), 1)
 	r.ObserveAnswer(at(50), at(45), endpoint, "5", Notice{})
 	assert.Equal(t, r.LimitedCount(), 0)
