--- a/internal/policy/backpressure/notice.go
+++ b/internal/policy/backpressure/notice.go
@@ -24,14 +24,14 @@
 type Fields struct {
 	Limit   string // a decimal number of requests a second
 	Leaving string // 1 if it leaves
-	Again   string // seconds, or a date, after which to come back; of refusals only
+	RetryAfter   string // seconds, or a date, after which to come back; of refusals only
 	Now     time.Time
 }
 
 // Parse reads an endpoint's notice.
 func Parse(f Fields) Notice {
 	n := parseLimit(f.Limit)
-	away, ok := parseAgain(f.Again, f.Now)
+	away, ok := parseAgain(f.RetryAfter, f.Now)
 	n.RetryAfter = away
 	n.Malformed = n.Malformed || !ok
 	if f.Leaving = strings.TrimSpace(f.Leaving); f.Leaving == "" {
