--- a/internal/policy/backpressure/notice.go
+++ b/internal/policy/backpressure/notice.go
@@ -63,8 +63,8 @@
 	return time.Duration(min(s, longestAway.Seconds()) * float64(time.Second)), true
 }
 
-// Valid tells whether an endpoint can mean such a limit.
-func Valid(limit float64) bool { return limit >= 0 && !math.IsInf(limit, 1) }
+// ValidLimit tells whether an endpoint can mean such a limit.
+func ValidLimit(limit float64) bool { return limit >= 0 && !math.IsInf(limit, 1) }
 
 // parseLimit reads the decimal number of requests a second that an endpoint names. An
 // empty text names no limit.
@@ -74,7 +74,7 @@
 		return Notice{}
 	}
 	limit, err := strconv.ParseFloat(text, 64)
-	if err != nil || !Valid(limit) {
+	if err != nil || !ValidLimit(limit) {
 		return Notice{Malformed: true}
 	}
 	return Notice{Limited: true, Limit: limit}
