--- a/internal/policy/backpressure/limit.go
+++ b/internal/policy/backpressure/limit.go
@@ -199,7 +199,7 @@
 	if r.share > 0 && now.Sub(r.sharedAt) < shareFor {
 		return r.share
 	}
-	own := max(r.Requests(), leastRequests)
+	own := max(r.RequestRate(), leastRequests)
 	sum, n := own, 1
 	for vm, p := range r.peers {
 		if now.Sub(p.at) > peerStale {
--- a/internal/policy/backpressure/limit_test.go
+++ b/internal/policy/backpressure/limit_test.go
@@ -92,7 +92,7 @@
 	r := New(s.rng.Uint64())
 	r.guards = s.guards
 	r.Self = fmt.Sprint(i)
-	r.Requests = func() float64 {
+	r.RequestRate = func() float64 {
 		if s.now < at(s.idle) {
 			return 0
 		}
@@ -146,7 +146,7 @@
 		if j == i || i < s.alone || j < s.alone || s.rng.Float64() < s.loss {
 			continue
 		}
-		s.vm[j].MergeReports(s.now, fmt.Sprint(i), s.vm[i].Requests(), told)
+		s.vm[j].MergeReports(s.now, fmt.Sprint(i), s.vm[i].RequestRate(), told)
 	}
 }
 
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -41,9 +41,9 @@
 type Tracker struct {
 	// Self is this VM's name among those that it hears of.
 	Self string
-	// Requests is the rate of callers' requests at this VM, and VMs is how many serve
+	// RequestRate is the rate of callers' requests at this VM, and VMs is how many serve
 	// callers. They are set before the first use.
-	Requests func() float64
+	RequestRate func() float64
 	VMs      func() int
 	// News is called when an endpoint has said something that other VMs should know soon.
 	News func()
@@ -88,7 +88,7 @@
 // take different seeds, so that their parts of a small limit fall due one after the other.
 func New(seed uint64) *Tracker {
 	return &Tracker{
-		Requests: func() float64 { return 0 }, VMs: func() int { return 1 }, News: func() {},
+		RequestRate: func() float64 { return 0 }, VMs: func() int { return 1 }, News: func() {},
 		known: map[Lifetime]*record{}, peers: map[string]peer{}, seed: seed,
 	}
 }
