--- a/internal/policy/backpressure/limit.go
+++ b/internal/policy/backpressure/limit.go
@@ -96,7 +96,7 @@
 // of those that have callers, another one for each endpoint. A VM that hears no other leaves it to
 // them.
 func (r *Tracker) asks(now clock.Time, life Lifetime) bool {
-	own, heard := rankOf(r.Self, life), r.VMs() <= 1
+	own, heard := rankOf(r.Self, life), r.VMCount() <= 1
 	for vm, p := range r.peers {
 		if now.Sub(p.at) > peerStale {
 			continue
@@ -209,7 +209,7 @@
 		sum += max(p.requests, leastRequests)
 		n++
 	}
-	vms := max(r.VMs(), n)
+	vms := max(r.VMCount(), n)
 	r.share, r.sharedAt, r.vms = own/(sum+sum/float64(n)*float64(vms-n)), now, vms
 	if r.guards.equal {
 		r.share = 1 / float64(vms)
--- a/internal/policy/backpressure/limit_test.go
+++ b/internal/policy/backpressure/limit_test.go
@@ -99,9 +99,9 @@
 		return s.rate[i]
 	}
 	r.News = func() { s.due[i] = min(s.due[i], s.now.Add(s.period/urgent)) }
-	r.VMs = func() int { return max(s.believed, 1) }
+	r.VMCount = func() int { return max(s.believed, 1) }
 	if s.believed == 0 {
-		r.VMs = func() int { return s.vms }
+		r.VMCount = func() int { return s.vms }
 	}
 	// The endpoints have told each VM.
 	for _, e := range s.eps {
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -44,7 +44,7 @@
 	// RequestRate is the rate of callers' requests at this VM, and VMs is how many serve
 	// callers. They are set before the first use.
 	RequestRate func() float64
-	VMs      func() int
+	VMCount      func() int
 	// News is called when an endpoint has said something that other VMs should know soon.
 	News func()
 
@@ -88,7 +88,7 @@
 // take different seeds, so that their parts of a small limit fall due one after the other.
 func New(seed uint64) *Tracker {
 	return &Tracker{
-		RequestRate: func() float64 { return 0 }, VMs: func() int { return 1 }, News: func() {},
+		RequestRate: func() float64 { return 0 }, VMCount: func() int { return 1 }, News: func() {},
 		known: map[Lifetime]*record{}, peers: map[string]peer{}, seed: seed,
 	}
 }
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -166,7 +166,7 @@
 	})
 	n.planner.Admits = n.pressure.Admits
 	n.pressure.Self = o.Self.Peer
-	n.pressure.RequestRate, n.pressure.VMs = n.gateway.Rate, n.members.Serving
+	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.Rate, n.members.Serving
 	n.orders.Leaves = n.leaves
 	n.exchange = &gateway.Exchange{
 		Clock: c, Planner: n.planner, Pressure: n.pressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.changes,
