--- a/internal/policy/backpressure/limit_test.go
+++ b/internal/policy/backpressure/limit_test.go
@@ -98,7 +98,7 @@
 		}
 		return s.rate[i]
 	}
-	r.News = func() { s.due[i] = min(s.due[i], s.now.Add(s.period/urgent)) }
+	r.OnChange = func() { s.due[i] = min(s.due[i], s.now.Add(s.period/urgent)) }
 	r.VMCount = func() int { return max(s.believed, 1) }
 	if s.believed == 0 {
 		r.VMCount = func() int { return s.vms }
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -45,8 +45,8 @@
 	// callers. They are set before the first use.
 	RequestRate func() float64
 	VMCount      func() int
-	// News is called when an endpoint has said something that other VMs should know soon.
-	News func()
+	// OnChange is called when an endpoint has said something that other VMs should know soon.
+	OnChange func()
 
 	mu       sync.Mutex
 	known    map[Lifetime]*record
@@ -88,7 +88,7 @@
 // take different seeds, so that their parts of a small limit fall due one after the other.
 func New(seed uint64) *Tracker {
 	return &Tracker{
-		RequestRate: func() float64 { return 0 }, VMCount: func() int { return 1 }, News: func() {},
+		RequestRate: func() float64 { return 0 }, VMCount: func() int { return 1 }, OnChange: func() {},
 		known: map[Lifetime]*record{}, peers: map[string]peer{}, seed: seed,
 	}
 }
@@ -109,7 +109,7 @@
 // ObserveAnswer takes what e said with its answer to the request id, which was sent at sentAt.
 func (r *Tracker) ObserveAnswer(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) {
 	if r.answered(now, sentAt, e, id, n) {
-		r.News()
+		r.OnChange()
 	}
 }
 
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -176,7 +176,7 @@
 		n.exchange.Time, n.exchange.Usage = n.time, n.usage
 	}
 	n.gossip = gossip.NewUnit(n.members, n.exchange)
-	n.pressure.News = n.gossip.Soon
+	n.pressure.OnChange = n.gossip.Soon
 	if n.fresh != nil {
 		n.gossip.Knowledge = &knowledge{n}
 	}
