--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -79,7 +79,7 @@
 func toldOf(notices []*wire.EndpointNotice) []backpressure.Report {
 	out := make([]backpressure.Report, 0, len(notices))
 	for _, n := range notices {
-		t := backpressure.Report{Endpoint: backpressure.Lifetime(n.GetEndpoint()), Sent: n.GetSent()}
+		t := backpressure.Report{Endpoint: backpressure.IncarnationID(n.GetEndpoint()), Sent: n.GetSent()}
 		if age := n.GetSaidAgeMs(); age > 0 && backpressure.ValidLimit(float64(n.GetLimit())) {
 			t.HasAnswer, t.AnswerAge = true, time.Duration(age-1)*time.Millisecond
 			t.Limited, t.Limit = n.GetLimited(), float64(n.GetLimit())
--- a/internal/policy/backpressure/limit.go
+++ b/internal/policy/backpressure/limit.go
@@ -75,7 +75,7 @@
 	rec.own.lapse(part)
 }
 
-func (r *Tracker) admits(now clock.Time, life Lifetime, rec *record) bool {
+func (r *Tracker) admits(now clock.Time, life IncarnationID, rec *record) bool {
 	if now < rec.until || !rec.limited {
 		return now >= rec.until
 	}
@@ -95,7 +95,7 @@
 // asks tells whether this VM is the one that asks an endpoint whether its limit still holds: one
 // of those that have callers, another one for each endpoint. A VM that hears no other leaves it to
 // them.
-func (r *Tracker) asks(now clock.Time, life Lifetime) bool {
+func (r *Tracker) asks(now clock.Time, life IncarnationID) bool {
 	own, heard := rankOf(r.Self, life), r.VMCount() <= 1
 	for vm, p := range r.peers {
 		if now.Sub(p.at) > peerStale {
@@ -109,7 +109,7 @@
 	return heard
 }
 
-func rankOf(vm string, life Lifetime) uint64 {
+func rankOf(vm string, life IncarnationID) uint64 {
 	return splitmix.Mix(xxhash.Sum64String(vm) ^ uint64(life))
 }
 
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -29,12 +29,12 @@
 	"fescuestand/internal/splitmix"
 )
 
-// Lifetime stands for one start of an endpoint's process, also in messages.
-type Lifetime uint64
+// IncarnationID stands for one start of an endpoint's process, also in messages.
+type IncarnationID uint64
 
 // LifetimeOf returns the lifetime that e describes.
-func LifetimeOf(e *catalog.Endpoint) Lifetime {
-	return Lifetime(xxhash.Sum64String(e.ID) ^ splitmix.Mix(uint64(e.Born)))
+func LifetimeOf(e *catalog.Endpoint) IncarnationID {
+	return IncarnationID(xxhash.Sum64String(e.ID) ^ splitmix.Mix(uint64(e.Born)))
 }
 
 // Tracker is what one VM knows of the endpoints' limits.
@@ -49,7 +49,7 @@
 	OnChange func()
 
 	mu       sync.Mutex
-	known    map[Lifetime]*record
+	known    map[IncarnationID]*record
 	peers    map[string]peer
 	seed     uint64
 	share    float64 // of the callers' requests that come to this VM
@@ -89,7 +89,7 @@
 func New(seed uint64) *Tracker {
 	return &Tracker{
 		RequestRate: func() float64 { return 0 }, VMCount: func() int { return 1 }, OnChange: func() {},
-		known: map[Lifetime]*record{}, peers: map[string]peer{}, seed: seed,
+		known: map[IncarnationID]*record{}, peers: map[string]peer{}, seed: seed,
 	}
 }
 
@@ -158,7 +158,7 @@
 	return true
 }
 
-func (r *Tracker) add(life Lifetime) *record {
+func (r *Tracker) add(life IncarnationID) *record {
 	rec := &record{heard: map[string]uint32{}}
 	r.known[life] = rec
 	return rec
@@ -207,7 +207,7 @@
 	if len(r.known) == 0 {
 		return
 	}
-	present := make(map[Lifetime]bool, len(v.All()))
+	present := make(map[IncarnationID]bool, len(v.All()))
 	for _, e := range v.All() {
 		present[LifetimeOf(e)] = true
 	}
--- a/internal/policy/backpressure/told.go
+++ b/internal/policy/backpressure/told.go
@@ -26,7 +26,7 @@
 
 // Report is what a VM tells the others of one endpoint.
 type Report struct {
-	Endpoint Lifetime
+	Endpoint IncarnationID
 	HasAnswer     bool          // the endpoint has answered this VM
 	AnswerAge      time.Duration // of that answer
 	Limited  bool          // by that answer
