--- a/internal/policy/backpressure/limit.go
+++ b/internal/policy/backpressure/limit.go
@@ -120,7 +120,7 @@
 	if len(r.known) == 0 {
 		return true
 	}
-	life := LifetimeOf(e)
+	life := IncarnationIDOf(e)
 	rec := r.known[life]
 	return rec == nil || r.admits(now, life, rec)
 }
@@ -132,7 +132,7 @@
 	if len(r.known) == 0 {
 		return true
 	}
-	life := LifetimeOf(e)
+	life := IncarnationIDOf(e)
 	rec := r.known[life]
 	if rec == nil {
 		return true
@@ -150,7 +150,7 @@
 func (r *Tracker) RecordSend(now clock.Time, e *catalog.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if rec := r.known[LifetimeOf(e)]; rec != nil && rec.limited {
+	if rec := r.known[IncarnationIDOf(e)]; rec != nil && rec.limited {
 		r.fill(now, rec)
 		rec.count(now)
 	}
@@ -173,7 +173,7 @@
 	var perSecond, level float64
 	soonest := longestAway
 	for _, e := range list {
-		rec := r.known[LifetimeOf(e)]
+		rec := r.known[IncarnationIDOf(e)]
 		switch {
 		case rec == nil:
 			continue
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -32,8 +32,8 @@
 // IncarnationID stands for one start of an endpoint's process, also in messages.
 type IncarnationID uint64
 
-// LifetimeOf returns the lifetime that e describes.
-func LifetimeOf(e *catalog.Endpoint) IncarnationID {
+// IncarnationIDOf returns the lifetime that e describes.
+func IncarnationIDOf(e *catalog.Endpoint) IncarnationID {
 	return IncarnationID(xxhash.Sum64String(e.ID) ^ splitmix.Mix(uint64(e.Born)))
 }
 
@@ -117,12 +117,12 @@
 func (r *Tracker) answered(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := r.known[LifetimeOf(e)]
+	rec := r.known[IncarnationIDOf(e)]
 	if rec == nil && !n.Limited && !n.Malformed && n.RetryAfter == 0 {
 		return false
 	}
 	if rec == nil {
-		rec = r.add(LifetimeOf(e))
+		rec = r.add(IncarnationIDOf(e))
 	}
 	line := func() *log.Entry {
 		return log.WithField("endpoint", e.ID).WithField("service", e.Service).WithField("per_second", rec.limit).WithField("id", id)
@@ -209,7 +209,7 @@
 	}
 	present := make(map[IncarnationID]bool, len(v.All()))
 	for _, e := range v.All() {
-		present[LifetimeOf(e)] = true
+		present[IncarnationIDOf(e)] = true
 	}
 	for life, rec := range r.known {
 		if present[life] {
