--- a/internal/policy/limit/limit.go
+++ b/internal/policy/limit/limit.go
@@ -1,12 +1,13 @@
-// Package limit adapts how many requests one entry keeps in flight at one
-// endpoint, and spreads the times at which refused callers come back.
+// Package limit implements an adaptive concurrency limit on the requests that one entry keeps in
+// flight at one endpoint. It also spreads the Retry-After delays of refused requests.
 //
-// Load pattern: an engine's useful batch size moves with the mix, since long
-// prompts slow every stream of the batch, and several entries share an engine
-// without talking to each other. With a fixed limit the entries overfill the
-// engine as soon as the mix turns long: all streams get late together and the
-// goodput collapses. Additive increase with multiplicative decrease makes the
-// entries converge to equal shares of whatever the engine can carry now.
+// Load pattern: the batch size that an engine can sustain depends on the request mix, since long
+// prompts slow down every stream of the batch. Several entries share an engine without
+// coordinating. With a fixed limit they overload the engine as soon as the mix shifts to long
+// prompts: all streams become late together and goodput collapses.
+//
+// Approach: additive increase with multiplicative decrease (AIMD) on measured latency. The entries
+// converge to equal shares of the engine's current capacity.
 //
 // A Limiter and a Spreader are safe for concurrent use.
 package limit
@@ -20,34 +21,34 @@
 )
 
 const (
-	// defaultTarget is the tolerated ratio of a measured time to the unloaded
-	// one. A queue as long as the work itself is what keeps a batching engine
-	// busy; beyond it waiting only adds lateness.
+	// defaultTarget is the tolerated ratio of measured to unloaded latency. At 2, requests
+	// queue for as long as they are served, which keeps a batching engine busy; a longer queue
+	// only adds latency.
 	defaultTarget = 2.0
-	// defaultWindow holds several engine steps at 39 ms a token, so that one
-	// slow step doesn't shrink the limit.
+	// defaultWindow spans several engine steps at 39 ms per token, so that a single slow step
+	// doesn't lower the limit.
 	defaultWindow = 250 * time.Millisecond
-	// defaultBackoff is gentle because every window over target repeats it:
-	// five windows, a little over a second, halve the limit.
+	// defaultBackoff is gentle because it applies again in every window over the target: five
+	// windows, a little over one second, halve the limit.
 	defaultBackoff = 0.87
-	// defaultOverload answers an explicit refusal by the endpoint, which is
-	// surer evidence than a latency.
-	defaultOverload = 0.7
-	// minSamples is the fewest latencies that a window is judged by.
+	// defaultOverloadBackoff applies when the endpoint refuses work explicitly, which is
+	// stronger evidence of overload than high latency.
+	defaultOverloadBackoff = 0.7
+	// minSamples is the minimum number of latency samples for a decision.
 	minSamples = 3
-	// usedShare is how much of the limit must have been in use for it to
-	// grow: an unused limit proves nothing.
-	usedShare = 0.8
+	// minUsedShare is the share of the limit that must have been in use before the limit is
+	// raised: low latency below the limit doesn't show that the engine could carry more.
+	minUsedShare = 0.8
 )
 
-// Config sets one limiter. Zero fields take the defaults.
+// Config configures a Limiter. Zero fields take the defaults.
 type Config struct {
-	Min, Max, Initial int
-	Target          float64       // tolerated ratio of measured to unloaded time
-	Window          time.Duration // one decision each
-	Backoff         float64       // factor when over Target
-	OverloadBackoff float64       // factor when the endpoint refuses work
-	Fixed           bool          // turns adaptation off, for comparison
+	Min, Max, Initial int           // limits, in requests in flight
+	Target            float64       // tolerated ratio of measured to unloaded latency
+	Window            time.Duration // interval between decisions
+	Backoff           float64       // factor on the limit when latency exceeds Target
+	OverloadBackoff   float64       // factor on the limit when the endpoint refuses work
+	Fixed             bool          // disables adaptation, for comparison
 }
 
 func (c Config) withDefaults() Config {
@@ -69,84 +70,84 @@
 		c.Backoff = defaultBackoff
 	}
 	if c.OverloadBackoff == 0 {
-		c.OverloadBackoff = defaultOverload
+		c.OverloadBackoff = defaultOverloadBackoff
 	}
 	return c
 }
 
-// Sample is what one request showed about its endpoint's load.
+// Sample is one request's observation of its endpoint's load.
 type Sample struct {
-	FirstTokenRatio float64 // measured time to the first token over the unloaded one; zero if unknown
-	StepRatio       float64 // measured time between tokens over the unloaded one; zero if unknown
-	Overloaded bool    // the endpoint refused the work
-	InFlight   int     // requests of this entry at the endpoint, this one included
+	FirstTokenRatio float64 // measured over unloaded time to first token; zero if unknown
+	StepRatio       float64 // measured over unloaded time between tokens; zero if unknown
+	Overloaded      bool    // the endpoint refused the request
+	InFlight        int     // this entry's requests at the endpoint, including this one
 }
 
-// Limiter holds the limit of one endpoint.
+// Limiter adapts the concurrency limit of one endpoint.
 type Limiter struct {
 	cfg   Config
 	limit atomic.Int64
 
-	mu      sync.Mutex
-	exact   float64
-	since   clock.Time
-	sum     float64
-	n       int
-	peak    int
-	refused bool
+	mu           sync.Mutex
+	exactLimit   float64
+	windowStart  clock.Time
+	ratioSum     float64
+	samples      int
+	peakInFlight int
+	overloaded   bool
 }
 
-// NewLimiter returns a limiter at cfg.Start.
+// NewLimiter returns a limiter that starts at cfg.Initial.
 func NewLimiter(cfg Config) *Limiter {
 	l := &Limiter{cfg: cfg.withDefaults()}
-	l.exact = float64(l.cfg.Initial)
+	l.exactLimit = float64(l.cfg.Initial)
 	l.limit.Store(int64(l.cfg.Initial))
 	return l
 }
 
-// Limit returns how many requests may be in flight.
+// Limit returns the maximum number of requests in flight.
 func (l *Limiter) Limit() int { return int(l.limit.Load()) }
 
-// Observe takes one request's sample and adapts the limit once a window.
+// Observe records the sample of one request and adapts the limit once per window.
 func (l *Limiter) Observe(now clock.Time, s Sample) {
 	if l.cfg.Fixed {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.add(now, s)
-	if now.Sub(l.since) < l.cfg.Window {
+	l.record(now, s)
+	if now.Sub(l.windowStart) < l.cfg.Window {
 		return
 	}
-	if l.n < minSamples && !l.refused {
+	if l.samples < minSamples && !l.overloaded {
 		return
 	}
 	l.adapt()
-	l.since = now
-	l.sum, l.n, l.peak, l.refused = 0, 0, 0, false
+	l.windowStart = now
+	l.ratioSum, l.samples, l.peakInFlight, l.overloaded = 0, 0, 0, false
 }
 
-func (l *Limiter) add(now clock.Time, s Sample) {
-	if l.n == 0 && !l.refused && l.peak == 0 {
-		l.since = now
+func (l *Limiter) record(now clock.Time, s Sample) {
+	if l.samples == 0 && !l.overloaded && l.peakInFlight == 0 {
+		l.windowStart = now
 	}
-	l.peak = max(l.peak, s.InFlight)
-	l.refused = l.refused || s.Overloaded
+	l.peakInFlight = max(l.peakInFlight, s.InFlight)
+	l.overloaded = l.overloaded || s.Overloaded
 	if worst := max(s.FirstTokenRatio, s.StepRatio); worst > 0 {
-		l.sum += worst
-		l.n++
+		l.ratioSum += worst
+		l.samples++
 	}
 }
 
 func (l *Limiter) adapt() {
 	switch {
-	case l.refused:
-		l.exact *= l.cfg.OverloadBackoff
-	case l.sum/float64(l.n) > l.cfg.Target:
-		l.exact *= l.cfg.Backoff
-	case float64(l.peak) >= usedShare*l.exact:
-		l.exact++
+	case l.overloaded:
+		l.exactLimit *= l.cfg.OverloadBackoff
+	case l.ratioSum/float64(l.samples) > l.cfg.Target:
+		l.exactLimit *= l.cfg.Backoff
+	case float64(l.peakInFlight) >= minUsedShare*l.exactLimit:
+		l.exactLimit++
 	}
-	l.exact = min(max(l.exact, float64(l.cfg.Min)), float64(l.cfg.Max))
-	l.limit.Store(int64(l.exact))
+	l.exactLimit = min(max(l.exactLimit, float64(l.cfg.Min)), float64(l.cfg.Max))
+	l.limit.Store(int64(l.exactLimit))
 }
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -9,10 +9,10 @@
 	"fescuestand/internal/clock"
 )
 
-// share lets entries with a backlog share an engine that slows down in
-// proportion beyond its capacity, and returns their limits after a minute. The
-// capacity halves on the way.
-func share(cfg Config, entries, capacity int) []int {
+// simulateSharing returns the limits of backlogged entries after one simulated minute of sharing an
+// engine, whose latency grows in proportion to the load beyond its capacity. The capacity halves
+// halfway through.
+func simulateSharing(cfg Config, entries, capacity int) []int {
 	limiters := make([]*Limiter, entries)
 	for i := range limiters {
 		cfg.Initial = 2 + 6*i
@@ -49,41 +49,41 @@
 	return n
 }
 
-// The mix turns to long prompts and an engine carries half as many streams as
-// before. Entries that keep their limits make every stream four times slower
-// than wanted; entries that adapt give up equal shares.
+// Guards against overload after a shift to long prompts, when an engine sustains only half as many
+// streams as before. Entries with fixed limits make every stream four times slower than intended;
+// adaptive entries lower their limits to equal shares.
 func TestEntriesShareAnEngine(t *testing.T) {
-	limits := share(Config{Max: 64}, 4, 48)
+	limits := simulateSharing(Config{Max: 64}, 4, 48)
 	t.Log("limits", limits)
 	assert.Assert(t, sum(limits) >= 24 && sum(limits) <= 60, "%v", limits)
 	for _, l := range limits {
 		assert.Assert(t, l*3 >= sum(limits)/4 && l <= 2*sum(limits)/4, "%v", limits)
 	}
-	fixed := share(Config{Max: 64, Min: 30, Fixed: true}, 4, 48)
+	fixed := simulateSharing(Config{Max: 64, Min: 30, Fixed: true}, 4, 48)
 	assert.Assert(t, sum(fixed) >= 4*24)
 }
 
-func TestRefusalShrinksAtOnce(t *testing.T) {
+func TestRefusalLowersLimitAtOnce(t *testing.T) {
 	l := NewLimiter(Config{Max: 20, Initial: 20})
 	l.Observe(1, Sample{Overloaded: true, InFlight: 20})
 	l.Observe(clock.Time(1).Add(defaultWindow), Sample{InFlight: 20})
 	assert.Equal(t, l.Limit(), 14)
 }
 
-// A hundred callers are refused in one moment. Told the end of the queue, they
-// all return together and are refused again.
-func TestReturnsAreSpread(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		s := NewSpreader(off)
-		times := map[time.Duration]int{}
-		most := 0
+// Guards against synchronized retries: if a hundred requests that are refused at once all get the
+// time at which the queue drains, they are all retried together and refused again.
+func TestRetryDelaysAreSpread(t *testing.T) {
+	for _, disabled := range []bool{false, true} {
+		s := NewSpreader(disabled)
+		perInterval := map[time.Duration]int{}
+		maxPerInterval := 0
 		for range 100 {
 			d := s.RetryAfter(0, time.Second, 20*time.Millisecond).Truncate(100 * time.Millisecond)
-			times[d]++
-			most = max(most, times[d])
+			perInterval[d]++
+			maxPerInterval = max(maxPerInterval, perInterval[d])
 		}
-		t.Logf("off=%v: at most %d return within 100 ms", off, most)
-		assert.Equal(t, most == 100, off)
-		assert.Assert(t, off || most <= 6)
+		t.Logf("disabled=%v: at most %d retries within 100 ms", disabled, maxPerInterval)
+		assert.Equal(t, maxPerInterval == 100, disabled)
+		assert.Assert(t, disabled || maxPerInterval <= 6)
 	}
 }
--- a/internal/policy/limit/spread.go
+++ b/internal/policy/limit/spread.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// minReturn is the shortest time to come back: a round trip to a client
-	// takes about 6 ms, and an earlier return would find the same queue.
-	minReturn = 50 * time.Millisecond
-	// maxReturn caps the promise, since a queue's forecast is worth nothing
-	// after the mix has had time to swing.
-	maxReturn = 30 * time.Second
+	// minRetryDelay is the shortest Retry-After delay: a round trip to a client takes about
+	// 6 ms, and an earlier retry would find the same queue.
+	minRetryDelay = 50 * time.Millisecond
+	// maxRetryDelay caps the delay: by then the request mix may have changed, which makes the
+	// forecast of the queue useless.
+	maxRetryDelay = 30 * time.Second
 )
 
-// Spreader computes the time to come back of refused requests.
+// Spreader computes the Retry-After delays of refused requests.
 //
-// A burst of refused callers that were all told the same time would return
-// as one burst. The spreader gives each the moment at which the endpoints
-// will have worked off the queue and everyone who was told to come before.
+// If a burst of refused requests all got the same delay, they would be retried as one burst. The
+// spreader therefore gives each request the time at which the endpoints will have processed the
+// queue and all requests that were given an earlier retry time.
 type Spreader struct {
-	mu   sync.Mutex
-	next clock.Time // when the last promise will have been served
-	off  bool
+	mu       sync.Mutex
+	nextFree clock.Time // when the last scheduled retry will have been served
+	disabled bool
 }
 
-// NewSpreader returns a spreader; off makes it name the end of the queue to
-// everybody, for comparison.
-func NewSpreader(off bool) *Spreader { return &Spreader{off: off} }
+// NewSpreader returns a Spreader. If disabled, it gives every request the time at which the queue
+// will have drained, for comparison.
+func NewSpreader(disabled bool) *Spreader { return &Spreader{disabled: disabled} }
 
-// RetryAfter returns how long a refused request should stay away, when the queue
-// ahead takes wait to drain and the request itself adds cost to it.
+// RetryAfter returns the delay after which a refused request should be retried. The queue ahead
+// takes wait to drain, and the request itself adds cost to it.
 func (s *Spreader) RetryAfter(now clock.Time, wait, cost time.Duration) time.Duration {
 	end := now.Add(wait)
-	if s.off {
-		return clamp(wait)
+	if s.disabled {
+		return clampDelay(wait)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := max(end, s.next)
-	at = min(at, now.Add(maxReturn))
-	s.next = at.Add(cost)
-	return clamp(at.Sub(now))
+	at := max(end, s.nextFree)
+	at = min(at, now.Add(maxRetryDelay))
+	s.nextFree = at.Add(cost)
+	return clampDelay(at.Sub(now))
 }
 
-func clamp(d time.Duration) time.Duration { return min(max(d, minReturn), maxReturn) }
+func clampDelay(d time.Duration) time.Duration { return min(max(d, minRetryDelay), maxRetryDelay) }
