--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -1,11 +1,11 @@
-// Package retry decides whether a failed attempt is repeated.
+// Package retry decides whether a failed attempt is retried, within a retry budget.
 //
-// Load pattern: when endpoints fail or are full, every caller's request fails
-// at once. Repeating them all multiplies the load on the endpoints that are
-// left, whose answers then get late and are repeated in turn: the fleet does
-// nothing but repeats, long after the cause is gone. So repeats are a bounded
-// share of the successes, per pool and per caller, and nothing is repeated that
-// may have run and isn't idempotent, or that can't end before its deadline.
+// Load pattern: when endpoints fail or are full, the requests of all callers fail at once. Retrying
+// all of them multiplies the load on the remaining endpoints, whose answers then become late and
+// are retried as well. This retry storm keeps the fleet overloaded long after its cause is gone.
+//
+// Approach: retries are limited to a share of the successes, per pool and per caller. An attempt is
+// not retried if it may have run and isn't idempotent, or if a retry can't end before the deadline.
 //
 // A Policy is safe for concurrent use.
 package retry
@@ -19,38 +19,37 @@
 	"fescuestand/internal/code"
 )
 
-// The defaults and their grounds.
 const (
-	// defaultRatio lets repeats add a tenth to the load: a pool that has lost
-	// a tenth of its endpoints loses no request, and one that has lost all
-	// sees 1.1 times the usual load rather than a multiple.
+	// defaultRatio lets retries add a tenth to the load: a pool that has lost a tenth of its
+	// endpoints loses no request, and one that has lost all of them gets 1.1 times its usual
+	// load rather than a multiple.
 	defaultRatio = 0.1
-	// defaultBurst is how many repeats a pool may make at once after a long
-	// time without any: the streams of one lost engine.
+	// defaultBurst is the number of retries that a pool may make at once after a long time
+	// without any: as many as one lost engine had streams.
 	defaultBurst = 50.0
-	// defaultCallerBurst keeps one caller from spending a pool's budget.
+	// defaultCallerBurst keeps one caller from spending the whole budget of a pool.
 	defaultCallerBurst = 10.0
-	// defaultMaxTries counts the first one.
+	// defaultMaxTries includes the first attempt.
 	defaultMaxTries = 3
-	// defaultBackoff is the mean wait before the third try; the second goes
-	// to another endpoint at once.
+	// defaultBackoff is the mean delay before the third attempt; the second one is sent to
+	// another endpoint at once.
 	defaultBackoff = 25 * time.Millisecond
-	// notSentCost is the price of repeating what no endpoint has received:
-	// it costs them nothing but the next attempt itself.
-	notSentCost = 0.1
-	// maxCallers bounds the callers whose budgets are remembered.
+	// notRunCost is the budget cost of retrying an attempt that no endpoint has received or
+	// run. It has cost the endpoints nothing, so that the retry is their only load.
+	notRunCost = 0.1
+	// maxCallers bounds the number of callers whose budgets are kept.
 	maxCallers = 10_000
 )
 
-// Config sets a Policy. Zero fields take the defaults.
+// Config configures a Policy. Zero fields take the defaults.
 type Config struct {
-	Ratio       float64 // repeats per success
-	Burst       float64 // repeats saved up by a pool
-	CallerBurst float64 // repeats saved up by a caller
-	MaxTries    int
-	Backoff     time.Duration
-	HedgeRatio  float64 // hedges per success; zero turns hedging off
-	NoBudget    bool    // turns the budget off, for comparison
+	Ratio       float64       // retries earned per success
+	Burst       float64       // maximum number of retries saved up by a pool
+	CallerBurst float64       // maximum number of retries saved up by a caller
+	MaxTries    int           // attempts per request, including the first
+	Backoff     time.Duration // mean delay before the third attempt
+	HedgeRatio  float64       // hedges earned per success; zero disables hedging
+	NoBudget    bool          // disables the budget, for comparison
 }
 
 func (c Config) withDefaults() Config {
@@ -72,26 +71,26 @@
 	return c
 }
 
-// Attempt is a failed one.
+// Attempt describes an attempt that failed, or one for which a hedge is considered.
 type Attempt struct {
-	Pool       string
-	Caller     string
-	Idempotent bool
-	Tries      int           // made so far
-	Deadline   clock.Time    // of the request
-	ExpectedDuration     time.Duration // that another attempt takes
-	Err        *code.Error   // of the attempt; its Run says what is known
+	Pool             string
+	Caller           string
+	Idempotent       bool
+	Tries            int           // attempts made so far, including this one
+	Deadline         clock.Time    // of the request
+	ExpectedDuration time.Duration // of another attempt
+	Err              *code.Error   // of the attempt; its Run says whether the attempt has run, as far as that is known
 }
 
-// Decision says whether to repeat. When Retry is false, Err is the request's
-// final answer.
+// Decision says whether and when to retry. If Retry is false, Err is the final answer to the
+// request.
 type Decision struct {
 	Retry bool
-	Delay time.Duration
+	Delay time.Duration // before the retry
 	Err   *code.Error
 }
 
-// Policy decides for one entry.
+// Policy makes the retry decisions of one entry.
 type Policy struct {
 	cfg Config
 
@@ -102,14 +101,14 @@
 	stats   Stats
 }
 
-// Stats are the policy's figures for expvar.
+// Stats are the counters that a Policy exports through expvar.
 type Stats struct {
 	Retries, Hedges             int64
 	OverBudget, TooLate, Unsafe int64
 	OutOfTries, Final           int64
 }
 
-// New returns a policy with full budgets.
+// New returns a Policy whose budgets are full. The seed determines the jitter.
 func New(cfg Config, seed uint64) *Policy {
 	return &Policy{
 		cfg:     cfg.withDefaults(),
@@ -119,7 +118,7 @@
 	}
 }
 
-// RecordSuccess earns budget for the pool and the caller.
+// RecordSuccess adds to the retry budgets of the pool and the caller.
 func (p *Policy) RecordSuccess(pool, caller string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,7 +126,8 @@
 	p.caller(caller).earn(p.cfg)
 }
 
-// DecideRetry decides whether the attempt is repeated.
+// DecideRetry decides whether to retry the failed attempt a. A retry is charged to the budgets of the
+// pool and the caller.
 func (p *Policy) DecideRetry(now clock.Time, a Attempt) Decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,31 +136,31 @@
 		p.stats.Final++
 		return Decision{Err: a.Err}
 	case a.Err.Run == code.Ran, a.Err.Run == code.Unknown && !a.Idempotent:
-		// A second run of an unlock or a commit is worse than no answer.
+		// Running an unlock or a commit twice is worse than not answering.
 		p.stats.Unsafe++
 		return Decision{Err: a.Err}
 	case a.Tries >= p.cfg.MaxTries:
 		p.stats.OutOfTries++
 		return Decision{Err: a.Err}
 	}
-	after := p.backoff(a.Tries)
-	if now.Add(after+a.ExpectedDuration) > a.Deadline {
+	delay := p.backoff(a.Tries)
+	if now.Add(delay+a.ExpectedDuration) > a.Deadline {
 		p.stats.TooLate++
 		return Decision{Err: code.Wrap(code.DeadlineInfeasible, a.Err, "another try needs %s, has %s",
-			after+a.ExpectedDuration, a.Deadline.Sub(now)).WithRun(a.Err.Run)}
+			delay+a.ExpectedDuration, a.Deadline.Sub(now)).WithRun(a.Err.Run)}
 	}
-	if !p.spend(a) {
+	if !p.spendBudget(a) {
 		p.stats.OverBudget++
 		return Decision{Err: code.Wrap(code.RetryBudgetSpent, a.Err, "repeats are limited to %.0f%% of successes",
 			100*p.cfg.Ratio).WithRun(a.Err.Run).WithRetryAfter(a.Err.RetryAfter)}
 	}
 	p.stats.Retries++
-	return Decision{Retry: true, Delay: after}
+	return Decision{Retry: true, Delay: delay}
 }
 
-// AllowHedge says whether a second attempt may be sent while the first still runs.
-// It is off unless HedgeShare is set: a hedge costs a whole prefill, and the
-// slowness it hides is what ejection measures.
+// AllowHedge reports whether a second attempt may be sent while the first one is running, and takes
+// a hedge from the budget of the pool. Hedging is disabled unless HedgeRatio is set: a hedge costs a
+// whole prefill, and it hides the slowness that outlier ejection measures.
 func (p *Policy) AllowHedge(a Attempt) bool {
 	if p.cfg.HedgeRatio == 0 || !a.Idempotent || a.Tries > 1 {
 		return false
@@ -168,23 +168,24 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.pool(a.Pool)
-	if b.hedges < 1 {
+	if b.hedgeTokens < 1 {
 		return false
 	}
-	b.hedges--
+	b.hedgeTokens--
 	p.stats.Hedges++
 	return true
 }
 
-// Snapshot returns the policy's figures.
+// Snapshot returns a copy of the counters.
 func (p *Policy) Snapshot() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stats
 }
 
-// backoff is zero before the second try, then doubles, with jitter that keeps
-// the requests of one lost endpoint from returning together.
+// backoff returns the delay after the given number of attempts: zero before the second attempt, then
+// an exponential delay whose jitter spreads the retries of requests that failed together at one
+// endpoint.
 func (p *Policy) backoff(tries int) time.Duration {
 	if tries < 2 {
 		return 0
@@ -193,13 +194,13 @@
 	return mean/2 + time.Duration(p.rng.Int64N(int64(mean)))
 }
 
-func (p *Policy) spend(a Attempt) bool {
+func (p *Policy) spendBudget(a Attempt) bool {
 	if p.cfg.NoBudget {
 		return true
 	}
 	cost := 1.0
 	if a.Err.Run == code.NotRun {
-		cost = notSentCost
+		cost = notRunCost
 	}
 	pool, caller := p.pool(a.Pool), p.caller(a.Caller)
 	if pool.tokens < cost || caller.tokens < cost {
@@ -210,21 +211,21 @@
 	return true
 }
 
-// budget is a token bucket that successes fill.
+// budget is a token bucket that is refilled by successes.
 type budget struct {
-	tokens, most float64
-	hedges       float64
+	tokens, maxTokens float64
+	hedgeTokens       float64
 }
 
 func (b *budget) earn(c Config) {
-	b.tokens = min(b.tokens+c.Ratio, b.most)
-	b.hedges = min(b.hedges+c.HedgeRatio, 1)
+	b.tokens = min(b.tokens+c.Ratio, b.maxTokens)
+	b.hedgeTokens = min(b.hedgeTokens+c.HedgeRatio, 1)
 }
 
 func (p *Policy) pool(name string) *budget {
 	b := p.pools[name]
 	if b == nil {
-		b = &budget{tokens: p.cfg.Burst, most: p.cfg.Burst}
+		b = &budget{tokens: p.cfg.Burst, maxTokens: p.cfg.Burst}
 		p.pools[name] = b
 	}
 	return b
@@ -234,11 +235,11 @@
 	b := p.callers[name]
 	if b == nil {
 		if len(p.callers) >= maxCallers {
-			// Forgotten callers start with a full budget again; the pool's
-			// still holds.
+			// Evicted callers start with a full budget again; the budget of the pool
+			// still limits them.
 			clear(p.callers)
 		}
-		b = &budget{tokens: p.cfg.CallerBurst, most: p.cfg.CallerBurst}
+		b = &budget{tokens: p.cfg.CallerBurst, maxTokens: p.cfg.CallerBurst}
 		p.callers[name] = b
 	}
 	return b
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -10,9 +10,9 @@
 	"fescuestand/internal/code"
 )
 
-func failed(c code.Code, run code.Run) *code.Error { return code.New(c, "x").WithRun(run) }
+func attemptError(c code.Code, run code.Run) *code.Error { return code.New(c, "x").WithRun(run) }
 
-func TestFailed(t *testing.T) {
+func TestDecideRetry(t *testing.T) {
 	const later = clock.Time(time.Minute)
 	for _, x := range []struct {
 		name    string
@@ -20,13 +20,13 @@
 		retry   bool
 		code    code.Code
 	}{
-		{"idempotent and cut", Attempt{Idempotent: true, Deadline: later, Tries: 1, Err: failed(code.EndpointCut, code.Unknown)}, true, 0},
-		{"commit that may have run", Attempt{Deadline: later, Tries: 1, Err: failed(code.EndpointCut, code.Unknown)}, false, code.EndpointCut},
-		{"commit that was not sent", Attempt{Deadline: later, Tries: 1, Err: failed(code.EndpointRefused, code.NotRun)}, true, 0},
-		{"answered", Attempt{Idempotent: true, Deadline: later, Tries: 1, Err: failed(code.EndpointCut, code.Ran)}, false, code.EndpointCut},
-		{"poison", Attempt{Idempotent: true, Deadline: later, Tries: 1, Err: failed(code.Poison, code.Unknown)}, false, code.Poison},
-		{"too late", Attempt{Idempotent: true, Deadline: 5, ExpectedDuration: 10, Tries: 1, Err: failed(code.EndpointCut, code.Unknown)}, false, code.DeadlineInfeasible},
-		{"third try", Attempt{Idempotent: true, Deadline: later, Tries: 3, Err: failed(code.EndpointCut, code.Unknown)}, false, code.EndpointCut},
+		{"idempotent, connection cut", Attempt{Idempotent: true, Deadline: later, Tries: 1, Err: attemptError(code.EndpointCut, code.Unknown)}, true, 0},
+		{"commit that may have run", Attempt{Deadline: later, Tries: 1, Err: attemptError(code.EndpointCut, code.Unknown)}, false, code.EndpointCut},
+		{"commit that wasn't sent", Attempt{Deadline: later, Tries: 1, Err: attemptError(code.EndpointRefused, code.NotRun)}, true, 0},
+		{"answered", Attempt{Idempotent: true, Deadline: later, Tries: 1, Err: attemptError(code.EndpointCut, code.Ran)}, false, code.EndpointCut},
+		{"poison", Attempt{Idempotent: true, Deadline: later, Tries: 1, Err: attemptError(code.Poison, code.Unknown)}, false, code.Poison},
+		{"no time left before the deadline", Attempt{Idempotent: true, Deadline: 5, ExpectedDuration: 10, Tries: 1, Err: attemptError(code.EndpointCut, code.Unknown)}, false, code.DeadlineInfeasible},
+		{"maximum number of attempts made", Attempt{Idempotent: true, Deadline: later, Tries: 3, Err: attemptError(code.EndpointCut, code.Unknown)}, false, code.EndpointCut},
 	} {
 		d := New(Config{}, 1).DecideRetry(1, x.attempt)
 		assert.Equal(t, d.Retry, x.retry, x.name)
@@ -37,16 +37,16 @@
 	}
 }
 
-// storm sends a thousand requests to a pool whose endpoints all fail, after as
-// many that succeeded, and returns the attempts made.
-func storm(cfg Config) int {
+// attemptsInOutage returns the number of attempts made for a thousand requests to a pool whose
+// endpoints all fail, after a thousand requests that succeeded.
+func attemptsInOutage(cfg Config) int {
 	p := New(cfg, 1)
 	for range 1000 {
 		p.RecordSuccess("drafts", "caller")
 	}
 	attempts := 0
 	for i := range 1000 {
-		a := Attempt{Pool: "drafts", Caller: string(rune(i)), Idempotent: true, Deadline: clock.Time(time.Hour), Err: failed(code.EndpointCut, code.Unknown)}
+		a := Attempt{Pool: "drafts", Caller: string(rune(i)), Idempotent: true, Deadline: clock.Time(time.Hour), Err: attemptError(code.EndpointCut, code.Unknown)}
 		for a.Tries = 1; ; a.Tries++ {
 			attempts++
 			if !p.DecideRetry(1, a).Retry {
@@ -57,16 +57,17 @@
 	return attempts
 }
 
-// A whole pool fails for some seconds. Each request is tried three times, so
-// that the pool comes back to three times its load and fails again.
-func TestBudgetStopsStorm(t *testing.T) {
-	assert.Equal(t, storm(Config{NoBudget: true}), 3000)
-	assert.Equal(t, storm(Config{}), 1000+int(defaultBurst))
+// Guards against a retry storm: all endpoints of a pool fail for some seconds. Without a budget each
+// request is attempted three times, so that the recovering pool gets three times its load and fails
+// again.
+func TestBudgetStopsRetryStorm(t *testing.T) {
+	assert.Equal(t, attemptsInOutage(Config{NoBudget: true}), 3000)
+	assert.Equal(t, attemptsInOutage(Config{}), 1000+int(defaultBurst))
 }
 
 func TestCallerCantSpendPoolBudget(t *testing.T) {
 	p := New(Config{}, 1)
-	a := Attempt{Pool: "drafts", Caller: "hot", Idempotent: true, Tries: 1, Deadline: clock.Time(time.Hour), Err: failed(code.EndpointCut, code.Unknown)}
+	a := Attempt{Pool: "drafts", Caller: "hot", Idempotent: true, Tries: 1, Deadline: clock.Time(time.Hour), Err: attemptError(code.EndpointCut, code.Unknown)}
 	retries := 0
 	for range 100 {
 		if p.DecideRetry(1, a).Retry {
