--- a/internal/capacity/traffic_test.go
+++ b/internal/capacity/traffic_test.go
@@ -110,7 +110,7 @@
 	for _, n := range []int{16, 128, 512} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			fill := func() any {
-				q := admit.NewQueue(admit.Config{Off: admit.Guards{NoFeasibility: true}})
+				q := admit.NewQueue(admit.Config{Disabled: admit.Guards{NoFeasibility: true}})
 				for i := range n {
 					v := q.Offer(1, requestOf(i))
 					assert.Assert(b, v.Err == nil)
@@ -130,7 +130,7 @@
 func requestOf(i int) *admit.Request {
 	return &admit.Request{
 		ID: writerOf(i), Class: "default", Workspace: fmt.Sprint("workspace-", i), Caller: fmt.Sprint("caller-", i),
-		Prompt: 2000, MaxOutput: 400, Deadline: clock.Time(time.Hour),
+		PromptTokens: 2000, MaxOutputTokens: 400, Deadline: clock.Time(time.Hour),
 	}
 }
 
--- a/internal/entry/dispatch/gate.go
+++ b/internal/entry/dispatch/gate.go
@@ -55,7 +55,7 @@
 	}
 	for _, c := range s.Classes {
 		cfg.Classes = append(cfg.Classes, admit.Class{
-			Name: c.Name, Priority: top - c.Priority, Weight: 1, Output: assumedOutput,
+			Name: c.Name, Priority: top - c.Priority, Weight: 1, OutputTokens: assumedOutput,
 			Urgent: urgent(s.Classes, &c),
 		})
 	}
@@ -92,7 +92,7 @@
 // count notes that t joins or leaves those who wait.
 func (g *gate) count(t *turn, n int) {
 	g.queued += n
-	g.tokens += n * t.req.Prompt
+	g.tokens += n * t.req.PromptTokens
 }
 
 // enter returns when t may be dispatched, or with its refusal, which is final.
@@ -144,7 +144,7 @@
 	if g.offProbe || refusal.Code != code.DeadlineInfeasible || g.inside[t.req.Class] > 0 {
 		return false
 	}
-	t.req.FirstBy = 0
+	t.req.FirstTokenDeadline = 0
 	t.req.Deadline = g.clk.Now().Add(longest)
 	return true
 }
@@ -193,7 +193,7 @@
 }
 
 // leave ends a request that enter let through.
-func (g *gate) leave(t *turn, m admit.Measured) {
+func (g *gate) leave(t *turn, m admit.Measurement) {
 	g.mu.Lock()
 	g.settle(t)
 	g.inside[t.req.Class]--
@@ -209,7 +209,7 @@
 	defer g.mu.Unlock()
 	c := g.setCapacity()
 	for {
-		room := admit.Room{Normal: c.Normal - g.granted, Urgent: c.Urgent - g.granted}
+		room := admit.FreeSlots{Normal: c.Normal - g.granted, Urgent: c.Urgent - g.granted}
 		r, dropped := g.queue.Next(g.clk.Now(), room)
 		g.tell(dropped)
 		if r == nil {
--- a/internal/entry/dispatch/gate_test.go
+++ b/internal/entry/dispatch/gate_test.go
@@ -39,13 +39,13 @@
 	g := newGate(r, clk, "p", art, &sheet.Sheet{Classes: []sheet.Class{{Name: "question"}}})
 	g.offProbe = off
 	ask := func(deadline, first time.Duration) *code.Error {
-		q := &turn{req: admit.Request{Class: "question", Prompt: 10, MaxOutput: 10, Deadline: clk.Now().Add(deadline)}}
+		q := &turn{req: admit.Request{Class: "question", PromptTokens: 10, MaxOutputTokens: 10, Deadline: clk.Now().Add(deadline)}}
 		if err := g.enter(context.Background(), q); err != nil {
 			return err
 		}
 		g.placed(q)
 		clk.T = clk.T.Add(first + 100*time.Millisecond)
-		g.leave(q, admit.Measured{OK: true, FirstToken: first, Step: 10 * time.Millisecond, Output: 10})
+		g.leave(q, admit.Measurement{OK: true, FirstToken: first, Step: 10 * time.Millisecond, OutputTokens: 10})
 		return nil
 	}
 	for range 60 {
--- a/internal/entry/dispatch/generate.go
+++ b/internal/entry/dispatch/generate.go
@@ -75,7 +75,7 @@
 	gate := d.gate(s.pool.Name, route.Artifact{Model: s.pool.Model, Version: s.pool.Version}, d.fleet.Sheet())
 	t := &turn{req: admit.Request{
 		ID: g.RequestID, Class: class.Name, Workspace: g.Workspace, Caller: g.Name,
-		Prompt: prompt, MaxOutput: g.MaxTokens, Deadline: deadlineOf(ctx, d.clk),
+		PromptTokens: prompt, MaxOutputTokens: g.MaxTokens, Deadline: deadlineOf(ctx, d.clk),
 	}}
 	// The class's first-token objective is no bound for admission: a request that
 	// misses it is still whole and on time, and the burn report shows the miss.
@@ -136,7 +136,7 @@
 		last = s.attempt(ctx, place, x)
 		if last == nil {
 			s.d.suspects.Clear(s.d.clk.Now(), s.print)
-			s.d.retries.Success(s.pool.Name, s.g.Name)
+			s.d.retries.RecordSuccess(s.pool.Name, s.g.Name)
 			return nil
 		}
 		if ctx.Err() != nil || errors.Is(last, errSink) {
@@ -176,22 +176,22 @@
 	default:
 		s.tries++
 		now := s.d.clk.Now()
-		d := s.d.retries.Failed(now, retry.Attempt{
+		d := s.d.retries.DecideRetry(now, retry.Attempt{
 			Pool: s.pool.Name, Caller: s.g.Name, Idempotent: true, Tries: s.tries,
 			Deadline: deadlineOf(ctx, s.d.clk), Err: numbered(ctx, err, !untouched(err), false),
 		})
 		if !d.Retry {
 			return false, d.Err
 		}
-		pause = d.After
+		pause = d.Delay
 	}
 	wait(ctx, pause)
 	return ctx.Err() == nil, err
 }
 
 // measured is what the request showed about the pool's rates.
-func (s *session) measured(err error) admit.Measured {
-	m := admit.Measured{OK: err == nil, Output: s.asm.Next()}
+func (s *session) measured(err error) admit.Measurement {
+	m := admit.Measurement{OK: err == nil, OutputTokens: s.asm.Next()}
 	if s.firstAt > 0 {
 		m.FirstToken = s.firstAt.Sub(s.began)
 		m.Step = s.step()
--- a/internal/entry/dispatch/service.go
+++ b/internal/entry/dispatch/service.go
@@ -53,7 +53,7 @@
 	g := d.gate(pool, route.Artifact{}, sh)
 	t := &turn{req: admit.Request{
 		ID: c.RequestID, Workspace: c.Workspace, Caller: c.Name, Key: c.Key,
-		MaxOutput: 1, Deadline: deadlineOf(ctx, d.clk),
+		MaxOutputTokens: 1, Deadline: deadlineOf(ctx, d.clk),
 	}}
 	if err := g.enter(ctx, t); err != nil {
 		d.counts.add(pool, func(t *Totals) { t.Refused++ })
@@ -62,7 +62,7 @@
 	// The endpoint counts it at once: nothing comes between here and there.
 	g.placed(t)
 	return func(ok bool) {
-		g.leave(t, admit.Measured{OK: ok, Output: 1})
+		g.leave(t, admit.Measurement{OK: ok, OutputTokens: 1})
 		if ok && ctx.Err() == nil {
 			d.counts.add(pool, func(t *Totals) { t.OnTime++ })
 		}
@@ -80,14 +80,14 @@
 			Attempt: d.newAttempt(), Operation: c.Operation, Body: c.Body,
 		})
 		if err == nil {
-			d.retries.Success(pool, c.Name)
+			d.retries.RecordSuccess(pool, c.Name)
 			return body, nil
 		}
 		touched = touched || !untouched(err) && ep != nil
 		if ep == nil {
 			return nil, numbered(ctx, err, touched, false)
 		}
-		next := d.retries.Failed(d.clk.Now(), retry.Attempt{
+		next := d.retries.DecideRetry(d.clk.Now(), retry.Attempt{
 			Pool: pool, Caller: c.Name, Idempotent: true, Tries: n,
 			Deadline: deadlineOf(ctx, d.clk), Err: numbered(ctx, err, !untouched(err), false),
 		})
@@ -95,7 +95,7 @@
 			return nil, numbered(ctx, next.Err, touched, false)
 		}
 		exclude = append(exclude, ep)
-		wait(ctx, next.After)
+		wait(ctx, next.Delay)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,7 +30,7 @@
 	Budget  *repeat.Budget
 	Crashes *crash.Register
 	// Pressure is what endpoints say of the work that they take.
-	Pressure *backpressure.Register
+	Pressure *backpressure.Tracker
 	Pool     *exchange.Pool
 	Clock    clock.Clock
 	// Leaving tells whether this VM was told to stop.
@@ -128,7 +128,7 @@
 		changed := g.o.Catalog.Changed()
 		v := g.o.Catalog.View()
 		g.o.Planner.SetView(v)
-		g.o.Pressure.Follow(g.o.Clock.Now(), v)
+		g.o.Pressure.ObserveCatalog(g.o.Clock.Now(), v)
 		keep := map[string]bool{}
 		for _, e := range v.All() {
 			keep[e.Address] = true
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -17,7 +17,7 @@
 	if n.Leaving {
 		g.o.Leaves(e)
 	}
-	g.o.Pressure.Answered(g.o.Clock.Now(), sentAt, e, id, n)
+	g.o.Pressure.ObserveAnswer(g.o.Clock.Now(), sentAt, e, id, n)
 }
 
 // queue lists the requests that wait for the endpoints of a service to take one, by the order
@@ -88,7 +88,7 @@
 	if !x.begun() {
 		ahead = x.queued.queue.ahead(x.queued.number)
 	}
-	wait, limited := x.g.o.Pressure.Wait(x.now(), x.untried(), ahead)
+	wait, limited := x.g.o.Pressure.EstimateWait(x.now(), x.untried(), ahead)
 	switch {
 	case !limited:
 		return result{outcome: notSent, code: code.NoEndpoint}, false
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -20,7 +20,7 @@
 type Exchange struct {
 	Clock    clock.Clock
 	Planner  *place.Planner
-	Pressure *backpressure.Register
+	Pressure *backpressure.Tracker
 	Crashes  *crash.Register
 	Catalog  *catalog.Store
 	Changes  *Changes
@@ -54,7 +54,7 @@
 	d := x.Planner.Demand(x.Clock.Now())
 	b.Demand = &wire.Demand{PrefillMs: uint32(1000 * d.Prefill), CentiStreams: uint32(100 * d.Streams)}
 	b.LeavingEndpoints = x.leaving.tell(x.Clock.Now())
-	b.Notices = noticesOf(x.Pressure.Tell(x.Clock.Now()))
+	b.Notices = noticesOf(x.Pressure.Reports(x.Clock.Now()))
 	for _, r := range x.Planner.Outstanding() {
 		b.Outstanding = append(b.Outstanding, &wire.Outstanding{
 			Endpoint: r.Endpoint, Running: uint32(r.Running), PendingUs: uint32(r.PendingWork.Microseconds()),
@@ -63,12 +63,12 @@
 }
 
 // noticesOf writes what is told of the endpoints' limits.
-func noticesOf(told []backpressure.Told) []*wire.EndpointNotice {
+func noticesOf(told []backpressure.Report) []*wire.EndpointNotice {
 	out := make([]*wire.EndpointNotice, 0, len(told))
 	for _, t := range told {
 		n := &wire.EndpointNotice{Endpoint: uint64(t.Endpoint), Sent: t.Sent}
-		if t.Said {
-			n.SaidAgeMs, n.Limited, n.Limit = 1+uint32(t.Age.Milliseconds()), t.Limited, float32(t.Limit)
+		if t.HasAnswer {
+			n.SaidAgeMs, n.Limited, n.Limit = 1+uint32(t.AnswerAge.Milliseconds()), t.Limited, float32(t.Limit)
 		}
 		out = append(out, n)
 	}
@@ -76,12 +76,12 @@
 }
 
 // toldOf reads what noticesOf has written.
-func toldOf(notices []*wire.EndpointNotice) []backpressure.Told {
-	out := make([]backpressure.Told, 0, len(notices))
+func toldOf(notices []*wire.EndpointNotice) []backpressure.Report {
+	out := make([]backpressure.Report, 0, len(notices))
 	for _, n := range notices {
-		t := backpressure.Told{Endpoint: backpressure.Lifetime(n.GetEndpoint()), Sent: n.GetSent()}
-		if age := n.GetSaidAgeMs(); age > 0 && backpressure.Valid(float64(n.GetLimit())) {
-			t.Said, t.Age = true, time.Duration(age-1)*time.Millisecond
+		t := backpressure.Report{Endpoint: backpressure.IncarnationID(n.GetEndpoint()), Sent: n.GetSent()}
+		if age := n.GetSaidAgeMs(); age > 0 && backpressure.ValidLimit(float64(n.GetLimit())) {
+			t.HasAnswer, t.AnswerAge = true, time.Duration(age-1)*time.Millisecond
 			t.Limited, t.Limit = n.GetLimited(), float64(n.GetLimit())
 		}
 		out = append(out, t)
@@ -169,7 +169,7 @@
 	x.Planner.ReceiveReport(now, from, reports, place.Demand{
 		Prefill: float64(d.GetPrefillMs()) / 1000, Streams: float64(d.GetCentiStreams()) / 100,
 	})
-	x.Pressure.Hear(now, from, float64(b.GetRequests()), toldOf(b.GetNotices()))
+	x.Pressure.MergeReports(now, from, float64(b.GetRequests()), toldOf(b.GetNotices()))
 	for _, id := range b.GetChanging() {
 		x.Planner.MarkChangingStage(now, id)
 		x.Ordered(id)
--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -22,12 +22,12 @@
 func testConfig(off Guards) Config {
 	return Config{
 		Classes: []Class{
-			{Name: "commit", Priority: 0, Output: 1},
-			{Name: "question", Priority: 1, Weight: 2, Output: 10},
-			{Name: "manifest", Priority: 1, Weight: 1, Output: 10},
+			{Name: "commit", Priority: 0, OutputTokens: 1},
+			{Name: "question", Priority: 1, Weight: 2, OutputTokens: 10},
+			{Name: "manifest", Priority: 1, Weight: 1, OutputTokens: 10},
 		},
 		Rates: Rates{PrefillPerToken: 100 * time.Microsecond, DecodePerToken: 10 * time.Millisecond, Batch: 1},
-		Off:   off,
+		Disabled:   off,
 	}
 }
 
@@ -101,11 +101,11 @@
 	q.SetCapacity(0, slots)
 	var all []*Request
 	for i := range 60 {
-		r := &Request{Class: "question", Caller: fmt.Sprint(i), Workspace: "w", Prompt: question, Deadline: clock.Time(1200 * time.Millisecond)}
+		r := &Request{Class: "question", Caller: fmt.Sprint(i), Workspace: "w", PromptTokens: question, Deadline: clock.Time(1200 * time.Millisecond)}
 		if q.Offer(0, r).Err == nil {
 			all = append(all, r)
 		}
-		q.Next(0, Room{Normal: slots - q.running, Urgent: slots})
+		q.Next(0, FreeSlots{Normal: slots - q.running, Urgent: slots})
 	}
 	dropped := q.SetCapacity(1, slots/3)
 	assert.Assert(t, len(dropped) > 5 && len(dropped) < len(all), "%d of %d", len(dropped), len(all))
@@ -121,8 +121,8 @@
 	cfg := testConfig(Guards{})
 	cfg.MaxQueued = 4
 	q := NewQueue(cfg)
-	offer := func(class, caller string, budget time.Duration) Verdict {
-		return q.Offer(0, &Request{Class: class, Caller: caller, Workspace: caller, Prompt: question, Deadline: clock.Time(budget)})
+	offer := func(class, caller string, budget time.Duration) OfferResult {
+		return q.Offer(0, &Request{Class: class, Caller: caller, Workspace: caller, PromptTokens: question, Deadline: clock.Time(budget)})
 	}
 	assert.Equal(t, offer("question", "a", -1).Err.Code, code.DeadlinePassed)
 	never := offer("question", "a", time.Millisecond).Err
@@ -139,7 +139,7 @@
 	commit := offer("commit", "c", time.Minute)
 	assert.Equal(t, commit.Dropped[0].Err.Code, code.ShedForPriority)
 	assert.Equal(t, q.Snapshot().Queued, 4)
-	r, _ := q.Next(0, Room{Normal: 1, Urgent: 1})
+	r, _ := q.Next(0, FreeSlots{Normal: 1, Urgent: 1})
 	assert.Equal(t, r.Class, "commit")
 }
 
@@ -166,7 +166,7 @@
 				r := &Request{
 					Class: rapid.SampledFrom([]string{"commit", "question", "manifest"}).Draw(rt, "class"),
 					Key:   rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"), Caller: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "caller"),
-					Prompt: rapid.IntRange(1, 9000).Draw(rt, "prompt"), Deadline: now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(rt, "budget")) * time.Millisecond),
+					PromptTokens: rapid.IntRange(1, 9000).Draw(rt, "prompt"), Deadline: now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(rt, "budget")) * time.Millisecond),
 				}
 				open[r] = true
 				v := q.Offer(now, r)
@@ -175,7 +175,7 @@
 					delete(open, r)
 				}
 			case 2:
-				r, dropped := q.Next(now, Room{Normal: 1, Urgent: 1})
+				r, dropped := q.Next(now, FreeSlots{Normal: 1, Urgent: 1})
 				end(dropped)
 				if r != nil {
 					running = append(running, r)
@@ -189,10 +189,10 @@
 				r := running[0]
 				running = running[1:]
 				if rapid.Bool().Draw(rt, "again") {
-					q.Return(r)
+					q.Requeue(r)
 					continue
 				}
-				q.Done(now, r, Measured{OK: true})
+				q.Done(now, r, Measurement{OK: true})
 				assert.Assert(rt, open[r])
 				delete(open, r)
 			}
--- a/internal/policy/admit/config.go
+++ b/internal/policy/admit/config.go
@@ -40,7 +40,7 @@
 	Name     string
 	Priority int     // 0 is served first; a lower class waits while a higher one has work
 	Weight   float64 // share among the classes of one priority
-	Output   int     // expected output tokens, until measured
+	OutputTokens   int     // expected output tokens, until measured
 	Urgent   bool    // sent with the engine's higher priority
 }
 
@@ -73,7 +73,7 @@
 	KeyLimit   int
 	LongFactor float64
 	LongShare  float64
-	Off        Guards
+	Disabled        Guards
 }
 
 func (c Config) withDefaults() Config {
@@ -85,7 +85,7 @@
 		if c.Classes[i].Weight <= 0 {
 			c.Classes[i].Weight = 1
 		}
-		if c.Off.NoPriority {
+		if c.Disabled.NoPriority {
 			c.Classes[i].Priority, c.Classes[i].Weight = 0, 1
 		}
 	}
--- a/internal/policy/admit/pool_test.go
+++ b/internal/policy/admit/pool_test.go
@@ -72,7 +72,7 @@
 
 func (p *pool) offer(s stream) {
 	now := p.loop.Now()
-	r := &Request{Class: s.class, Workspace: s.caller, Caller: s.caller, Key: s.key, Prompt: s.prompt, Deadline: now.Add(s.budget)}
+	r := &Request{Class: s.class, Workspace: s.caller, Caller: s.caller, Key: s.key, PromptTokens: s.prompt, Deadline: now.Add(s.budget)}
 	p.origin[r] = s.name
 	p.tallies[s.name].offered++
 	v := p.q.Offer(now, r)
@@ -94,7 +94,7 @@
 	for {
 		now := p.loop.Now()
 		free := p.slots - p.running
-		r, dropped := p.q.Next(now, Room{Normal: free, Urgent: free})
+		r, dropped := p.q.Next(now, FreeSlots{Normal: free, Urgent: free})
 		p.refused(dropped)
 		if r == nil {
 			return
@@ -115,7 +115,7 @@
 	} else {
 		t.late++
 	}
-	p.q.Done(now, r, Measured{OK: true, Output: 10})
+	p.q.Done(now, r, Measurement{OK: true, OutputTokens: 10})
 	p.pump()
 }
 
@@ -128,13 +128,13 @@
 	q.SetCapacity(0, slots)
 	now := clock.Time(0)
 	offer := func() *code.Error {
-		return q.Offer(now, &Request{Class: "question", Workspace: "a", Caller: "a", Prompt: question, Deadline: now.Add(6 * time.Second)}).Err
+		return q.Offer(now, &Request{Class: "question", Workspace: "a", Caller: "a", PromptTokens: question, Deadline: now.Add(6 * time.Second)}).Err
 	}
 	for range 6 {
 		assert.Assert(t, offer() == nil)
 	}
 	for ; now < clock.Time(3*time.Second); now = now.Add(20 * time.Millisecond) {
-		r, dropped := q.Next(now, Room{})
+		r, dropped := q.Next(now, FreeSlots{})
 		assert.Assert(t, r == nil && len(dropped) == 0)
 	}
 	err := offer()
--- a/internal/policy/admit/queue.go
+++ b/internal/policy/admit/queue.go
@@ -74,13 +74,13 @@
 		cfg:     cfg,
 		classes: map[string]*class{},
 		keys:    map[string]int{},
-		spread:  limit.NewSpreader(cfg.Off.NoSpread),
+		spread:  limit.NewSpreader(cfg.Disabled.NoSpread),
 		rates:   cfg.Rates,
 		slots:   1,
 		codes:   map[code.Code]int64{},
 	}
 	for _, c := range cfg.Classes {
-		q.classes[c.Name] = &class{Class: c, output: float64(c.Output)}
+		q.classes[c.Name] = &class{Class: c, output: float64(c.OutputTokens)}
 		if !slices.ContainsFunc(q.levels, func(l *level) bool { return l.priority == c.Priority }) {
 			q.levels = append(q.levels, &level{priority: c.Priority, root: newFlow(nil, flowKey{}, 1)})
 		}
@@ -89,7 +89,7 @@
 	for _, c := range q.classes {
 		c.level = slices.IndexFunc(q.levels, func(l *level) bool { return l.priority == c.Priority })
 		key := flowKey{name: c.Name}
-		if cfg.Off.NoPriority {
+		if cfg.Disabled.NoPriority {
 			key.name = ""
 		}
 		c.flow = q.levels[c.level].root.child(key, c.Weight)
@@ -107,9 +107,9 @@
 }
 
 // Offer takes r into the queue or refuses it at once and finally.
-func (q *Queue) Offer(now clock.Time, r *Request) Verdict {
+func (q *Queue) Offer(now clock.Time, r *Request) OfferResult {
 	q.prepare(now, r)
-	var v Verdict
+	var v OfferResult
 	v.Wait = q.forecast(r, r.leaf.cost)
 	v.Err = q.check(now, r, v.Wait)
 	if v.Err == nil && len(q.expiry) >= q.cfg.MaxQueued {
@@ -138,11 +138,11 @@
 		q.meanCost = float64(r.cost)
 		q.logCost = math.Log(q.meanCost)
 	}
-	r.long = math.Log(float64(r.cost)) > q.logCost+math.Log(q.cfg.LongFactor) && !q.cfg.Off.NoLongShare
+	r.long = math.Log(float64(r.cost)) > q.logCost+math.Log(q.cfg.LongFactor) && !q.cfg.Disabled.NoLongShare
 	q.meanCost += rateWeight * (float64(r.cost) - q.meanCost)
 	q.logCost += mixWeight * (math.Log(float64(r.cost)) - q.logCost)
 	workspace, caller := r.Workspace, r.Caller
-	if q.cfg.Off.NoFairness {
+	if q.cfg.Disabled.NoFairness {
 		workspace, caller = "", ""
 	}
 	r.leaf = r.class.flow.child(flowKey{name: workspace}, 1).child(flowKey{caller, r.long}, 1)
@@ -153,10 +153,10 @@
 // all its answers, so each takes only its part of the engine's time.
 func (q *Queue) estimate(r *Request) {
 	output := r.class.output
-	if r.MaxOutput > 0 {
-		output = min(output, float64(r.MaxOutput))
+	if r.MaxOutputTokens > 0 {
+		output = min(output, float64(r.MaxOutputTokens))
 	}
-	prefill := time.Duration(max(r.Prompt-r.Cached, 0)) * q.rates.PrefillPerToken
+	prefill := time.Duration(max(r.PromptTokens-r.CachedTokens, 0)) * q.rates.PrefillPerToken
 	decode := time.Duration(output * float64(q.rates.DecodePerToken))
 	r.prefill = q.rates.Base + prefill
 	r.first = r.prefill + max(r.class.delay, 0)
--- a/internal/policy/admit/request.go
+++ b/internal/policy/admit/request.go
@@ -16,11 +16,11 @@
 	Workspace string
 	Caller    string
 	Key       string     // of the thing asked about, for the hot-key limit; may be empty
-	Prompt    int        // tokens
-	Cached    int        // tokens of the prompt expected in a cache
-	MaxOutput int        // tokens; zero if the caller set none
+	PromptTokens    int        // tokens
+	CachedTokens    int        // tokens of the prompt expected in a cache
+	MaxOutputTokens int        // tokens; zero if the caller set none
 	Deadline  clock.Time // of the whole answer
-	FirstBy   clock.Time // of the first token; zero if it has none
+	FirstTokenDeadline   clock.Time // of the first token; zero if it has none
 	Value     any        // the caller's own
 
 	class   *class
@@ -50,8 +50,8 @@
 // latestStart is the last moment at which r can begin and end in time.
 func (r *Request) latestStart() clock.Time {
 	t := r.Deadline.Add(-r.run)
-	if r.FirstBy != 0 {
-		t = min(t, r.FirstBy.Add(-r.first))
+	if r.FirstTokenDeadline != 0 {
+		t = min(t, r.FirstTokenDeadline.Add(-r.first))
 	}
 	return t
 }
@@ -62,9 +62,9 @@
 	Err     *code.Error
 }
 
-// Verdict answers an offer. Err is nil if the request was taken; Dropped are
+// OfferResult answers an offer. Err is nil if the request was taken; Dropped are
 // queued requests that had to make room for it.
-type Verdict struct {
+type OfferResult struct {
 	Err     *code.Error
 	Wait    time.Duration // forecast
 	Dropped []Refusal
--- a/internal/policy/admit/serve.go
+++ b/internal/policy/admit/serve.go
@@ -28,7 +28,7 @@
 // that can't be on time. Later ones of a flow are dropped before earlier ones
 // of it, as they wait for them.
 func (q *Queue) Reassess(now clock.Time) []Refusal {
-	if q.cfg.Off.NoShedding {
+	if q.cfg.Disabled.NoShedding {
 		return nil
 	}
 	var late []Refusal
@@ -65,13 +65,13 @@
 	return dst
 }
 
-// Room is how many requests the endpoints take now.
-type Room struct{ Normal, Urgent int }
+// FreeSlots is how many requests the endpoints take now.
+type FreeSlots struct{ Normal, Urgent int }
 
 // Next returns the request to be dispatched now, nil if there is none or no
 // slot is free. Dropped are the requests that have become infeasible while
 // they were queued: the work for them would be wasted.
-func (q *Queue) Next(now clock.Time, room Room) (*Request, []Refusal) {
+func (q *Queue) Next(now clock.Time, room FreeSlots) (*Request, []Refusal) {
 	dropped := q.Expire(now)
 	for _, l := range q.levels {
 		for i := range l.lanes {
@@ -111,7 +111,7 @@
 
 // Expire drops the queued requests that can no longer end in time.
 func (q *Queue) Expire(now clock.Time) []Refusal {
-	if q.cfg.Off.NoShedding {
+	if q.cfg.Disabled.NoShedding {
 		return nil
 	}
 	var dropped []Refusal
@@ -149,9 +149,9 @@
 	}
 }
 
-// Return puts a request that Next returned back in front of its flow, because
+// Requeue puts a request that Next returned back in front of its flow, because
 // no endpoint took it or its attempt may be repeated.
-func (q *Queue) Return(r *Request) {
+func (q *Queue) Requeue(r *Request) {
 	if r.state != running {
 		return
 	}
@@ -178,16 +178,16 @@
 // SetRates takes newly measured rates of the engines.
 func (q *Queue) SetRates(r Rates) { q.rates = r }
 
-// Measured is what a request showed about the rates.
-type Measured struct {
+// Measurement is what a request showed about the rates.
+type Measurement struct {
 	OK         bool          // the answer was whole; only then do the rates learn
 	FirstToken time.Duration // from dispatch
 	Step       time.Duration // mean time between tokens
-	Output     int           // tokens
+	OutputTokens     int           // tokens
 }
 
 // Done ends a request that Next returned and learns from it.
-func (q *Queue) Done(now clock.Time, r *Request, m Measured) {
+func (q *Queue) Done(now clock.Time, r *Request, m Measurement) {
 	if r.state != running {
 		return
 	}
@@ -201,15 +201,15 @@
 	}
 }
 
-func (q *Queue) learn(r *Request, m Measured) {
+func (q *Queue) learn(r *Request, m Measurement) {
 	if m.FirstToken > 0 {
 		learn(&r.class.delay, m.FirstToken-r.prefill)
 	}
 	if m.Step > 0 {
 		learn(&q.rates.DecodePerToken, m.Step)
 	}
-	if m.Output > 0 {
-		r.class.output += rateWeight * (float64(m.Output) - r.class.output)
+	if m.OutputTokens > 0 {
+		r.class.output += rateWeight * (float64(m.OutputTokens) - r.class.output)
 	}
 }
 
--- a/internal/policy/backpressure/limit_test.go
+++ b/internal/policy/backpressure/limit_test.go
@@ -53,7 +53,7 @@
 	*fleet
 	rng  *rand.Rand
 	now  clock.Time
-	vm   []*Register
+	vm   []*Tracker
 	due  []clock.Time
 	rate []float64
 	eps  []*catalog.Endpoint
@@ -88,24 +88,24 @@
 	return s.weights[i%len(s.weights)]
 }
 
-func (s *sim) newVM(i int) *Register {
+func (s *sim) newVM(i int) *Tracker {
 	r := New(s.rng.Uint64())
 	r.guards = s.guards
 	r.Self = fmt.Sprint(i)
-	r.Requests = func() float64 {
+	r.RequestRate = func() float64 {
 		if s.now < at(s.idle) {
 			return 0
 		}
 		return s.rate[i]
 	}
-	r.News = func() { s.due[i] = min(s.due[i], s.now.Add(s.period/urgent)) }
-	r.VMs = func() int { return max(s.believed, 1) }
+	r.OnChange = func() { s.due[i] = min(s.due[i], s.now.Add(s.period/urgent)) }
+	r.VMCount = func() int { return max(s.believed, 1) }
 	if s.believed == 0 {
-		r.VMs = func() int { return s.vms }
+		r.VMCount = func() int { return s.vms }
 	}
 	// The endpoints have told each VM.
 	for _, e := range s.eps {
-		r.Answered(s.now, s.now, e, "", Notice{Limited: true, Limit: s.limit})
+		r.ObserveAnswer(s.now, s.now, e, "", Notice{Limited: true, Limit: s.limit})
 	}
 	return r
 }
@@ -130,23 +130,23 @@
 	start := s.rng.IntN(len(s.eps))
 	for k := range s.eps {
 		j := (start + k) % len(s.eps)
-		if !s.vm[i].Admits(s.now, s.eps[j]) || !s.vm[i].Take(s.now, s.eps[j]) {
+		if !s.vm[i].Admits(s.now, s.eps[j]) || !s.vm[i].TryAcquire(s.now, s.eps[j]) {
 			continue
 		}
 		s.came[j] = append(s.came[j], s.now)
 		limited := s.ends == 0 || s.now < at(s.ends)
-		s.vm[i].Answered(s.now.Add(time.Millisecond), s.now, s.eps[j], "", Notice{Limited: limited, Limit: s.limit})
+		s.vm[i].ObserveAnswer(s.now.Add(time.Millisecond), s.now, s.eps[j], "", Notice{Limited: limited, Limit: s.limit})
 		return
 	}
 }
 
 func (s *sim) tell(i int) {
-	told := s.vm[i].Tell(s.now)
+	told := s.vm[i].Reports(s.now)
 	for j := range s.vm {
 		if j == i || i < s.alone || j < s.alone || s.rng.Float64() < s.loss {
 			continue
 		}
-		s.vm[j].Hear(s.now, fmt.Sprint(i), s.vm[i].Requests(), told)
+		s.vm[j].MergeReports(s.now, fmt.Sprint(i), s.vm[i].RequestRate(), told)
 	}
 }
 
--- a/internal/policy/backpressure/notice.go
+++ b/internal/policy/backpressure/notice.go
@@ -13,33 +13,33 @@
 	Limited bool
 	Limit   float64 // requests a second from all VMs together, if Limited
 	Leaving bool    // it wants no new requests, of any VM
-	// Away is how long it wants no requests of the VM that it answers.
-	Away time.Duration
-	// Unreadable tells that the endpoint said something that can't be read: the limit that
+	// RetryAfter is how long it wants no requests of the VM that it answers.
+	RetryAfter time.Duration
+	// Malformed tells that the endpoint said something that can't be read: the limit that
 	// it named before still holds.
-	Unreadable bool
+	Malformed bool
 }
 
 // Fields are the texts by which an endpoint gives notice, empty ones if there are none.
 type Fields struct {
 	Limit   string // a decimal number of requests a second
 	Leaving string // 1 if it leaves
-	Again   string // seconds, or a date, after which to come back; of refusals only
+	RetryAfter   string // seconds, or a date, after which to come back; of refusals only
 	Now     time.Time
 }
 
 // Parse reads an endpoint's notice.
 func Parse(f Fields) Notice {
 	n := parseLimit(f.Limit)
-	away, ok := parseAgain(f.Again, f.Now)
-	n.Away = away
-	n.Unreadable = n.Unreadable || !ok
+	away, ok := parseAgain(f.RetryAfter, f.Now)
+	n.RetryAfter = away
+	n.Malformed = n.Malformed || !ok
 	if f.Leaving = strings.TrimSpace(f.Leaving); f.Leaving == "" {
 		return n
 	}
 	leaving, err := strconv.ParseBool(f.Leaving)
 	n.Leaving = leaving
-	n.Unreadable = n.Unreadable || err != nil
+	n.Malformed = n.Malformed || err != nil
 	return n
 }
 
@@ -63,8 +63,8 @@
 	return time.Duration(min(s, longestAway.Seconds()) * float64(time.Second)), true
 }
 
-// Valid tells whether an endpoint can mean such a limit.
-func Valid(limit float64) bool { return limit >= 0 && !math.IsInf(limit, 1) }
+// ValidLimit tells whether an endpoint can mean such a limit.
+func ValidLimit(limit float64) bool { return limit >= 0 && !math.IsInf(limit, 1) }
 
 // parseLimit reads the decimal number of requests a second that an endpoint names. An
 // empty text names no limit.
@@ -74,8 +74,8 @@
 		return Notice{}
 	}
 	limit, err := strconv.ParseFloat(text, 64)
-	if err != nil || !Valid(limit) {
-		return Notice{Unreadable: true}
+	if err != nil || !ValidLimit(limit) {
+		return Notice{Malformed: true}
 	}
 	return Notice{Limited: true, Limit: limit}
 }
--- a/internal/policy/backpressure/notice_test.go
+++ b/internal/policy/backpressure/notice_test.go
@@ -17,27 +17,27 @@
 		{Limit: " 12 "}:                 {Limited: true, Limit: 12},
 		{Limit: "0"}:                    {Limited: true},
 		{Limit: "1e9"}:                  {Limited: true, Limit: 1e9},
-		{Limit: "-1"}:                   {Unreadable: true},
-		{Limit: "NaN"}:                  {Unreadable: true},
-		{Limit: "+Inf"}:                 {Unreadable: true},
-		{Limit: "1e999"}:                {Unreadable: true},
-		{Limit: "many"}:                 {Unreadable: true},
-		{Limit: "7.9, 12"}:              {Unreadable: true},
+		{Limit: "-1"}:                   {Malformed: true},
+		{Limit: "NaN"}:                  {Malformed: true},
+		{Limit: "+Inf"}:                 {Malformed: true},
+		{Limit: "1e999"}:                {Malformed: true},
+		{Limit: "many"}:                 {Malformed: true},
+		{Limit: "7.9, 12"}:              {Malformed: true},
 		{Leaving: "1"}:                  {Leaving: true},
 		{Leaving: "true"}:               {Leaving: true},
 		{Leaving: "0"}:                  {},
-		{Leaving: "soon"}:               {Unreadable: true},
+		{Leaving: "soon"}:               {Malformed: true},
 		{Limit: "2", Leaving: "1"}:      {Limited: true, Limit: 2, Leaving: true},
-		{Limit: "many", Leaving: " 1 "}: {Unreadable: true, Leaving: true},
-		{Again: "2"}:                    {Away: 2 * time.Second},
-		{Again: "0.25"}:                 {Away: 250 * time.Millisecond},
-		{Again: "3600"}:                 {Away: time.Hour},
-		{Again: "1e30"}:                 {Away: longestAway},
-		{Again: "-1"}:                   {Unreadable: true},
-		{Again: "NaN"}:                  {Unreadable: true},
-		{Again: "later"}:                {Unreadable: true},
-		{Again: "Fri, 01 Jan 2027 00:00:05 GMT", Now: newYear}: {Away: 5 * time.Second},
-		{Again: "Thu, 31 Dec 2026 23:00:00 GMT", Now: newYear}: {},
+		{Limit: "many", Leaving: " 1 "}: {Malformed: true, Leaving: true},
+		{RetryAfter: "2"}:                    {RetryAfter: 2 * time.Second},
+		{RetryAfter: "0.25"}:                 {RetryAfter: 250 * time.Millisecond},
+		{RetryAfter: "3600"}:                 {RetryAfter: time.Hour},
+		{RetryAfter: "1e30"}:                 {RetryAfter: longestAway},
+		{RetryAfter: "-1"}:                   {Malformed: true},
+		{RetryAfter: "NaN"}:                  {Malformed: true},
+		{RetryAfter: "later"}:                {Malformed: true},
+		{RetryAfter: "Fri, 01 Jan 2027 00:00:05 GMT", Now: newYear}: {RetryAfter: 5 * time.Second},
+		{RetryAfter: "Thu, 31 Dec 2026 23:00:00 GMT", Now: newYear}: {},
 	} {
 		assert.Equal(t, Parse(fields), want, "%+v", fields)
 	}
@@ -48,8 +48,8 @@
 	f.Add("-0", "soon", "1e300")
 	f.Add("0x1p-2", "", "Fri, 01 Jan 2027 00:00:05 GMT")
 	f.Fuzz(func(t *testing.T, limit, leaving, again string) {
-		n := Parse(Fields{Limit: limit, Leaving: leaving, Again: again, Now: newYear})
-		assert.Assert(t, n.Away >= 0 && n.Away <= longestAway)
+		n := Parse(Fields{Limit: limit, Leaving: leaving, RetryAfter: again, Now: newYear})
+		assert.Assert(t, n.RetryAfter >= 0 && n.RetryAfter <= longestAway)
 		assert.Assert(t, n.Limit >= 0)
 	})
 }
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -29,27 +29,27 @@
 	"fescuestand/internal/splitmix"
 )
 
-// Lifetime stands for one start of an endpoint's process, also in messages.
-type Lifetime uint64
+// IncarnationID stands for one start of an endpoint's process, also in messages.
+type IncarnationID uint64
 
-// LifetimeOf returns the lifetime that e describes.
-func LifetimeOf(e *catalog.Endpoint) Lifetime {
-	return Lifetime(xxhash.Sum64String(e.ID) ^ splitmix.Mix(uint64(e.Born)))
+// IncarnationIDOf returns the lifetime that e describes.
+func IncarnationIDOf(e *catalog.Endpoint) IncarnationID {
+	return IncarnationID(xxhash.Sum64String(e.ID) ^ splitmix.Mix(uint64(e.Born)))
 }
 
-// Register is what one VM knows of the endpoints' limits.
-type Register struct {
+// Tracker is what one VM knows of the endpoints' limits.
+type Tracker struct {
 	// Self is this VM's name among those that it hears of.
 	Self string
-	// Requests is the rate of callers' requests at this VM, and VMs is how many serve
+	// RequestRate is the rate of callers' requests at this VM, and VMs is how many serve
 	// callers. They are set before the first use.
-	Requests func() float64
-	VMs      func() int
-	// News is called when an endpoint has said something that other VMs should know soon.
-	News func()
+	RequestRate func() float64
+	VMCount      func() int
+	// OnChange is called when an endpoint has said something that other VMs should know soon.
+	OnChange func()
 
 	mu       sync.Mutex
-	known    map[Lifetime]*record
+	known    map[IncarnationID]*record
 	peers    map[string]peer
 	seed     uint64
 	share    float64 // of the callers' requests that come to this VM
@@ -86,15 +86,15 @@
 
 // New returns an empty register of a VM that knows of no other. Those of different processes
 // take different seeds, so that their parts of a small limit fall due one after the other.
-func New(seed uint64) *Register {
-	return &Register{
-		Requests: func() float64 { return 0 }, VMs: func() int { return 1 }, News: func() {},
-		known: map[Lifetime]*record{}, peers: map[string]peer{}, seed: seed,
+func New(seed uint64) *Tracker {
+	return &Tracker{
+		RequestRate: func() float64 { return 0 }, VMCount: func() int { return 1 }, OnChange: func() {},
+		known: map[IncarnationID]*record{}, peers: map[string]peer{}, seed: seed,
 	}
 }
 
-// Limited is how many endpoints name a limit.
-func (r *Register) Limited() int {
+// LimitedCount is how many endpoints name a limit.
+func (r *Tracker) LimitedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -106,35 +106,35 @@
 	return n
 }
 
-// Answered takes what e said with its answer to the request id, which was sent at sentAt.
-func (r *Register) Answered(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) {
+// ObserveAnswer takes what e said with its answer to the request id, which was sent at sentAt.
+func (r *Tracker) ObserveAnswer(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) {
 	if r.answered(now, sentAt, e, id, n) {
-		r.News()
+		r.OnChange()
 	}
 }
 
 // answered returns whether the answer says something new.
-func (r *Register) answered(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) bool {
+func (r *Tracker) answered(now, sentAt clock.Time, e *catalog.Endpoint, id string, n Notice) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := r.known[LifetimeOf(e)]
-	if rec == nil && !n.Limited && !n.Unreadable && n.Away == 0 {
+	rec := r.known[IncarnationIDOf(e)]
+	if rec == nil && !n.Limited && !n.Malformed && n.RetryAfter == 0 {
 		return false
 	}
 	if rec == nil {
-		rec = r.add(LifetimeOf(e))
+		rec = r.add(IncarnationIDOf(e))
 	}
 	line := func() *log.Entry {
 		return log.WithField("endpoint", e.ID).WithField("service", e.Service).WithField("per_second", rec.limit).WithField("id", id)
 	}
-	if until := now.Add(n.Away); n.Away > 0 && until > rec.until {
+	if until := now.Add(n.RetryAfter); n.RetryAfter > 0 && until > rec.until {
 		rec.until = until
 		if rec.mayLog(now) {
-			line().WithField("ms", n.Away.Milliseconds()).Info("endpoint asks for time")
+			line().WithField("ms", n.RetryAfter.Milliseconds()).Info("endpoint asks for time")
 		}
 	}
 	switch {
-	case n.Unreadable:
+	case n.Malformed:
 		if rec.mayLog(now) {
 			line().Warn("endpoint's notice not understood")
 		}
@@ -158,7 +158,7 @@
 	return true
 }
 
-func (r *Register) add(life Lifetime) *record {
+func (r *Tracker) add(life IncarnationID) *record {
 	rec := &record{heard: map[string]uint32{}}
 	r.known[life] = rec
 	return rec
@@ -166,7 +166,7 @@
 
 // set takes what the endpoint said at saidAt. It returns whether that differs from what was
 // known.
-func (r *Register) set(now, saidAt clock.Time, rec *record, limited bool, limit float64) bool {
+func (r *Tracker) set(now, saidAt clock.Time, rec *record, limited bool, limit float64) bool {
 	changed := limited != rec.limited || limited && limit != rec.limit
 	if limited && !rec.limited {
 		rec.all, rec.own, rec.beganAt = bucket{at: now}, bucket{level: r.draw(), at: now}, now
@@ -179,7 +179,7 @@
 }
 
 // draw returns a pseudo-random number of 0 to 1.
-func (r *Register) draw() float64 {
+func (r *Tracker) draw() float64 {
 	r.seed = splitmix.Mix(r.seed)
 	return float64(r.seed>>11) / (1 << 53)
 }
@@ -200,16 +200,16 @@
 // come back after an outage of their store.
 const forgetAfter = time.Minute
 
-// Follow forgets the endpoints that are gone.
-func (r *Register) Follow(now clock.Time, v *catalog.View) {
+// ObserveCatalog forgets the endpoints that are gone.
+func (r *Tracker) ObserveCatalog(now clock.Time, v *catalog.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.known) == 0 {
 		return
 	}
-	present := make(map[Lifetime]bool, len(v.All()))
+	present := make(map[IncarnationID]bool, len(v.All()))
 	for _, e := range v.All() {
-		present[LifetimeOf(e)] = true
+		present[IncarnationIDOf(e)] = true
 	}
 	for life, rec := range r.known {
 		if present[life] {
--- a/internal/policy/backpressure/told.go
+++ b/internal/policy/backpressure/told.go
@@ -24,36 +24,36 @@
 	at       clock.Time
 }
 
-// Told is what a VM tells the others of one endpoint.
-type Told struct {
-	Endpoint Lifetime
-	Said     bool          // the endpoint has answered this VM
-	Age      time.Duration // of that answer
+// Report is what a VM tells the others of one endpoint.
+type Report struct {
+	Endpoint IncarnationID
+	HasAnswer     bool          // the endpoint has answered this VM
+	AnswerAge      time.Duration // of that answer
 	Limited  bool          // by that answer
 	Limit    float64       // requests a second, if Limited
 	Sent     uint32        // requests of this process
 }
 
-// Tell returns what the other VMs should know now.
-func (r *Register) Tell(now clock.Time) []Told {
+// Reports returns what the other VMs should know now.
+func (r *Tracker) Reports(now clock.Time) []Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []Told
+	var out []Report
 	for life, rec := range r.known {
 		if now.Sub(max(rec.usedAt, rec.newsAt)) > tellFor || len(out) == maxTold {
 			continue
 		}
-		t := Told{Endpoint: life, Sent: rec.sent}
+		t := Report{Endpoint: life, Sent: rec.sent}
 		if rec.toldAt != 0 {
-			t.Said, t.Age, t.Limited, t.Limit = true, now.Sub(rec.toldAt), rec.limited, rec.limit
+			t.HasAnswer, t.AnswerAge, t.Limited, t.Limit = true, now.Sub(rec.toldAt), rec.limited, rec.limit
 		}
 		out = append(out, t)
 	}
 	return out
 }
 
-// Hear takes what another VM told.
-func (r *Register) Hear(now clock.Time, vm string, requests float64, told []Told) {
+// MergeReports takes what another VM told.
+func (r *Tracker) MergeReports(now clock.Time, vm string, requests float64, told []Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.peers[vm] = peer{requests, now}
@@ -62,15 +62,15 @@
 	}
 }
 
-func (r *Register) hear(now clock.Time, vm string, t *Told) {
+func (r *Tracker) hear(now clock.Time, vm string, t *Report) {
 	rec := r.known[t.Endpoint]
 	if rec == nil {
-		if !t.Said || !t.Limited {
+		if !t.HasAnswer || !t.Limited {
 			return
 		}
 		rec = r.add(t.Endpoint)
 	}
-	if saidAt := now.Add(-t.Age); t.Said && saidAt > rec.saidAt {
+	if saidAt := now.Add(-t.AnswerAge); t.HasAnswer && saidAt > rec.saidAt {
 		if r.set(now, saidAt, rec, t.Limited, t.Limit) && rec.mayLog(now) {
 			log.WithField("vm", vm).WithField("limited", t.Limited).WithField("per_second", t.Limit).Info("limit heard of a VM")
 		}
@@ -79,7 +79,7 @@
 }
 
 // debit takes what vm has sent since it was last heard from the common bucket.
-func (rec *record) debit(now clock.Time, r *Register, vm string, sent uint32) {
+func (rec *record) debit(now clock.Time, r *Tracker, vm string, sent uint32) {
 	before, known := rec.heard[vm]
 	rec.heard[vm] = sent
 	if !rec.limited || sent == before {
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -96,7 +96,7 @@
 		},
 	}
 	for _, c := range s.Config.Workload.Classes() {
-		ac.Classes = append(ac.Classes, admit.Class{Name: c.Name, Output: c.Output, Weight: 1, Urgent: c.Priority > 0})
+		ac.Classes = append(ac.Classes, admit.Class{Name: c.Name, OutputTokens: c.Output, Weight: 1, Urgent: c.Priority > 0})
 	}
 	if o.Admit != nil {
 		o.Admit(&ac)
@@ -213,9 +213,9 @@
 		Class:     c.Name,
 		Workspace: fmt.Sprint("workspace-", q.Caller),
 		Caller:    fmt.Sprint("caller-", q.Caller),
-		Prompt:    q.Prompt,
+		PromptTokens:    q.Prompt,
 		Deadline:  q.Deadline,
-		FirstBy:   q.Arrive.Add(c.FirstToken),
+		FirstTokenDeadline:   q.Arrive.Add(c.FirstToken),
 		Value:     q,
 	}}
 	r.route = route.Request{Pool: pool, Prompt: q.Prompt, Urgent: c.Priority > 0}
@@ -243,7 +243,7 @@
 		a.slots = c.Slots
 		dropped = a.queue.SetCapacity(now, c.Slots)
 	}
-	r, late := a.queue.Next(now, admit.Room{Normal: c.Normal, Urgent: c.Urgent})
+	r, late := a.queue.Next(now, admit.FreeSlots{Normal: c.Normal, Urgent: c.Urgent})
 	var refused []loadtest.Refused
 	for _, d := range append(dropped, late...) {
 		q := d.Request.Value.(*loadtest.Request)
@@ -262,7 +262,7 @@
 		return
 	}
 	a.router.Done(now, &r.dispatch, route.Canceled)
-	a.queue.Return(&r.admit)
+	a.queue.Requeue(&r.admit)
 }
 
 func (a admission) Done(now clock.Time, o loadtest.Outcome) {
@@ -270,10 +270,10 @@
 	if r == nil {
 		return
 	}
-	m := admit.Measured{OK: o.OK}
+	m := admit.Measurement{OK: o.OK}
 	if o.OK {
 		m.FirstToken = o.Request.Arrive.Add(o.FirstToken).Sub(r.sentAt)
-		m.Output = o.Request.Output
+		m.OutputTokens = o.Request.Output
 		m.Step = (o.Total - o.FirstToken) / time.Duration(max(o.Request.Output-1, 1))
 	}
 	if o.OK || now >= o.Request.Deadline {
--- a/internal/policy/route/dispatch.go
+++ b/internal/policy/route/dispatch.go
@@ -133,8 +133,8 @@
 	case Refused:
 	}
 	l.lim.Observe(now, limit.Sample{
-		FirstToken: d.firstRatio,
-		Step:       d.stepRatio,
+		FirstTokenRatio: d.firstRatio,
+		StepRatio:       d.stepRatio,
 		InFlight:   inFlight,
 		Overloaded: o == Refused,
 	})
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -122,7 +122,7 @@
 	planner  *place.Planner
 	budget   *repeat.Budget
 	crashes  *crash.Register
-	pressure *backpressure.Register
+	pressure *backpressure.Tracker
 	gateway  *gateway.Gateway
 	gossip   *gossip.Unit
 	exchange *gateway.Exchange
@@ -166,7 +166,7 @@
 	})
 	n.planner.Admits = n.pressure.Admits
 	n.pressure.Self = o.Self.Peer
-	n.pressure.Requests, n.pressure.VMs = n.gateway.Rate, n.members.Serving
+	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.Rate, n.members.Serving
 	n.orders.Leaves = n.leaves
 	n.exchange = &gateway.Exchange{
 		Clock: c, Planner: n.planner, Pressure: n.pressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.changes,
@@ -176,7 +176,7 @@
 		n.exchange.Time, n.exchange.Usage = n.time, n.usage
 	}
 	n.gossip = gossip.NewUnit(n.members, n.exchange)
-	n.pressure.News = n.gossip.Soon
+	n.pressure.OnChange = n.gossip.Soon
 	if n.fresh != nil {
 		n.gossip.Knowledge = &knowledge{n}
 	}
@@ -247,7 +247,7 @@
 // Metrics returns the counters as they are now.
 func (n *Node) Metrics() Metrics {
 	v := n.View()
-	m := Metrics{Snapshot: n.gateway.Metrics().Snapshot(), Endpoints: len(v.All()), VMs: n.members.Serving(), ConfigVersion: n.version(), Limited: n.pressure.Limited(), Draining: len(v.All()) - v.Working()}
+	m := Metrics{Snapshot: n.gateway.Metrics().Snapshot(), Endpoints: len(v.All()), VMs: n.members.Serving(), ConfigVersion: n.version(), Limited: n.pressure.LimitedCount(), Draining: len(v.All()) - v.Working()}
 	return m
 }
 
