--- a/internal/policy/policytest/compare_test.go
+++ b/internal/policy/policytest/compare_test.go
@@ -70,7 +70,7 @@
 			o.Admit = func(c *admit.Config) { a(&c.Off) }
 		}
 		if r != nil {
-			o.Route = func(c *route.Config) { r(&c.Off) }
+			o.Route = func(c *route.Config) { r(&c.Disabled) }
 		}
 		return policytest.Policy(o, half())
 	}
--- a/internal/policy/route/config.go
+++ b/internal/policy/route/config.go
@@ -117,7 +117,7 @@
 	KVBytes       int     // of one token
 	KVSetup       time.Duration
 	Limit         limit.Config // of this entry's requests at one endpoint
-	Off           Guards
+	Disabled           Guards
 }
 
 func (c Config) withDefaults() Config {
--- a/internal/policy/route/fleet_test.go
+++ b/internal/policy/route/fleet_test.go
@@ -53,7 +53,7 @@
 		eps = append(eps, Endpoint{Name: fmt.Sprintf("service-%02d", i), Pool: "lantern", Slots: 1, Base: callTime})
 	}
 	for i := range entries {
-		cfg := Config{Entries: entries, Off: off}
+		cfg := Config{Entries: entries, Disabled: off}
 		cfg.Limit.Max, cfg.Limit.Start, cfg.Limit.Fixed = 64, 64, true
 		cfg.Overcommit = 1000
 		r := NewRouter(cfg, uint64(i))
--- a/internal/policy/route/health.go
+++ b/internal/policy/route/health.go
@@ -119,11 +119,11 @@
 			at = append(at, e)
 		}
 	}
-	if r.cfg.Off.NoEjection {
+	if r.cfg.Disabled.NoEjection {
 		return nil
 	}
 	allowed := int(r.cfg.MaxOut * float64(len(p.eps)))
-	if r.cfg.Off.NoMaxOut {
+	if r.cfg.Disabled.NoMaxOut {
 		allowed = len(p.eps)
 	}
 	order := make([]int, len(found))
--- a/internal/policy/route/live.go
+++ b/internal/policy/route/live.go
@@ -151,7 +151,7 @@
 	drained := age / 1000 * (1000 - l.others.Load())
 	work = max(l.work.Load()-drained, 0)
 	runs = l.runs.Load()
-	if r.cfg.Off.NoOwnCounts {
+	if r.cfg.Disabled.NoOwnCounts {
 		return runs, work
 	}
 	// What the report says of the others is worth less the more of their
--- a/internal/policy/route/pick.go
+++ b/internal/policy/route/pick.go
@@ -143,13 +143,13 @@
 		return candidate{}, false
 	case req.Isolate:
 		return r.leastHarm(now, req, s)
-	case r.cfg.Off.RoundRobin:
+	case r.cfg.Disabled.RoundRobin:
 		return r.nextInTurn(now, req, s)
-	case r.cfg.Off.NoTwoChoices:
+	case r.cfg.Disabled.NoTwoChoices:
 		return r.leastReported(now, req, s)
 	}
 	best := candidate{score: math.Inf(1)}
-	if len(req.Pieces) > 0 && !req.Prefilled && !r.cfg.Off.NoAffinity {
+	if len(req.Pieces) > 0 && !req.Prefilled && !r.cfg.Disabled.NoAffinity {
 		r.preferred(now, req, ws, s, &best)
 	}
 	if e := r.inTurn(now, req, s); e != nil && e != best.ep {
@@ -217,7 +217,7 @@
 		return false
 	}
 	from := l.rampFrom.Load()
-	if from == 0 || r.cfg.Off.NoRamp {
+	if from == 0 || r.cfg.Disabled.NoRamp {
 		return true
 	}
 	share := rampStart + float64(int64(now)-from)/float64(r.cfg.Ramp)
--- a/internal/policy/route/prefer.go
+++ b/internal/policy/route/prefer.go
@@ -72,7 +72,7 @@
 		if e == best.ep || !r.eligible(now, req, e, uint32(r.random())) {
 			continue
 		}
-		if !r.cfg.Off.NoBound && r.overBound(now, e, mean) {
+		if !r.cfg.Disabled.NoBound && r.overBound(now, e, mean) {
 			continue
 		}
 		c := r.score(now, req, e, Affinity)
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -51,7 +51,7 @@
 // One prefix becomes hot. Hashing alone sends all its requests to one engine.
 func TestHotPrefixIsBounded(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		cfg := Config{Credit: 50, Off: Guards{NoBound: off, NoAhead: true}}
+		cfg := Config{Credit: 50, Disabled: Guards{NoBound: off, NoAhead: true}}
 		cfg.Limit.Max, cfg.Limit.Start = 1000, 1000
 		r := newRouter(cfg, fleet(12))
 		at := map[string]int{}
@@ -72,7 +72,7 @@
 // its old prefixes go on being sent there, to be prefilled behind a queue.
 func TestCacheEventGap(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		r := newRouter(Config{Off: Guards{NoGapRebuild: off}}, fleet(12))
+		r := newRouter(Config{Disabled: Guards{NoGapRebuild: off}}, fleet(12))
 		e := r.Table().Endpoints()[0]
 		p := pieces(1, 4)
 		r.CacheEvents(e.Name, []CacheEvent{{Seq: 1, Piece: p[0]}, {Seq: 2, Piece: p[1]}, {Seq: 2, Piece: p[1]}})
@@ -178,7 +178,7 @@
 // at once it prefills everything anew and the first callers wait.
 func TestReturnIsSlow(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		cfg := Config{Off: Guards{NoRamp: off, NoAffinity: true}}
+		cfg := Config{Disabled: Guards{NoRamp: off, NoAffinity: true}}
 		eps := fleet(4)
 		eps[0].State = Away
 		r := newRouter(cfg, eps)
--- a/internal/policy/route/router.go
+++ b/internal/policy/route/router.go
@@ -108,7 +108,7 @@
 	if e == nil {
 		return
 	}
-	e.live.report(rep, e.prefillNanos, r.cfg.Off.NoOwnCounts)
+	e.live.report(rep, e.prefillNanos, r.cfg.Disabled.NoOwnCounts)
 	if rep.Step > 0 && e.decodeStepNanos > 0 {
 		e.live.step.add(rep.TakenAt, float64(rep.Step)/float64(e.decodeStepNanos), 1)
 		r.adaptBatch(rep.TakenAt, e)
@@ -125,7 +125,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range events {
-		l.seq.apply(&l.cache, e, r.cfg.Off.NoGapRebuild)
+		l.seq.apply(&l.cache, e, r.cfg.Disabled.NoGapRebuild)
 	}
 }
 
--- a/internal/policy/route/score.go
+++ b/internal/policy/route/score.go
@@ -10,7 +10,7 @@
 // score estimates e's time to the first token of req in nanoseconds.
 func (r *Router) score(now clock.Time, req *Request, e *Endpoint, reason Reason) candidate {
 	c := candidate{ep: e, reason: reason}
-	if !r.cfg.Off.NoAffinity && !req.Prefilled {
+	if !r.cfg.Disabled.NoAffinity && !req.Prefilled {
 		c.cached = e.live.cache.depth(req.Pieces)
 	}
 	if c.cached > 0 && reason == LeastWait {
@@ -22,13 +22,13 @@
 		// The prefill would hold up the streams of the batch.
 		c.score += float64(run) * float64(e.live.runs.Load()) / float64(e.slots)
 	}
-	if !r.cfg.Off.NoCalibration {
+	if !r.cfg.Disabled.NoCalibration {
 		c.score *= e.slowness(now)
 	}
 	if e.far {
 		c.score += float64(r.cfg.ZoneCost)
 	}
-	if !r.cfg.Off.NoErrorCost {
+	if !r.cfg.Disabled.NoErrorCost {
 		c.score += e.live.errs.value(now, 0) * float64(r.cfg.ErrorCost)
 	}
 	return c
