--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -23,7 +23,7 @@
 	for name, t := range u.dispatch.Counts().Snapshot() {
 		g.Pools = append(g.Pools, poolLoad(name, t, queues[name]))
 	}
-	g.Crashes = u.suspects.Share(u.o.Clock.Now())
+	g.Crashes = u.suspects.EvidenceForPeers(u.o.Clock.Now())
 }
 
 func poolLoad(name string, t dispatch.Totals, q dispatch.Queued) *wire.PoolLoad {
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	req := &wire.PeerRequest{Kind: &wire.PeerRequest_Gossip{Gossip: &wire.Gossip{
-		Crashes: u.suspects.Share(u.o.Clock.Now()),
+		Crashes: u.suspects.EvidenceForPeers(u.o.Clock.Now()),
 	}}}
 	var wg sync.WaitGroup
 	for _, addr := range u.backend.peers() {
--- a/internal/policy/suspect/suspect.go
+++ b/internal/policy/suspect/suspect.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// Share returns the evidence for peers.
-func (r *Register) Share(now clock.Time) []*wire.CrashEvidence {
+// EvidenceForPeers returns the evidence for peers.
+func (r *Register) EvidenceForPeers(now clock.Time) []*wire.CrashEvidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(now)
--- a/internal/policy/suspect/suspect_test.go
+++ b/internal/policy/suspect/suspect_test.go
@@ -41,7 +41,7 @@
 	r := NewRegister()
 	for range 5 {
 		r.Add(0, Evidence{Crash{"e1", "a"}, guilty, Fresh})
-		r.Hear(0, r.Share(0))
+		r.Hear(0, r.EvidenceForPeers(0))
 	}
 	assert.Equal(t, r.Judge(0, guilty), Suspect)
 	r.Clear(0, guilty)
