--- a/internal/policy/policytest/compare_test.go
+++ b/internal/policy/policytest/compare_test.go
@@ -111,7 +111,7 @@
 	}
 	// Without the windows the entries queue long prompts at the engines,
 	// where they can't be refused any more: hardly one is on time.
-	w := play(t, c, without("windows", nil, func(g *route.Guards) { g.NoAhead = true }))
+	w := play(t, c, without("windows", nil, func(g *route.Guards) { g.NoPrefillWindow = true }))
 	assert.Assert(t, w.onTime[1]*4 < ours.onTime[1])
 }
 
--- a/internal/policy/route/capacity.go
+++ b/internal/policy/route/capacity.go
@@ -72,7 +72,7 @@
 // slotsFree is how many more requests e may be sent, by its limit and slots.
 func (r *Router) slotsFree(now clock.Time, e *Endpoint, own int64) int {
 	free := int64(e.live.lim.Limit()) - own
-	if e.Role == Prefill || r.cfg.Disabled.NoAhead || !e.live.fresh(now, &r.cfg) {
+	if e.Role == Prefill || r.cfg.Disabled.NoPrefillWindow || !e.live.fresh(now, &r.cfg) {
 		return int(free)
 	}
 	runs, _ := r.load(now, e.live)
@@ -80,7 +80,7 @@
 }
 
 func (r *Router) windowFull(e *Endpoint, in lane) bool {
-	return e.Role != Decode && !r.cfg.Disabled.NoAhead && e.shared.windows[in].full()
+	return e.Role != Decode && !r.cfg.Disabled.NoPrefillWindow && e.shared.windows[in].full()
 }
 
 // full says whether e has as much work as it should be sent.
--- a/internal/policy/route/config.go
+++ b/internal/policy/route/config.go
@@ -84,7 +84,7 @@
 	NoRamp        bool
 	NoBound       bool
 	NoAffinity    bool
-	NoAhead       bool // send whatever the engine's queue
+	NoPrefillWindow       bool // send whatever the engine's queue
 	NoGapRebuild  bool // keep believing cache contents after a gap in events
 	NoCalibration bool // ignore measured slowness between ejections
 	RoundRobin    bool // the plain baseline
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -51,7 +51,7 @@
 // One prefix becomes hot. Hashing alone sends all its requests to one engine.
 func TestHotPrefixIsBounded(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		cfg := Config{Credit: 50, Disabled: Guards{NoBound: off, NoAhead: true}}
+		cfg := Config{Credit: 50, Disabled: Guards{NoBound: off, NoPrefillWindow: true}}
 		cfg.Limit.Max, cfg.Limit.Start = 1000, 1000
 		r := newRouter(cfg, fleet(12))
 		at := map[string]int{}
