--- a/internal/policy/policytest/compare_test.go
+++ b/internal/policy/policytest/compare_test.go
@@ -159,7 +159,7 @@
 	c := steady(loadtest.Lakeshore(), 0.8)
 	c.Faults = []loadtest.Fault{{Kind: loadtest.Slow, At: 20 * time.Second, For: 40 * time.Second, Engines: []int{1}, Factor: 10}}
 	on := play(t, c, full)
-	off := play(t, c, without("ejection", nil, func(g *route.Guards) { g.NoEjection, g.NoCalibration = true, true }))
+	off := play(t, c, without("ejection", nil, func(g *route.Guards) { g.NoEjection, g.NoSlownessPenalty = true, true }))
 	lost := func(o outcome) int { return o.offered[0] - o.onTime[0] }
 	assert.Assert(t, lost(off) > 4*lost(on), "lost %d with the guard off, %d with it on", lost(off), lost(on))
 }
--- a/internal/policy/route/config.go
+++ b/internal/policy/route/config.go
@@ -86,7 +86,7 @@
 	NoAffinity    bool
 	NoPrefillWindow       bool // send whatever the engine's queue
 	NoGapRebuild  bool // keep believing cache contents after a gap in events
-	NoCalibration bool // ignore measured slowness between ejections
+	NoSlownessPenalty bool // ignore measured slowness between ejections
 	RoundRobin    bool // the plain baseline
 }
 
--- a/internal/policy/route/fleet_test.go
+++ b/internal/policy/route/fleet_test.go
@@ -202,7 +202,7 @@
 		return c
 	}
 	on := slow(Guards{})
-	off := slow(Guards{NoEjection: true, NoCalibration: true})
+	off := slow(Guards{NoEjection: true, NoSlownessPenalty: true})
 	turn := slow(Guards{NoEjection: true, RoundRobin: true})
 	t.Logf("over 60 ms: %d; without the guards %d, in turn %d; the service's calls %d of %d",
 		on.over(60), off.over(60), turn.over(60), on.services[3].served, len(on.waits))
--- a/internal/policy/route/score.go
+++ b/internal/policy/route/score.go
@@ -22,7 +22,7 @@
 		// The prefill would hold up the streams of the batch.
 		c.score += float64(run) * float64(e.live.runs.Load()) / float64(e.slots)
 	}
-	if !r.cfg.Disabled.NoCalibration {
+	if !r.cfg.Disabled.NoSlownessPenalty {
 		c.score *= e.slowness(now)
 	}
 	if e.far {
