--- a/internal/policy/policytest/compare_test.go
+++ b/internal/policy/policytest/compare_test.go
@@ -187,7 +187,7 @@
 		}
 	}
 	on := play(t, c, mixed("mixed", nil))
-	off := play(t, c, mixed("mixed, no objective", func(c *route.Config) { c.BetweenTokens = 0 }))
+	off := play(t, c, mixed("mixed, no objective", func(c *route.Config) { c.BetweenTokensObjective = 0 }))
 	assert.Assert(t, on.goodput > 1.3*off.goodput)
 	assert.Assert(t, off.spoiled[0] > 2*on.spoiled[0])
 }
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -75,7 +75,7 @@
 		Zone:          fmt.Sprint("zone-", s.Index%s.Config.Zones),
 		Entries:       s.Config.Entries,
 		StrictRoles:   true,
-		BetweenTokens: s.Config.Workload.Short.BetweenToken,
+		BetweenTokensObjective: s.Config.Workload.Short.BetweenToken,
 		KVBytes:       1,
 		KVBandwidth:   m.KVRate,
 		KVSetup:       m.KVDelay,
--- a/internal/policy/route/batch.go
+++ b/internal/policy/route/batch.go
@@ -28,7 +28,7 @@
 // as answer run fewer streams in time than they have slots. All entries read
 // the same reports, so they agree without talking.
 func (r *Router) adaptBatch(now clock.Time, e *Endpoint) {
-	objective := float64(r.cfg.BetweenTokens)
+	objective := float64(r.cfg.BetweenTokensObjective)
 	if objective == 0 || e.decodeStepNanos == 0 || e.Role == Prefill {
 		return
 	}
@@ -60,9 +60,9 @@
 // strained says whether the peers' streams are slower than the objective, so
 // that they should prefill less.
 func (r *Router) strained(e *Endpoint) bool {
-	if r.cfg.BetweenTokens == 0 || e.Role != Mixed {
+	if r.cfg.BetweenTokensObjective == 0 || e.Role != Mixed {
 		return false
 	}
 	median := math.Float64frombits(e.shared.step.Load())
-	return time.Duration(median*float64(e.decodeStepNanos)) > time.Duration(stepHigh*float64(r.cfg.BetweenTokens))
+	return time.Duration(median*float64(e.decodeStepNanos)) > time.Duration(stepHigh*float64(r.cfg.BetweenTokensObjective))
 }
--- a/internal/policy/route/config.go
+++ b/internal/policy/route/config.go
@@ -101,7 +101,7 @@
 	Overcommit    float64
 	Ahead         time.Duration
 	UrgentAhead   time.Duration
-	BetweenTokens time.Duration // objective, zero for none
+	BetweenTokensObjective time.Duration // objective, zero for none
 	StrictRoles   bool          // an engine in role Decode never prefills
 	Bound         float64
 	Credit        float64
