--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -76,7 +76,7 @@
 		Entries:       s.Config.Entries,
 		StrictRoles:   true,
 		BetweenTokensObjective: s.Config.Workload.Short.BetweenToken,
-		KVBytes:       1,
+		KVBytesPerToken:       1,
 		KVBandwidth:   m.KVRate,
 		KVSetup:       m.KVDelay,
 	}
--- a/internal/policy/route/config.go
+++ b/internal/policy/route/config.go
@@ -114,7 +114,7 @@
 	Ramp          time.Duration
 	Stuck         time.Duration
 	KVBandwidth   float64 // bytes a second
-	KVBytes       int     // of one token
+	KVBytesPerToken       int     // of one token
 	KVSetup       time.Duration
 	Limit         limit.Config // of this entry's requests at one endpoint
 	Disabled           Guards
@@ -140,7 +140,7 @@
 	orDuration(&c.Ramp, defaultRamp)
 	orDuration(&c.Stuck, defaultStuck)
 	orFloat(&c.KVBandwidth, defaultKVBandwidth)
-	orInt(&c.KVBytes, defaultKVBytes)
+	orInt(&c.KVBytesPerToken, defaultKVBytes)
 	orDuration(&c.KVSetup, defaultKVSetup)
 	return c
 }
--- a/internal/policy/route/handover.go
+++ b/internal/policy/route/handover.go
@@ -42,6 +42,6 @@
 // transferTime is the time to export, move and import the KV cache of a
 // prompt. Pieces that the decoding engine has cached are moved all the same.
 func (r *Router) transferTime(tokens int) time.Duration {
-	bytes := float64(tokens) * float64(r.cfg.KVBytes)
+	bytes := float64(tokens) * float64(r.cfg.KVBytesPerToken)
 	return r.cfg.KVSetup + time.Duration(bytes/r.cfg.KVBandwidth*float64(time.Second))
 }
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -125,7 +125,7 @@
 		{"prefill engines are busy", 20_000, 10e9, 90_000, false, false},
 		{"decode engines never prefill", 40, 0.1e9, 9_000, true, true},
 	} {
-		cfg := Config{KVBandwidth: x.bandwidth, KVBytes: 128 << 10, StrictRoles: x.strict}
+		cfg := Config{KVBandwidth: x.bandwidth, KVBytesPerToken: 128 << 10, StrictRoles: x.strict}
 		eps := fleet(4)
 		for i := range eps {
 			eps[i].Role = []Role{Prefill, Decode}[i%2]
