--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -78,7 +78,7 @@
 		BetweenTokensObjective: s.Config.Workload.Short.BetweenToken,
 		KVBytesPerToken:       1,
 		KVBandwidth:   m.KVRate,
-		KVSetup:       m.KVDelay,
+		KVTransferOverhead:       m.KVDelay,
 	}
 	if mixed {
 		// The loop tells the first token of a mixed engine only with the end.
--- a/internal/policy/route/config.go
+++ b/internal/policy/route/config.go
@@ -115,7 +115,7 @@
 	Stuck         time.Duration
 	KVBandwidth   float64 // bytes a second
 	KVBytesPerToken       int     // of one token
-	KVSetup       time.Duration
+	KVTransferOverhead       time.Duration
 	Limit         limit.Config // of this entry's requests at one endpoint
 	Disabled           Guards
 }
@@ -141,7 +141,7 @@
 	orDuration(&c.Stuck, defaultStuck)
 	orFloat(&c.KVBandwidth, defaultKVBandwidth)
 	orInt(&c.KVBytesPerToken, defaultKVBytes)
-	orDuration(&c.KVSetup, defaultKVSetup)
+	orDuration(&c.KVTransferOverhead, defaultKVSetup)
 	return c
 }
 
--- a/internal/policy/route/handover.go
+++ b/internal/policy/route/handover.go
@@ -43,5 +43,5 @@
 // prompt. Pieces that the decoding engine has cached are moved all the same.
 func (r *Router) transferTime(tokens int) time.Duration {
 	bytes := float64(tokens) * float64(r.cfg.KVBytesPerToken)
-	return r.cfg.KVSetup + time.Duration(bytes/r.cfg.KVBandwidth*float64(time.Second))
+	return r.cfg.KVTransferOverhead + time.Duration(bytes/r.cfg.KVBandwidth*float64(time.Second))
 }
