--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -82,7 +82,7 @@
 	}
 	if mixed {
 		// The loop tells the first token of a mixed engine only with the end.
-		rc.Stuck = time.Minute
+		rc.StuckTimeout = time.Minute
 	}
 	if o.Route != nil {
 		o.Route(&rc)
--- a/internal/policy/route/config.go
+++ b/internal/policy/route/config.go
@@ -112,7 +112,7 @@
 	Eject         time.Duration
 	EjectMax      time.Duration
 	Ramp          time.Duration
-	Stuck         time.Duration
+	StuckTimeout         time.Duration
 	KVBandwidth   float64 // bytes a second
 	KVBytesPerToken       int     // of one token
 	KVTransferOverhead       time.Duration
@@ -138,7 +138,7 @@
 	orDuration(&c.Eject, defaultEject)
 	orDuration(&c.EjectMax, defaultEjectMax)
 	orDuration(&c.Ramp, defaultRamp)
-	orDuration(&c.Stuck, defaultStuck)
+	orDuration(&c.StuckTimeout, defaultStuck)
 	orFloat(&c.KVBandwidth, defaultKVBandwidth)
 	orInt(&c.KVBytesPerToken, defaultKVBytes)
 	orDuration(&c.KVTransferOverhead, defaultKVSetup)
--- a/internal/policy/route/dispatch.go
+++ b/internal/policy/route/dispatch.go
@@ -48,7 +48,7 @@
 // patience is how long an endpoint that expects to need t may show no first
 // token before it counts as stuck.
 func (r *Router) patience(t time.Duration) time.Duration {
-	return r.cfg.Stuck + time.Duration(r.cfg.SlowFactor*float64(t))
+	return r.cfg.StuckTimeout + time.Duration(r.cfg.SlowFactor*float64(t))
 }
 
 // progress notes that one request less awaits its first token.
--- a/internal/policy/route/health.go
+++ b/internal/policy/route/health.go
@@ -209,7 +209,7 @@
 	l.ejectedAt = until
 	l.outUntil.Store(int64(until))
 	l.rampFrom.Store(int64(until))
-	l.dueAt.Store(int64(until.Add(r.cfg.Stuck)))
+	l.dueAt.Store(int64(until.Add(r.cfg.StuckTimeout)))
 	l.clean()
 	return d
 }
