--- a/internal/entry/fleet/table.go
+++ b/internal/entry/fleet/table.go
@@ -134,13 +134,13 @@
 	case wire.Phase_PHASE_DRAIN, wire.Phase_PHASE_MOVE, wire.Phase_PHASE_WITHDRAWN:
 		return route.Draining
 	case wire.Phase_PHASE_AWAY:
-		return route.Away
+		return route.Unavailable
 	}
 	switch {
 	case ep.failed >= suspectAfter:
 		return route.Suspect
 	case state != nil && state.Changing:
-		return route.Away
+		return route.Unavailable
 	}
 	return route.Open
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -11,7 +11,7 @@
 var (
 	roleNames  = map[route.Role]string{route.Mixed: "mixed", route.Prefill: "prefill", route.Decode: "decode"}
 	phaseNames = map[route.State]string{
-		route.Open: "open", route.Draining: "draining", route.Away: "away", route.Suspect: "suspect",
+		route.Open: "open", route.Draining: "draining", route.Unavailable: "away", route.Suspect: "suspect",
 	}
 )
 
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -148,7 +148,7 @@
 
 func (e *entry) endpoint(g *loadtest.EngineView) route.Endpoint {
 	m := e.cfg.Model
-	states := [...]route.State{route.Open, route.Draining, route.Away, route.Away}
+	states := [...]route.State{route.Open, route.Draining, route.Unavailable, route.Unavailable}
 	roles := [...]route.Role{route.Mixed, route.Prefill, route.Decode}
 	return route.Endpoint{
 		Name:            engineName(g.ID),
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -146,7 +146,7 @@
 
 func TestStatesAndExclusions(t *testing.T) {
 	eps := fleet(4)
-	eps[0].State, eps[1].State, eps[2].State = Draining, Away, Suspect
+	eps[0].State, eps[1].State, eps[2].State = Draining, Unavailable, Suspect
 	r := newRouter(Config{}, eps)
 	d := pick(t, r, 1, draft(1))
 	assert.Equal(t, d.Endpoint.Name, "engine-0003")
@@ -180,7 +180,7 @@
 	for _, off := range []bool{false, true} {
 		cfg := Config{Disabled: Guards{NoRamp: off, NoAffinity: true}}
 		eps := fleet(4)
-		eps[0].State = Away
+		eps[0].State = Unavailable
 		r := newRouter(cfg, eps)
 		eps[0].State = Open
 		now := clock.Time(time.Minute)
--- a/internal/policy/route/router.go
+++ b/internal/policy/route/router.go
@@ -65,7 +65,7 @@
 		}
 		l.stay.Store(e.slotNanos*e.slots + 1)
 		l.mu.Lock()
-		back := (isNew && started) || (!isNew && l.state == Away)
+		back := (isNew && started) || (!isNew && l.state == Unavailable)
 		if back && e.State == Open {
 			l.rampFrom.Store(int64(now))
 			l.cache.forget()
--- a/internal/policy/route/table.go
+++ b/internal/policy/route/table.go
@@ -30,7 +30,7 @@
 const (
 	Open     State = iota
 	Draining       // finishes its streams before a planned stop
-	Away           // changing role or version, or gone
+	Unavailable           // changing role or version, or gone
 	Suspect        // may be unreachable; used only when nothing else is left
 )
 
@@ -208,7 +208,7 @@
 		g = &group{cells: make([]members, t.cells)}
 		t.groups[k] = g
 	}
-	if e.State == Draining || e.State == Away {
+	if e.State == Draining || e.State == Unavailable {
 		return
 	}
 	m := &g.cells[cell]
