--- a/internal/entry/dispatch/place.go
+++ b/internal/entry/dispatch/place.go
@@ -43,7 +43,7 @@
 	req := &route.Request{
 		Pool:      s.pool.Name,
 		Artifact:  route.Artifact{Model: s.g.Model, Version: s.g.Version, Adapter: s.g.Adapter},
-		Workspace: s.g.Workspace, Pieces: s.pieces, Prompt: len(s.g.Prompt) / bytesPerToken,
+		Workspace: s.g.Workspace, Pieces: s.pieces, PromptTokens: len(s.g.Prompt) / bytesPerToken,
 		Exclude: exclude, Urgent: s.urgent, Prefilled: s.kv != nil,
 	}
 	if verdict == suspect.Suspect {
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -218,7 +218,7 @@
 		FirstBy:   q.Arrive.Add(c.FirstToken),
 		Value:     q,
 	}}
-	r.route = route.Request{Pool: pool, Prompt: q.Prompt, Urgent: c.Priority > 0}
+	r.route = route.Request{Pool: pool, PromptTokens: q.Prompt, Urgent: c.Priority > 0}
 	for i := range q.Prefix / loadtest.PieceTokens {
 		r.route.Pieces = append(r.route.Pieces, piece(q.Key, i))
 	}
--- a/internal/policy/route/bench_test.go
+++ b/internal/policy/route/bench_test.go
@@ -38,7 +38,7 @@
 	reqs := make([]Request, 1024)
 	for i := range reqs {
 		reqs[i] = Request{
-			Pool: "drafts", Artifact: Artifact{Model: "m"}, Workspace: fmt.Sprint("w", i), Prompt: 8100,
+			Pool: "drafts", Artifact: Artifact{Model: "m"}, Workspace: fmt.Sprint("w", i), PromptTokens: 8100,
 			Pieces: []uint64{splitmix.Mix(uint64(i)), splitmix.Mix(uint64(i) + 1e6), splitmix.Mix(uint64(i) + 2e6), splitmix.Mix(uint64(i) + 3e6)},
 		}
 	}
--- a/internal/policy/route/handover.go
+++ b/internal/policy/route/handover.go
@@ -33,7 +33,7 @@
 // for nothing; and the whole way must be shorter, or the request waits in the
 // prefill engine's queue while its own engine idles.
 func (r *Router) pays(req *Request, direct, split *Decision) bool {
-	if r.transferTime(req.Prompt) >= direct.unloaded {
+	if r.transferTime(req.PromptTokens) >= direct.unloaded {
 		return false
 	}
 	return split.Score < direct.Score
--- a/internal/policy/route/pick.go
+++ b/internal/policy/route/pick.go
@@ -17,7 +17,7 @@
 	Artifact  Artifact
 	Workspace string
 	Pieces    []uint64 // chained hashes of the prompt's whole pieces, see Pieces
-	Prompt    int      // tokens
+	PromptTokens    int      // tokens
 	Exclude   []*Endpoint
 	Urgent    bool // sent with the engine's higher priority
 	Prefilled bool // its KV cache exists and is to be moved
--- a/internal/policy/route/prefer.go
+++ b/internal/policy/route/prefer.go
@@ -76,7 +76,7 @@
 			continue
 		}
 		c := r.score(now, req, e, Affinity)
-		uncached := max(req.Prompt-c.cached*r.cfg.PieceTokens, 0)
+		uncached := max(req.PromptTokens-c.cached*r.cfg.PieceTokens, 0)
 		c.score -= credit * float64(uncached) * float64(e.prefillNanos)
 		if c.cached > 0 {
 			c.reason = CacheHit
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -28,7 +28,7 @@
 }
 
 func draft(key int) *Request {
-	return &Request{Pool: "drafts", Artifact: Artifact{Model: "m"}, Workspace: fmt.Sprint(key), Prompt: 8000, Pieces: pieces(key, 4)}
+	return &Request{Pool: "drafts", Artifact: Artifact{Model: "m"}, Workspace: fmt.Sprint(key), PromptTokens: 8000, Pieces: pieces(key, 4)}
 }
 
 func pick(t *testing.T, r *Router, now clock.Time, req *Request) Decision {
@@ -138,7 +138,7 @@
 			}
 			r.Report(e.Name, Report{TakenAt: 1, PrefillTokens: tokens, Running: 4})
 		}
-		d := pick(t, r, 2, &Request{Pool: "drafts", Artifact: Artifact{Model: "m"}, Prompt: x.prompt})
+		d := pick(t, r, 2, &Request{Pool: "drafts", Artifact: Artifact{Model: "m"}, PromptTokens: x.prompt})
 		assert.Equal(t, d.Prefill.Endpoint != nil, x.want, x.name)
 		assert.Equal(t, d.Endpoint.Role, Decode, x.name)
 	}
--- a/internal/policy/route/score.go
+++ b/internal/policy/route/score.go
@@ -65,8 +65,8 @@
 	// a full batch, by which endpoints below their slots still differ.
 	wait += runs * (e.decodeStepNanos + e.baseNanos) / (2 * e.slots)
 	if req.Prefilled {
-		return wait, int64(r.transferTime(req.Prompt))
+		return wait, int64(r.transferTime(req.PromptTokens))
 	}
-	tokens := max(req.Prompt-cached*r.cfg.PieceTokens, 0)
+	tokens := max(req.PromptTokens-cached*r.cfg.PieceTokens, 0)
 	return wait, int64(tokens)*e.prefillNanos + e.baseNanos
 }
