--- a/internal/entry/fleet/poll.go
+++ b/internal/entry/fleet/poll.go
@@ -83,7 +83,7 @@
 func (p *poller) tellRouter(r *driver.LoadReport) {
 	p.f.router.Report(p.name, route.Report{
 		TakenAt: p.f.clk.Now().Add(-r.Age), Running: r.Running, Waiting: r.Queued, PrefillTokens: r.QueuedTokens,
-		Step: r.DecodeStep,
+		StepTime: r.DecodeStep,
 	})
 }
 
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -173,7 +173,7 @@
 		Running:       g.Report.Running + g.Report.Ready,
 		Waiting:       g.Report.Waiting,
 		PrefillTokens: g.Report.WaitingTokens,
-		Step:          g.Report.StepTime,
+		StepTime:          g.Report.StepTime,
 	})
 	e.router.CacheEvents(engineName(g.ID), s.events(g.Report.Cached))
 }
--- a/internal/policy/route/live.go
+++ b/internal/policy/route/live.go
@@ -24,7 +24,7 @@
 	Running       int
 	Waiting       int
 	PrefillTokens int           // queued and not yet processed
-	Step          time.Duration // of the batch, zero if unknown
+	StepTime          time.Duration // of the batch, zero if unknown
 }
 
 // live is what is known of one endpoint beyond its table entry. It survives
--- a/internal/policy/route/router.go
+++ b/internal/policy/route/router.go
@@ -109,8 +109,8 @@
 		return
 	}
 	e.live.report(rep, e.prefillNanos, r.cfg.Disabled.NoOwnCounts)
-	if rep.Step > 0 && e.decodeStepNanos > 0 {
-		e.live.step.add(rep.TakenAt, float64(rep.Step)/float64(e.decodeStepNanos), 1)
+	if rep.StepTime > 0 && e.decodeStepNanos > 0 {
+		e.live.step.add(rep.TakenAt, float64(rep.StepTime)/float64(e.decodeStepNanos), 1)
 		r.adaptBatch(rep.TakenAt, e)
 	}
 }
