--- a/internal/entry/fleet/poll.go
+++ b/internal/entry/fleet/poll.go
@@ -81,7 +81,7 @@
 }
 
 func (p *poller) tellRouter(r *driver.LoadReport) {
-	p.f.router.Report(p.name, route.Report{
+	p.f.router.ObserveReport(p.name, route.Report{
 		TakenAt: p.f.clk.Now().Add(-r.Age), Running: r.Running, Waiting: r.Queued, PrefillTokens: r.QueuedTokens,
 		StepTime: r.DecodeStep,
 	})
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -168,7 +168,7 @@
 		return
 	}
 	s.report = g.Report.MeasuredAt
-	e.router.Report(engineName(g.ID), route.Report{
+	e.router.ObserveReport(engineName(g.ID), route.Report{
 		TakenAt:       g.Report.MeasuredAt,
 		Running:       g.Report.Running + g.Report.Ready,
 		Waiting:       g.Report.Waiting,
--- a/internal/policy/route/bench_test.go
+++ b/internal/policy/route/bench_test.go
@@ -33,7 +33,7 @@
 	r := NewRouter(cfg, 1)
 	r.Publish(1, NewTable(cfg, fleet(n)))
 	for _, e := range r.Table().Endpoints() {
-		r.Report(e.Name, Report{TakenAt: 1, Running: int(e.hash % 8)})
+		r.ObserveReport(e.Name, Report{TakenAt: 1, Running: int(e.hash % 8)})
 	}
 	reqs := make([]Request, 1024)
 	for i := range reqs {
--- a/internal/policy/route/fleet_test.go
+++ b/internal/policy/route/fleet_test.go
@@ -127,7 +127,7 @@
 		rep := Report{TakenAt: now, Running: s.waiting}
 		c.loop.After(reportLag, func() {
 			for _, r := range c.routers {
-				r.Report(fmt.Sprintf("service-%02d", i), rep)
+				r.ObserveReport(fmt.Sprintf("service-%02d", i), rep)
 			}
 		})
 	}
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -98,11 +98,11 @@
 	first := send(10 * sec)
 	send(11 * sec)
 	r.Done(11*sec, &first, Canceled)
-	r.Report(e.Name, Report{TakenAt: 10*sec + sec/2, Running: 5, PrefillTokens: 1000})
+	r.ObserveReport(e.Name, Report{TakenAt: 10*sec + sec/2, Running: 5, PrefillTokens: 1000})
 	runs, work := r.load(11*sec, e.live)
 	assert.Equal(t, runs, int64(5+1-1))
 	assert.Equal(t, time.Duration(work), 600*time.Millisecond)
-	r.Report(e.Name, Report{TakenAt: 10 * sec, Running: 50}) // older
+	r.ObserveReport(e.Name, Report{TakenAt: 10 * sec, Running: 50}) // older
 	runs, _ = r.load(11*sec, e.live)
 	assert.Equal(t, runs, int64(5))
 	runs, _ = r.load(60*sec, e.live) // stale: own counts only
@@ -136,7 +136,7 @@
 			if e.Role == Prefill {
 				tokens = x.queued
 			}
-			r.Report(e.Name, Report{TakenAt: 1, PrefillTokens: tokens, Running: 4})
+			r.ObserveReport(e.Name, Report{TakenAt: 1, PrefillTokens: tokens, Running: 4})
 		}
 		d := pick(t, r, 2, &Request{Pool: "drafts", Artifact: Artifact{Model: "m"}, PromptTokens: x.prompt})
 		assert.Equal(t, d.Prefill.Endpoint != nil, x.want, x.name)
@@ -165,7 +165,7 @@
 func TestSuspectRequestRunsWhereItHurtsFewest(t *testing.T) {
 	r := newRouter(Config{}, fleet(6))
 	for i, e := range r.Table().Endpoints() {
-		r.Report(e.Name, Report{TakenAt: 1, Running: (i + 4) % 6})
+		r.ObserveReport(e.Name, Report{TakenAt: 1, Running: (i + 4) % 6})
 	}
 	req := draft(1)
 	req.Isolate = true
@@ -254,7 +254,7 @@
 		now := clock.Time(i) * clock.Time(time.Second)
 		r.Publish(now, NewTable(Config{}, fleet(30-i%2)))
 		r.Sweep(now)
-		r.Report("engine-0003", Report{TakenAt: now, Running: 3})
+		r.ObserveReport("engine-0003", Report{TakenAt: now, Running: 3})
 		r.CacheEvents("engine-0003", []CacheEvent{{Seq: uint64(i), Piece: 7}})
 		_ = r.Snapshot(now)
 	}
--- a/internal/policy/route/router.go
+++ b/internal/policy/route/router.go
@@ -101,9 +101,9 @@
 	return r.lives[name]
 }
 
-// Report takes the load report of the named endpoint. Reports that are older
+// ObserveReport takes the load report of the named endpoint. Reports that are older
 // than one already seen are dropped.
-func (r *Router) Report(name string, rep Report) {
+func (r *Router) ObserveReport(name string, rep Report) {
 	e := r.find(name)
 	if e == nil {
 		return
