--- a/internal/entry/fleet/poll.go
+++ b/internal/entry/fleet/poll.go
@@ -105,7 +105,7 @@
 		out = append(out, route.CacheEvent{Seq: e.Seq, Piece: e.Piece, Evicted: e.Evicted})
 	}
 	if len(out) > 0 {
-		p.f.router.CacheEvents(p.name, out)
+		p.f.router.ApplyCacheEvents(p.name, out)
 	}
 }
 
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -175,7 +175,7 @@
 		PrefillTokens: g.Report.WaitingTokens,
 		StepTime:          g.Report.StepTime,
 	})
-	e.router.CacheEvents(engineName(g.ID), s.events(g.Report.Cached))
+	e.router.ApplyCacheEvents(engineName(g.ID), s.events(g.Report.Cached))
 }
 
 // events turns the difference between two lists of cached prefixes to events.
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -75,13 +75,13 @@
 		r := newRouter(Config{Disabled: Guards{NoGapRebuild: off}}, fleet(12))
 		e := r.Table().Endpoints()[0]
 		p := pieces(1, 4)
-		r.CacheEvents(e.Name, []CacheEvent{{Seq: 1, Piece: p[0]}, {Seq: 2, Piece: p[1]}, {Seq: 2, Piece: p[1]}})
+		r.ApplyCacheEvents(e.Name, []CacheEvent{{Seq: 1, Piece: p[0]}, {Seq: 2, Piece: p[1]}, {Seq: 2, Piece: p[1]}})
 		assert.Equal(t, e.live.cache.depth(p), 2)
-		r.CacheEvents(e.Name, []CacheEvent{{Seq: 1, Piece: p[0], Evicted: true}}) // late: already seen
+		r.ApplyCacheEvents(e.Name, []CacheEvent{{Seq: 1, Piece: p[0], Evicted: true}}) // late: already seen
 		assert.Equal(t, e.live.cache.depth(p), 2)
-		r.CacheEvents(e.Name, []CacheEvent{{Seq: 5, Piece: p[2]}})
+		r.ApplyCacheEvents(e.Name, []CacheEvent{{Seq: 5, Piece: p[2]}})
 		assert.Equal(t, e.live.cache.depth(p) > 0, off)
-		r.CacheEvents(e.Name, []CacheEvent{{Seq: 6, Piece: p[0]}, {Seq: 7, Piece: p[1], Evicted: true}, {Seq: 1, Cleared: true}, {Seq: 2, Piece: p[0]}})
+		r.ApplyCacheEvents(e.Name, []CacheEvent{{Seq: 6, Piece: p[0]}, {Seq: 7, Piece: p[1], Evicted: true}, {Seq: 1, Cleared: true}, {Seq: 2, Piece: p[0]}})
 		assert.Equal(t, e.live.cache.depth(p), 1)
 	}
 }
@@ -255,7 +255,7 @@
 		r.Publish(now, NewTable(Config{}, fleet(30-i%2)))
 		r.Sweep(now)
 		r.ObserveReport("engine-0003", Report{TakenAt: now, Running: 3})
-		r.CacheEvents("engine-0003", []CacheEvent{{Seq: uint64(i), Piece: 7}})
+		r.ApplyCacheEvents("engine-0003", []CacheEvent{{Seq: uint64(i), Piece: 7}})
 		_ = r.Snapshot(now)
 	}
 	wg.Wait()
--- a/internal/policy/route/router.go
+++ b/internal/policy/route/router.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// CacheEvents takes events of the named engine's prefix cache in the order of
+// ApplyCacheEvents takes events of the named engine's prefix cache in the order of
 // their arrival.
-func (r *Router) CacheEvents(name string, events []CacheEvent) {
+func (r *Router) ApplyCacheEvents(name string, events []CacheEvent) {
 	l := r.liveOf(name)
 	if l == nil {
 		return
