--- a/internal/entry/fleet/fleet.go
+++ b/internal/entry/fleet/fleet.go
@@ -229,7 +229,7 @@
 			o.acknowledge()
 		case <-sweep.C:
 			o.lapseDirectives()
-			for _, e := range f.router.Sweep(f.clk.Now()) {
+			for _, e := range f.router.EjectOutliers(f.clk.Now()) {
 				log.WithField("endpoint", e.Endpoint).WithField("why", e.String()).Warn("endpoint ejected")
 			}
 		}
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -123,7 +123,7 @@
 	}
 	if now.Sub(e.swept) >= sweepEvery {
 		e.swept = now
-		e.router.Sweep(now)
+		e.router.EjectOutliers(now)
 	}
 }
 
--- a/internal/policy/route/fleet_test.go
+++ b/internal/policy/route/fleet_test.go
@@ -76,7 +76,7 @@
 	c.loop.Every(50*time.Millisecond, c.count)
 	c.loop.Every(100*time.Millisecond, func() {
 		for _, r := range c.routers {
-			r.Sweep(c.loop.Now())
+			r.EjectOutliers(c.loop.Now())
 		}
 	})
 	c.loop.Run(clock.Time(length))
--- a/internal/policy/route/health.go
+++ b/internal/policy/route/health.go
@@ -54,9 +54,9 @@
 		e.Endpoint, verb, e.Cause, e.Value, e.Median, e.For, e.Out, e.Of)
 }
 
-// Sweep compares each endpoint with its pool and ejects the worst. The control
+// EjectOutliers compares each endpoint with its pool and ejects the worst. The control
 // goroutine calls it a few times a second.
-func (r *Router) Sweep(now clock.Time) []Ejection {
+func (r *Router) EjectOutliers(now clock.Time) []Ejection {
 	r.measureSending(now)
 	var all []Ejection
 	for _, p := range r.Table().peers {
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -227,8 +227,8 @@
 	e := r.Table().Endpoints()[0]
 	d := Dispatch{Endpoint: e, expected: time.Second}
 	r.Sent(1, &d)
-	assert.Equal(t, len(r.Sweep(clock.Time(4*time.Second))), 0)
-	out := r.Sweep(clock.Time(6 * time.Second))
+	assert.Equal(t, len(r.EjectOutliers(clock.Time(4*time.Second))), 0)
+	out := r.EjectOutliers(clock.Time(6 * time.Second))
 	assert.Equal(t, len(out), 1)
 	assert.Equal(t, out[0].Cause, Stuck)
 	t.Log(out[0])
@@ -253,7 +253,7 @@
 	for i := range 30 {
 		now := clock.Time(i) * clock.Time(time.Second)
 		r.Publish(now, NewTable(Config{}, fleet(30-i%2)))
-		r.Sweep(now)
+		r.EjectOutliers(now)
 		r.ObserveReport("engine-0003", Report{TakenAt: now, Running: 3})
 		r.ApplyCacheEvents("engine-0003", []CacheEvent{{Seq: uint64(i), Piece: 7}})
 		_ = r.Snapshot(now)
