--- a/internal/entry/dispatch/place.go
+++ b/internal/entry/dispatch/place.go
@@ -17,7 +17,7 @@
 	for {
 		now := s.d.clk.Now()
 		verdict := s.d.suspects.Judge(now, s.print)
-		if verdict == suspect.Guilty {
+		if verdict == suspect.Quarantined {
 			return nil, nil, errGuilty
 		}
 		d, err := s.pick(now, verdict, exclude)
--- a/internal/policy/suspect/suspect.go
+++ b/internal/policy/suspect/suspect.go
@@ -46,7 +46,7 @@
 const (
 	Innocent Verdict = iota
 	Suspect
-	Guilty
+	Quarantined
 )
 
 const (
@@ -120,7 +120,7 @@
 	}
 	switch {
 	case n >= convictAt:
-		return Guilty
+		return Quarantined
 	case n == 0:
 		return Innocent
 	}
--- a/internal/policy/suspect/suspect_test.go
+++ b/internal/policy/suspect/suspect_test.go
@@ -30,7 +30,7 @@
 	assert.Equal(t, r.Judge(0, guilty), Suspect)
 	r.Add(0, Evidence{second, neighbour, Fresh})
 	r.Add(0, Evidence{second, guilty, Repeated})
-	assert.Equal(t, r.Judge(0, guilty), Guilty)
+	assert.Equal(t, r.Judge(0, guilty), Quarantined)
 	assert.Equal(t, r.Judge(0, neighbour), Innocent)
 	assert.Equal(t, r.Judge(clock.Time(keep+time.Second), guilty), Innocent)
 }
@@ -47,7 +47,7 @@
 	r.Clear(0, guilty)
 	assert.Equal(t, r.Judge(0, guilty), Innocent)
 	r.Add(0, Evidence{Crash{"e2", "a"}, guilty, Fresh})
-	assert.Equal(t, r.Judge(0, guilty), Guilty)
+	assert.Equal(t, r.Judge(0, guilty), Quarantined)
 }
 
 // Whatever order gossip brings the evidence in, entries judge alike.
