--- a/internal/entry/dispatch/isolate.go
+++ b/internal/entry/dispatch/isolate.go
@@ -173,5 +173,5 @@
 	}
 	s.d.suspects.Clear(now, s.print)
 	s.d.free(x.crash.Endpoint, s.print)
-	x.verdict = suspect.Innocent
+	x.verdict = suspect.NotSuspected
 }
--- a/internal/policy/suspect/suspect.go
+++ b/internal/policy/suspect/suspect.go
@@ -44,7 +44,7 @@
 
 // The verdicts.
 const (
-	Innocent Verdict = iota
+	NotSuspected Verdict = iota
 	Suspect
 	Quarantined
 )
@@ -109,7 +109,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.Off {
-		return Innocent
+		return NotSuspected
 	}
 	r.expire(now)
 	n := 0
@@ -122,10 +122,10 @@
 	case n >= convictAt:
 		return Quarantined
 	case n == 0:
-		return Innocent
+		return NotSuspected
 	}
 	if _, ok := r.cleared[fp]; ok {
-		return Innocent
+		return NotSuspected
 	}
 	return Suspect
 }
--- a/internal/policy/suspect/suspect_test.go
+++ b/internal/policy/suspect/suspect_test.go
@@ -26,13 +26,13 @@
 	r.Add(0, Evidence{first, neighbour, Progressed})
 	assert.Equal(t, r.Judge(0, neighbour), Suspect)
 	r.Add(0, Evidence{first, guilty, Fresh})
-	assert.Equal(t, r.Judge(0, neighbour), Innocent)
+	assert.Equal(t, r.Judge(0, neighbour), NotSuspected)
 	assert.Equal(t, r.Judge(0, guilty), Suspect)
 	r.Add(0, Evidence{second, neighbour, Fresh})
 	r.Add(0, Evidence{second, guilty, Repeated})
 	assert.Equal(t, r.Judge(0, guilty), Quarantined)
-	assert.Equal(t, r.Judge(0, neighbour), Innocent)
-	assert.Equal(t, r.Judge(clock.Time(keep+time.Second), guilty), Innocent)
+	assert.Equal(t, r.Judge(0, neighbour), NotSuspected)
+	assert.Equal(t, r.Judge(clock.Time(keep+time.Second), guilty), NotSuspected)
 }
 
 // The same crash seen by several entries, or told again by gossip, costs a
@@ -45,7 +45,7 @@
 	}
 	assert.Equal(t, r.Judge(0, guilty), Suspect)
 	r.Clear(0, guilty)
-	assert.Equal(t, r.Judge(0, guilty), Innocent)
+	assert.Equal(t, r.Judge(0, guilty), NotSuspected)
 	r.Add(0, Evidence{Crash{"e2", "a"}, guilty, Fresh})
 	assert.Equal(t, r.Judge(0, guilty), Quarantined)
 }
