--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -38,7 +38,7 @@
 	for _, d := range g.GetDirectives() {
 		u.fleet.Hint(d)
 	}
-	u.suspects.Hear(u.o.Clock.Now(), g.GetCrashes())
+	u.suspects.MergeFromPeer(u.o.Clock.Now(), g.GetCrashes())
 }
 
 // exchangeEvidence sends this entry's crash evidence to every peer at once and
--- a/internal/policy/suspect/suspect.go
+++ b/internal/policy/suspect/suspect.go
@@ -207,8 +207,8 @@
 	return out
 }
 
-// Hear takes the evidence of a peer.
-func (r *Register) Hear(now clock.Time, list []*wire.CrashEvidence) {
+// MergeFromPeer takes the evidence of a peer.
+func (r *Register) MergeFromPeer(now clock.Time, list []*wire.CrashEvidence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range list {
--- a/internal/policy/suspect/suspect_test.go
+++ b/internal/policy/suspect/suspect_test.go
@@ -41,7 +41,7 @@
 	r := NewRegister()
 	for range 5 {
 		r.Add(0, Evidence{Crash{"e1", "a"}, guilty, Fresh})
-		r.Hear(0, r.EvidenceForPeers(0))
+		r.MergeFromPeer(0, r.EvidenceForPeers(0))
 	}
 	assert.Equal(t, r.Judge(0, guilty), Suspect)
 	r.Clear(0, guilty)
@@ -62,11 +62,11 @@
 			})
 		}
 		a, b := NewRegister(), NewRegister()
-		a.Hear(0, list)
+		a.MergeFromPeer(0, list)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 0))
 		rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		for _, e := range list {
-			b.Hear(0, []*wire.CrashEvidence{e})
+			b.MergeFromPeer(0, []*wire.CrashEvidence{e})
 		}
 		for fp := uint64(1); fp <= 4; fp++ {
 			assert.Equal(t, a.Judge(0, fp), b.Judge(0, fp))
