--- a/internal/policy/suspect/suspect.go
+++ b/internal/policy/suspect/suspect.go
@@ -1,20 +1,25 @@
-// Package suspect decides which requests crash their engines and are given up.
+// Package suspect identifies requests that crash the engines running them, so that they are
+// quarantined instead of retried.
 //
-// Load pattern: now and then one request crashes each engine that runs it, and
-// its caller sends it again. Without a verdict the resends take the fleet down
-// engine by engine; with a hasty one, the dozens of requests that shared an
-// engine with the guilty one are given up too.
+// Load pattern: a poison request crashes every engine that runs it, and its caller retries it.
+// Without quarantine the retries take the fleet down engine by engine. Quarantining on too little
+// evidence also rejects the dozens of other requests that shared an engine with the poison request.
 //
-// A crash is evidence against every request that was on the engine, of a
-// strength that says how likely it was that one. Of one crash only the
-// strongest evidence counts, whichever entry it comes from: it explains the
-// crash, and the weaker is void. A request that counts for one crash is a
-// suspect and runs where no other suspect runs, so that a second crash points
-// at one request. One that counts for two crashes is guilty, until the evidence
-// expires. What entries know is joined by gossip: order and repetition don't
-// matter, so that all come to the same verdict.
+// Approach:
 //
-// It needs no network and no clock of its own.
+//   - Each crash is evidence against every request that was on the engine. The strength of the
+//     evidence ranks how likely that request caused the crash.
+//   - For one crash only the strongest evidence counts, whichever entry reported it. Weaker
+//     evidence for the same crash is ignored, because the stronger explains it.
+//   - A request with evidence from one crash is a suspect. It must run on an engine without other
+//     suspects, so that a second crash identifies a single request.
+//   - A request with evidence from two crashes is quarantined until the evidence expires.
+//
+// Entries exchange evidence by gossip. Merging is commutative and idempotent, so all entries reach
+// the same verdict regardless of order and duplicates.
+//
+// The package does no I/O and reads no clock; callers pass the time. A Register is safe for
+// concurrent use.
 package suspect
 
 import (
@@ -25,21 +30,21 @@
 	"fescuestand/internal/wire"
 )
 
-// Strength says how likely a crash was due to a request.
+// Strength ranks how likely a request caused a crash.
 type Strength uint32
 
 // The strengths, weakest first.
 const (
-	// Progressed requests had sent tokens in this attempt: what they do to an
-	// engine they had already done.
+	// Progressed requests had produced tokens in this attempt, so the engine had already survived
+	// running them for a while.
 	Progressed Strength = iota
-	// Fresh requests had shown nothing yet.
+	// Fresh requests had not produced a token yet.
 	Fresh
-	// Repeated requests were already suspect, and ran apart from others.
+	// Repeated requests were already suspects and ran isolated from other suspects.
 	Repeated
 )
 
-// Verdict on a request.
+// Verdict is the decision on a request.
 type Verdict int
 
 // The verdicts.
@@ -50,61 +55,62 @@
 )
 
 const (
-	// convictAt is how many engines a request may cost.
-	convictAt = 2
-	// keep is how long evidence counts: longer than an impatient caller
-	// resends, short enough that an engine's own fault is forgiven.
-	keep = 10 * time.Minute
-	// maxCrashes bounds the memory: at 45 failing VMs a day there are a few
-	// crashes within keep, with a batch of requests each.
+	// quarantineCrashes is the number of crashes after which a request is quarantined.
+	quarantineCrashes = 2
+	// evidenceTTL is how long evidence counts. It outlasts the retries of an impatient caller, and
+	// is short enough that evidence from an engine's own fault expires.
+	evidenceTTL = 10 * time.Minute
+	// maxCrashes bounds memory. With 45 VM failures a day only a few crashes fall within
+	// evidenceTTL, each with one batch of requests.
 	maxCrashes = 256
-	// maxPrints bounds the requests of one crash.
-	maxPrints = 256
+	// maxFingerprintsPerCrash bounds the requests recorded for one crash.
+	maxFingerprintsPerCrash = 256
 )
 
-// Crash names one end of one engine.
+// Crash identifies one crash by the endpoint and the incarnation that ended.
 type Crash struct {
 	Endpoint    string
 	Incarnation string
 }
 
-// Evidence is what one crash says of one request.
+// Evidence links one request to one crash.
 type Evidence struct {
 	Crash
 	Fingerprint uint64
 	Strength    Strength
 }
 
-type record struct {
-	at     clock.Time
-	prints map[uint64]Strength
+type crashRecord struct {
+	at        clock.Time
+	strengths map[uint64]Strength // by request fingerprint
 }
 
-// strongest is the strength that counts for the crash.
-func (r *record) strongest() Strength {
-	top := Progressed
-	for _, s := range r.prints {
-		top = max(top, s)
+// maxStrength returns the strongest evidence for the crash, the only one that counts.
+func (r *crashRecord) maxStrength() Strength {
+	strongest := Progressed
+	for _, s := range r.strengths {
+		strongest = max(strongest, s)
 	}
-	return top
+	return strongest
 }
 
-// Register holds the evidence of one entry and what its peers told.
+// Register holds the crash evidence of this entry and the evidence received from its peers.
 type Register struct {
-	// Off suspects nobody, for comparison. It is set before the first use.
+	// Off makes Judge return NotSuspected for every request, for comparison runs. Set it before
+	// the first use.
 	Off bool
 
 	mu      sync.Mutex
-	crashes map[Crash]*record
-	cleared map[uint64]clock.Time // runs that outlived their suspicion
+	crashes map[Crash]*crashRecord
+	cleared map[uint64]clock.Time // when a suspect's run was cleared, by request fingerprint
 }
 
 // NewRegister returns an empty register.
 func NewRegister() *Register {
-	return &Register{crashes: map[Crash]*record{}, cleared: map[uint64]clock.Time{}}
+	return &Register{crashes: map[Crash]*crashRecord{}, cleared: map[uint64]clock.Time{}}
 }
 
-// Judge returns the verdict on a request.
+// Judge returns the verdict on the request with fingerprint fp.
 func (r *Register) Judge(now clock.Time, fp uint64) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,16 +118,16 @@
 		return NotSuspected
 	}
 	r.expire(now)
-	n := 0
+	crashes := 0
 	for _, c := range r.crashes {
-		if s, there := c.prints[fp]; there && s == c.strongest() {
-			n++
+		if s, found := c.strengths[fp]; found && s == c.maxStrength() {
+			crashes++
 		}
 	}
 	switch {
-	case n >= convictAt:
+	case crashes >= quarantineCrashes:
 		return Quarantined
-	case n == 0:
+	case crashes == 0:
 		return NotSuspected
 	}
 	if _, ok := r.cleared[fp]; ok {
@@ -132,18 +138,18 @@
 
 func (r *Register) expire(now clock.Time) {
 	for c, rec := range r.crashes {
-		if now.Sub(rec.at) > keep {
+		if now.Sub(rec.at) > evidenceTTL {
 			delete(r.crashes, c)
 		}
 	}
 	for fp, at := range r.cleared {
-		if now.Sub(at) > keep {
+		if now.Sub(at) > evidenceTTL {
 			delete(r.cleared, fp)
 		}
 	}
 }
 
-// Add takes evidence of this entry.
+// Add records evidence observed by this entry.
 func (r *Register) Add(now clock.Time, e Evidence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,52 +160,52 @@
 	r.expire(now)
 	rec := r.crashes[e.Crash]
 	if rec == nil {
-		if len(r.crashes) >= maxCrashes || now.Sub(at) > keep {
+		if len(r.crashes) >= maxCrashes || now.Sub(at) > evidenceTTL {
 			return
 		}
-		rec = &record{at: at, prints: map[uint64]Strength{}}
+		rec = &crashRecord{at: at, strengths: map[uint64]Strength{}}
 		r.crashes[e.Crash] = rec
 	}
-	old, known := rec.prints[e.Fingerprint]
-	if !known && len(rec.prints) >= maxPrints {
+	old, exists := rec.strengths[e.Fingerprint]
+	if !exists && len(rec.strengths) >= maxFingerprintsPerCrash {
 		return
 	}
-	if !known || e.Strength > old {
-		rec.prints[e.Fingerprint] = e.Strength
+	if !exists || e.Strength > old {
+		rec.strengths[e.Fingerprint] = e.Strength
 	}
-	if !known {
+	if !exists {
 		delete(r.cleared, e.Fingerprint)
 	}
 }
 
-// Clear tells that a suspect has outlived its suspicion or come to its end. A
-// new crash makes it suspect again.
+// Clear records that a suspect has run long enough without a crash, or has finished. Evidence from
+// another crash makes it a suspect again.
 func (r *Register) Clear(now clock.Time, fp uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.crashes {
-		if _, there := c.prints[fp]; there {
+		if _, found := c.strengths[fp]; found {
 			r.cleared[fp] = now
 			return
 		}
 	}
 }
 
-// EvidenceForPeers returns the evidence for peers.
+// EvidenceForPeers returns the evidence to send to peers: the strongest of each crash.
 func (r *Register) EvidenceForPeers(now clock.Time) []*wire.CrashEvidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(now)
 	var out []*wire.CrashEvidence
 	for c, rec := range r.crashes {
-		top := rec.strongest()
-		for fp, s := range rec.prints {
-			if s != top {
+		strongest := rec.maxStrength()
+		for fp, s := range rec.strengths {
+			if s != strongest {
 				continue
 			}
 			out = append(out, &wire.CrashEvidence{
 				Fingerprint: fp, Endpoint: c.Endpoint, EndpointIncarnation: c.Incarnation,
-				Strength: uint32(s), Neighbours: uint32(len(rec.prints) - 1),
+				Strength: uint32(s), Neighbours: uint32(len(rec.strengths) - 1),
 				AgeMs: uint32(now.Sub(rec.at).Milliseconds()),
 			})
 		}
@@ -207,11 +213,11 @@
 	return out
 }
 
-// MergeFromPeer takes the evidence of a peer.
-func (r *Register) MergeFromPeer(now clock.Time, list []*wire.CrashEvidence) {
+// MergeFromPeer merges evidence received from a peer.
+func (r *Register) MergeFromPeer(now clock.Time, evidence []*wire.CrashEvidence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, c := range list {
+	for _, c := range evidence {
 		at := now.Add(-time.Duration(c.GetAgeMs()) * time.Millisecond)
 		r.add(now, at, Evidence{
 			Crash:       Crash{c.GetEndpoint(), c.GetEndpointIncarnation()},
--- a/internal/policy/suspect/suspect_test.go
+++ b/internal/policy/suspect/suspect_test.go
@@ -13,45 +13,46 @@
 )
 
 const (
-	guilty    = 1
-	neighbour = 2
+	crashing  = 1
+	coRunning = 2
 )
 
-// A request crashes its engine as soon as it arrives; drafts that were half
-// written share the engine. The drafts must be resumed as innocents, and the
-// second engine that the request costs must be the last.
-func TestNeighboursAreNotConvicted(t *testing.T) {
+// Guards against blaming requests that merely shared an engine with a crashing request. Drafts that
+// had already produced tokens stop being suspects once the crashing request is recorded, and that
+// request is quarantined after its second crash.
+func TestCoRunningRequestsAreNotQuarantined(t *testing.T) {
 	r := NewRegister()
 	first, second := Crash{"e1", "a"}, Crash{"e2", "b"}
-	r.Add(0, Evidence{first, neighbour, Progressed})
-	assert.Equal(t, r.Judge(0, neighbour), Suspect)
-	r.Add(0, Evidence{first, guilty, Fresh})
-	assert.Equal(t, r.Judge(0, neighbour), NotSuspected)
-	assert.Equal(t, r.Judge(0, guilty), Suspect)
-	r.Add(0, Evidence{second, neighbour, Fresh})
-	r.Add(0, Evidence{second, guilty, Repeated})
-	assert.Equal(t, r.Judge(0, guilty), Quarantined)
-	assert.Equal(t, r.Judge(0, neighbour), NotSuspected)
-	assert.Equal(t, r.Judge(clock.Time(keep+time.Second), guilty), NotSuspected)
+	r.Add(0, Evidence{first, coRunning, Progressed})
+	assert.Equal(t, r.Judge(0, coRunning), Suspect)
+	r.Add(0, Evidence{first, crashing, Fresh})
+	assert.Equal(t, r.Judge(0, coRunning), NotSuspected)
+	assert.Equal(t, r.Judge(0, crashing), Suspect)
+	r.Add(0, Evidence{second, coRunning, Fresh})
+	r.Add(0, Evidence{second, crashing, Repeated})
+	assert.Equal(t, r.Judge(0, crashing), Quarantined)
+	assert.Equal(t, r.Judge(0, coRunning), NotSuspected)
+	assert.Equal(t, r.Judge(clock.Time(evidenceTTL+time.Second), crashing), NotSuspected)
 }
 
-// The same crash seen by several entries, or told again by gossip, costs a
-// request no second engine.
+// Guards against quarantining a request for a single crash that several entries observed or that
+// gossip delivered again.
 func TestOneCrashCountsOnce(t *testing.T) {
 	r := NewRegister()
 	for range 5 {
-		r.Add(0, Evidence{Crash{"e1", "a"}, guilty, Fresh})
+		r.Add(0, Evidence{Crash{"e1", "a"}, crashing, Fresh})
 		r.MergeFromPeer(0, r.EvidenceForPeers(0))
 	}
-	assert.Equal(t, r.Judge(0, guilty), Suspect)
-	r.Clear(0, guilty)
-	assert.Equal(t, r.Judge(0, guilty), NotSuspected)
-	r.Add(0, Evidence{Crash{"e2", "a"}, guilty, Fresh})
-	assert.Equal(t, r.Judge(0, guilty), Quarantined)
+	assert.Equal(t, r.Judge(0, crashing), Suspect)
+	r.Clear(0, crashing)
+	assert.Equal(t, r.Judge(0, crashing), NotSuspected)
+	r.Add(0, Evidence{Crash{"e2", "a"}, crashing, Fresh})
+	assert.Equal(t, r.Judge(0, crashing), Quarantined)
 }
 
-// Whatever order gossip brings the evidence in, entries judge alike.
-func TestOrderOfGossipDoesNotMatter(t *testing.T) {
+// Guards against entries reaching different verdicts because gossip delivered the same evidence in a
+// different order.
+func TestVerdictIsIndependentOfGossipOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []*wire.CrashEvidence
 		for range rapid.IntRange(1, 12).Draw(t, "n") {
