--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -145,7 +145,7 @@
 	poisoned.Downtime = 100 * time.Millisecond
 	w := newWorld(t, worldConfig{entries: 2, engines: []engine.Config{poisoned, poisoned, poisoned, poisoned}})
 	for _, e := range w.entries {
-		e.unit.suspects.Off = off
+		e.unit.suspects.Disabled = off
 	}
 	var cuts atomic.Int64
 	var wg sync.WaitGroup
--- a/internal/policy/suspect/suspect.go
+++ b/internal/policy/suspect/suspect.go
@@ -96,9 +96,9 @@
 
 // Register holds the crash evidence of this entry and the evidence received from its peers.
 type Register struct {
-	// Off makes Judge return NotSuspected for every request, for comparison runs. Set it before
+	// Disabled makes Judge return NotSuspected for every request, for comparison runs. Set it before
 	// the first use.
-	Off bool
+	Disabled bool
 
 	mu      sync.Mutex
 	crashes map[Crash]*crashRecord
@@ -114,7 +114,7 @@
 func (r *Register) Judge(now clock.Time, fp uint64) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.Off {
+	if r.Disabled {
 		return NotSuspected
 	}
 	r.expire(now)
