--- a/internal/policy/route/batch.go
+++ b/internal/policy/route/batch.go
@@ -8,61 +8,62 @@
 )
 
 const (
-	// stepHigh is the share of the objective between tokens from which an
-	// engine gets fewer streams. At twice the capacity of a mixed pool a lower
-	// one gave more answers on time, at 0.9 of it a higher one: 21.0 and 24.2
-	// a second with 0.9, 20.1 and 25.8 with 1.05, 15.1 and 26.4 with 1.35.
-	stepHigh = 1.0
-	// batchBackoff is applied once a report, so that half a second of lag
-	// costs a seventh of the batch at most.
-	batchBackoff = 0.93
-	// batchUsed is the share of the batch that must be taken for it to grow.
-	batchUsed = 0.9
-	// batchDrained is how far over the batch the streams may still be for it
-	// to shrink again: streams end seconds after the batch has shrunk.
-	batchDrained = 1.15
+	// maxStepShare is the share of the time-between-tokens objective above which the batch limit of
+	// an engine shrinks. A lower share gave more on-time answers at twice the capacity of a mixed
+	// pool, a higher one at 0.9 times the capacity: 21.0 and 24.2 a second with 0.9, 20.1 and 25.8
+	// with 1.05, 15.1 and 26.4 with 1.35.
+	maxStepShare = 1.0
+	// batchLimitBackoff is applied at most once per report, so that half a second of report lag
+	// reduces the batch limit by at most a seventh.
+	batchLimitBackoff = 0.93
+	// minBatchUse is the share of the batch limit that must be in use for the limit to grow.
+	minBatchUse = 0.9
+	// maxBatchOverrun is the ratio of running requests to the batch limit up to which the limit may
+	// shrink again. Streams end seconds after the limit has shrunk, so a higher ratio means that
+	// the last decrease has not taken effect yet.
+	maxBatchOverrun = 1.15
 )
 
-// adaptBatch lets the number of streams that e is sent follow its measured
-// time between tokens. Engines whose prompts are long or that prefill as well
-// as answer run fewer streams in time than they have slots. All entries read
-// the same reports, so they agree without talking.
-func (r *Router) adaptBatch(now clock.Time, e *Endpoint) {
+// adaptBatchLimit adapts the number of streams that e is sent to its measured time between tokens.
+// Engines with long prompts, and engines that both prefill and decode, meet the objective with
+// fewer streams than they have slots. All entries read the same reports and so reach similar limits
+// without coordination.
+func (r *Router) adaptBatchLimit(now clock.Time, e *Endpoint) {
 	objective := float64(r.cfg.BetweenTokensObjective)
 	if objective == 0 || e.decodeStepNanos == 0 || e.Role == Prefill {
 		return
 	}
-	l := e.live
-	most := r.cfg.Overcommit*float64(e.slots) + 1
-	batch := math.Float64frombits(l.batch.Load())
-	if batch == 0 {
-		batch = most
+	rt := e.runtime
+	maxLimit := r.cfg.Overcommit*float64(e.slots) + 1
+	limit := math.Float64frombits(rt.batchLimitBits.Load())
+	if limit == 0 {
+		limit = maxLimit
 	}
-	runs, _ := r.load(now, l)
-	step := l.step.value(now, 1) * float64(e.decodeStepNanos)
+	requests, _ := r.estimateLoad(now, rt)
+	stepTime := rt.stepRatio.value(now, 1) * float64(e.decodeStepNanos)
 	switch {
-	case step > stepHigh*objective && float64(runs) <= batchDrained*batch:
-		batch *= batchBackoff
-	case step <= stepHigh*objective && float64(runs) >= batchUsed*batch:
-		batch++
+	case stepTime > maxStepShare*objective && float64(requests) <= maxBatchOverrun*limit:
+		limit *= batchLimitBackoff
+	case stepTime <= maxStepShare*objective && float64(requests) >= minBatchUse*limit:
+		limit++
 	}
-	l.batch.Store(math.Float64bits(min(max(batch, 1), most)))
+	rt.batchLimitBits.Store(math.Float64bits(min(max(limit, 1), maxLimit)))
 }
 
-// batchOf is the number of streams that e may run for all entries.
-func (r *Router) batchOf(e *Endpoint) int64 {
-	if b := e.live.batch.Load(); b != 0 {
+// batchLimit returns the number of streams that all entries together may run on e.
+func (r *Router) batchLimit(e *Endpoint) int64 {
+	if b := e.runtime.batchLimitBits.Load(); b != 0 {
 		return int64(math.Float64frombits(b))
 	}
 	return int64(r.cfg.Overcommit*float64(e.slots) + 1)
 }
 
-// strained says whether the peers' streams are slower than the objective, so
-// that they should prefill less.
-func (r *Router) strained(e *Endpoint) bool {
+// decodeTooSlow reports whether the median time between tokens of e's peers exceeds the objective,
+// in which case this entry should send them less prefill work.
+func (r *Router) decodeTooSlow(e *Endpoint) bool {
 	if r.cfg.BetweenTokensObjective == 0 || e.Role != Mixed {
 		return false
 	}
-	median := math.Float64frombits(e.shared.step.Load())
-	return time.Duration(median*float64(e.decodeStepNanos)) > time.Duration(stepHigh*float64(r.cfg.BetweenTokensObjective))
+	median := math.Float64frombits(e.peers.stepMedianBits.Load())
+	return time.Duration(median*float64(e.decodeStepNanos)) > time.Duration(maxStepShare*float64(r.cfg.BetweenTokensObjective))
 }
--- a/internal/policy/route/bench_test.go
+++ b/internal/policy/route/bench_test.go
@@ -12,8 +12,8 @@
 	"fescuestand/internal/splitmix"
 )
 
-// fleet returns n equal engines over three zones.
-func fleet(n int) []Endpoint {
+// testEngines returns n identical engines spread over three zones.
+func testEngines(n int) []Endpoint {
 	eps := make([]Endpoint, n)
 	for i := range eps {
 		eps[i] = Endpoint{
@@ -31,9 +31,9 @@
 func benchRouter(n int) (*Router, []Request) {
 	cfg := Config{Zone: "zone-0", Cells: max(n/cellSize, 1), Entries: 8}
 	r := NewRouter(cfg, 1)
-	r.Publish(1, NewTable(cfg, fleet(n)))
+	r.Publish(1, NewTable(cfg, testEngines(n)))
 	for _, e := range r.Table().Endpoints() {
-		r.ObserveReport(e.Name, Report{TakenAt: 1, Running: int(e.hash % 8)})
+		r.ObserveReport(e.Name, Report{TakenAt: 1, Running: int(e.nameHash % 8)})
 	}
 	reqs := make([]Request, 1024)
 	for i := range reqs {
@@ -45,9 +45,9 @@
 	return r, reqs
 }
 
-// spacing is the time between requests of 0.81 s of prefill that keeps n
-// engines 70% busy.
-func spacing(n int) clock.Time { return clock.Time(1.16e9 / float64(n)) }
+// arrivalInterval is the time between requests of 0.81 s of prefill each that keeps n engines 70%
+// busy.
+func arrivalInterval(n int) clock.Time { return clock.Time(1.16e9 / float64(n)) }
 
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range []int{12, 100, 430, 4300} {
@@ -55,7 +55,7 @@
 			r, reqs := benchRouter(n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				routeOnce(b, r, clock.Time(i)*spacing(n), &reqs[i%len(reqs)])
+				routeOnce(b, r, clock.Time(i)*arrivalInterval(n), &reqs[i%len(reqs)])
 			}
 		})
 	}
@@ -64,11 +64,11 @@
 func BenchmarkRouteParallel(b *testing.B) {
 	r, reqs := benchRouter(4300)
 	b.ReportAllocs()
-	var tick atomic.Int64
+	var requestCount atomic.Int64
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			i := tick.Add(1)
-			routeOnce(b, r, clock.Time(i)*spacing(4300), &reqs[i%int64(len(reqs))])
+			i := requestCount.Add(1)
+			routeOnce(b, r, clock.Time(i)*arrivalInterval(4300), &reqs[i%int64(len(reqs))])
 		}
 	})
 }
@@ -88,7 +88,7 @@
 	n := 0
 	allocs := testing.AllocsPerRun(1000, func() {
 		n++
-		routeOnce(t, r, clock.Time(n)*spacing(430), &reqs[n%len(reqs)])
+		routeOnce(t, r, clock.Time(n)*arrivalInterval(430), &reqs[n%len(reqs)])
 	})
 	assert.Equal(t, allocs, 0.0)
 }
--- a/internal/policy/route/cache.go
+++ b/internal/policy/route/cache.go
@@ -8,36 +8,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// cacheSlots bounds what is believed of one engine's prefix cache: 2,048
-// pieces of 2,000 tokens are four million tokens, more than an engine's memory
-// holds, and take 16 kB; a cell of 100 engines takes 1.6 MB of the 32 MB.
-const cacheSlots = 2048
+// cacheViewSlots bounds the cache view of one engine. 2,048 cache blocks of 2,000 tokens are four
+// million tokens, more than an engine's memory holds. A view takes 16 kB, and the views of a cell
+// of 100 engines take 1.6 MB of the 32 MB budget.
+const cacheViewSlots = 2048
 
-// cacheView is what this entry believes that an engine has cached: a
-// direct-mapped table of piece hashes. A collision forgets the older piece,
-// which costs at most a prefill. Reads and writes need no lock.
+// cacheView is this entry's estimate of the contents of an engine's prefix cache: a direct-mapped
+// table of cache block hashes. A collision evicts the older hash, which costs at most one prefill
+// of that block. Reads and writes are lock-free.
 type cacheView struct {
-	salt  atomic.Uint64 // changes when everything is forgotten
-	slots [cacheSlots]atomic.Uint64
+	salt  atomic.Uint64 // changed to clear the view
+	slots [cacheViewSlots]atomic.Uint64
 }
 
 func (c *cacheView) has(piece uint64) bool {
-	return c.slots[piece%cacheSlots].Load() == piece^c.salt.Load()
+	return c.slots[piece%cacheViewSlots].Load() == piece^c.salt.Load()
 }
 
 func (c *cacheView) add(piece uint64) {
-	c.slots[piece%cacheSlots].Store(piece ^ c.salt.Load())
+	c.slots[piece%cacheViewSlots].Store(piece ^ c.salt.Load())
 }
 
 func (c *cacheView) remove(piece uint64) {
-	c.slots[piece%cacheSlots].CompareAndSwap(piece^c.salt.Load(), 0)
+	c.slots[piece%cacheViewSlots].CompareAndSwap(piece^c.salt.Load(), 0)
 }
 
-func (c *cacheView) forget() { c.salt.Store(splitmix.Mix(c.salt.Load() + 1)) }
+func (c *cacheView) clear() { c.salt.Store(splitmix.Mix(c.salt.Load() + 1)) }
 
-// depth returns how many leading pieces are believed to be cached. A prefix
-// cache can use a piece only if it holds all before it.
-func (c *cacheView) depth(pieces []uint64) int {
+// cachedPrefix returns the number of leading cache blocks that are estimated to be cached. A prefix
+// cache can use a block only if it holds all blocks before it.
+func (c *cacheView) cachedPrefix(pieces []uint64) int {
 	for i, p := range pieces {
 		if !c.has(p) {
 			return i
@@ -48,36 +48,36 @@
 
 // CacheEvent is one change of an engine's prefix cache.
 type CacheEvent struct {
-	Seq     uint64 // numbered by the engine without gaps
-	Piece   uint64
+	Seq     uint64 // assigned by the engine, consecutive
+	Piece   uint64 // hash of the cache block, see Pieces
 	Evicted bool
 	Cleared bool // the engine restarted or dropped its whole cache
 }
 
-// cacheSeq follows the numbering of one engine's events.
-type cacheSeq struct {
-	next  uint64
-	gaps  uint64
-	stale uint64
+// cacheEventStream tracks the sequence numbers of one engine's cache events.
+type cacheEventStream struct {
+	nextSeq  uint64
+	gaps     uint64
+	outdated uint64
 }
 
-// apply takes one event. Events come late and with gaps: one that was lost may
-// have been an eviction, and requests would go on being sent to an engine for
-// prefixes that it no longer has. So a gap forgets everything believed of the
-// engine; later events and own requests rebuild it.
-func (s *cacheSeq) apply(c *cacheView, e CacheEvent, keepOnGap bool) {
-	if s.next != 0 && e.Seq < s.next && !e.Cleared {
-		s.stale++
+// apply applies one event to the view c. Events arrive late and with gaps. A lost event may have
+// been an eviction, after which requests would keep being routed to the engine for prefixes that it
+// no longer caches. A gap therefore clears the view, unless keepOnGap is set; later events and this
+// entry's own requests rebuild it.
+func (s *cacheEventStream) apply(c *cacheView, e CacheEvent, keepOnGap bool) {
+	if s.nextSeq != 0 && e.Seq < s.nextSeq && !e.Cleared {
+		s.outdated++
 		return
 	}
-	if s.next != 0 && e.Seq > s.next && !keepOnGap {
+	if s.nextSeq != 0 && e.Seq > s.nextSeq && !keepOnGap {
 		s.gaps++
-		c.forget()
+		c.clear()
 	}
-	s.next = e.Seq + 1
+	s.nextSeq = e.Seq + 1
 	switch {
 	case e.Cleared:
-		c.forget()
+		c.clear()
 	case e.Evicted:
 		c.remove(e.Piece)
 	default:
@@ -85,8 +85,8 @@
 	}
 }
 
-// Pieces appends to dst the chained hashes of prompt's whole pieces of size
-// bytes: equal hashes mean equal prompts up to the end of that piece.
+// Pieces appends to dst the chained hashes of the whole cache blocks of prompt, each size bytes
+// long. Equal hashes mean equal models and prompts up to the end of that block.
 func Pieces(dst []uint64, model string, prompt []byte, size int) []uint64 {
 	h := xxhash.Sum64String(model)
 	for len(prompt) >= size {
--- a/internal/policy/route/capacity.go
+++ b/internal/policy/route/capacity.go
@@ -2,15 +2,15 @@
 
 import "fescuestand/internal/clock"
 
-// Capacity is what a pool can take from this entry.
+// Capacity is the number of requests that this entry can dispatch to a pool.
 type Capacity struct {
-	Slots  int // this entry's part of all slots, those of prefill engines too
+	Slots  int // this entry's share of all slots, including those of prefill engines
 	Normal int // requests that may be dispatched now
-	Urgent int // likewise, of those sent with the engine's higher priority
+	Urgent int // the same for requests sent with the engine's higher priority
 }
 
-// Capacity returns the capacity for one artifact of a pool in the cell of the
-// workspace, which may be empty if there is one cell.
+// Capacity returns the capacity for one artifact of a pool in the cell of the workspace. The
+// workspace may be empty if there is only one cell.
 func (r *Router) Capacity(now clock.Time, pool string, art Artifact, workspace string) Capacity {
 	t := r.table.Load()
 	g := t.groups[groupKey{pool, art}]
@@ -19,71 +19,72 @@
 	}
 	m := &g.cells[0]
 	if t.cells > 1 {
-		m = g.cellFor(hashOf(workspace))
+		m = g.cellFor(hashWorkspace(workspace))
 	}
-	decode := r.room(now, &m.decode)
-	if len(m.prefill.eps) == 0 {
-		return Capacity{r.part(decode.slots), decode.free[normal], decode.free[urgent]}
+	decode := r.setCapacity(now, &m.decode)
+	if len(m.prefill.endpoints) == 0 {
+		return Capacity{r.ownShare(decode.slots), decode.prefillFree[normal], decode.prefillFree[urgent]}
 	}
-	prefill, whole := r.room(now, &m.prefill), r.room(now, &m.whole)
-	free := func(in lane) int {
-		// What is being prefilled needs its slot for decoding later.
-		return max(min(prefill.free[in]+whole.free[in], decode.any-prefill.inFlight), 0)
+	prefill, colocated := r.setCapacity(now, &m.prefill), r.setCapacity(now, &m.colocated)
+	free := func(ln lane) int {
+		// Each request that is being prefilled will need a slot for decoding.
+		return max(min(prefill.prefillFree[ln]+colocated.prefillFree[ln], decode.decodeFree-prefill.inFlight), 0)
 	}
-	return Capacity{r.part(decode.slots + prefill.slots), free(normal), free(urgent)}
+	return Capacity{r.ownShare(decode.slots + prefill.slots), free(normal), free(urgent)}
 }
 
-// part is this entry's share of n slots, rounded up.
-func (r *Router) part(n int) int {
-	entries := r.sharers()
-	return (n + entries - 1) / entries
+// ownShare returns this entry's share of slots, rounded up.
+func (r *Router) ownShare(slots int) int {
+	entries := r.entryCount()
+	return (slots + entries - 1) / entries
 }
 
-// room is the capacity of one set of endpoints.
-type room struct {
+// setCapacity is the capacity of one endpoint set.
+type setCapacity struct {
 	slots, inFlight int
-	any             int        // requests that need no more prefill
-	free            [lanes]int // requests that do
+	decodeFree      int        // requests that are already prefilled
+	prefillFree     [lanes]int // requests that need a prefill
 }
 
-func (r *Router) room(now clock.Time, s *set) room {
-	var sum room
-	for _, e := range s.eps {
-		own := e.live.ownRuns.Load()
-		sum.inFlight += int(own)
-		if e.State != Open || int64(now) < e.live.outUntil.Load() {
+func (r *Router) setCapacity(now clock.Time, s *endpointSet) setCapacity {
+	var sum setCapacity
+	for _, e := range s.endpoints {
+		ownRequests := e.runtime.ownRequests.Load()
+		sum.inFlight += int(ownRequests)
+		if e.State != Open || int64(now) < e.runtime.ejectedUntil.Load() {
 			continue
 		}
 		sum.slots += int(e.slots)
-		n := r.slotsFree(now, e, own)
-		if n <= 0 {
+		free := r.freeSlots(now, e, ownRequests)
+		if free <= 0 {
 			continue
 		}
-		sum.any += n
-		for in := range lanes {
-			if !r.windowFull(e, in) {
-				sum.free[in] += n
+		sum.decodeFree += free
+		for ln := range lanes {
+			if !r.windowFull(e, ln) {
+				sum.prefillFree[ln] += free
 			}
 		}
 	}
 	return sum
 }
 
-// slotsFree is how many more requests e may be sent, by its limit and slots.
-func (r *Router) slotsFree(now clock.Time, e *Endpoint, own int64) int {
-	free := int64(e.live.lim.Limit()) - own
-	if e.Role == Prefill || r.cfg.Disabled.NoPrefillWindow || !e.live.fresh(now, &r.cfg) {
+// freeSlots returns how many more requests e may be sent. It applies this entry's concurrency limit
+// and, where a fresh load report exists, the batch limit shared by all entries.
+func (r *Router) freeSlots(now clock.Time, e *Endpoint, ownRequests int64) int {
+	free := int64(e.runtime.limiter.Limit()) - ownRequests
+	if e.Role == Prefill || r.cfg.Disabled.NoPrefillWindow || !e.runtime.hasFreshReport(now, &r.cfg) {
 		return int(free)
 	}
-	runs, _ := r.load(now, e.live)
-	return int(min(free, r.batchOf(e)-runs))
+	requests, _ := r.estimateLoad(now, e.runtime)
+	return int(min(free, r.batchLimit(e)-requests))
 }
 
-func (r *Router) windowFull(e *Endpoint, in lane) bool {
-	return e.Role != Decode && !r.cfg.Disabled.NoPrefillWindow && e.shared.windows[in].full()
+func (r *Router) windowFull(e *Endpoint, ln lane) bool {
+	return e.Role != Decode && !r.cfg.Disabled.NoPrefillWindow && e.peers.windows[ln].full()
 }
 
-// full says whether e has as much work as it should be sent.
-func (r *Router) full(now clock.Time, e *Endpoint, in lane) bool {
-	return r.windowFull(e, in) || r.slotsFree(now, e, e.live.ownRuns.Load()) <= 0
+// atCapacity reports whether e must not be sent more requests of lane ln.
+func (r *Router) atCapacity(now clock.Time, e *Endpoint, ln lane) bool {
+	return r.windowFull(e, ln) || r.freeSlots(now, e, e.runtime.ownRequests.Load()) <= 0
 }
--- a/internal/policy/route/config.go
+++ b/internal/policy/route/config.go
@@ -6,142 +6,139 @@
 	"fescuestand/internal/policy/limit"
 )
 
-// The defaults and their grounds.
+// The defaults of Config and the reasons for them.
 const (
-	// defaultPieceTokens is the size of one piece of an engine's prefix cache.
+	// defaultPieceTokens is the size of one block of an engine's prefix cache.
 	defaultPieceTokens = 2000
-	// defaultZoneCost is one round trip between availability zones (1.5 ms
-	// one way), paid by the request and again by its first token.
-	defaultZoneCost = 3 * time.Millisecond
-	// defaultStale is the age from which a load report says less than this
-	// entry's own counts. Reports that come each half second with up to two
-	// seconds of lag are two and a half seconds old before the next; one may
-	// be lost.
-	defaultStale = 4 * time.Second
-	// defaultOvercommit is the share of an engine's slots up to which it is
-	// sent work. Requests that wait at the engine are out of reach of
-	// admission, but a few must wait there to cover the lag.
+	// defaultCrossZoneCost is one round trip between availability zones at 1.5 ms one way: the
+	// request crosses once and its first token once.
+	defaultCrossZoneCost = 3 * time.Millisecond
+	// defaultMaxReportAge is the age above which a load report is less accurate than this entry's
+	// own counts. Reports come every half second with up to two seconds of lag, so a report is up
+	// to two and a half seconds old before the next one arrives, and one report may be lost.
+	defaultMaxReportAge = 4 * time.Second
+	// defaultOvercommit is the ratio of requests to slots up to which an engine is sent work.
+	// Admission can't reorder or refuse requests that wait at the engine, but a few must wait there
+	// to cover the report lag.
 	defaultOvercommit = 1.05
-	// defaultAhead is the wait for prefill at an engine that this entry's
-	// window is kept at. Shorter, engines idle between the sends of several
-	// entries and long prompts are refused below capacity; longer, they miss
-	// their first token under overload. Of 0.6, 1.5, 2.5 and 3.5 s this gave
-	// the most on-time answers at 0.9 and at 3 times the capacity together.
-	defaultAhead = 2500 * time.Millisecond
-	// defaultUrgentAhead is the same for urgent requests: one step of a
-	// long prompt's prefill, which can't be interrupted, and some more.
-	defaultUrgentAhead = 375 * time.Millisecond
-	// defaultBound is the load over the mean up to which an engine keeps
-	// being preferred for its prefixes. 1.25 is the usual choice for hashing
-	// with bounded loads: it keeps most of the affinity, and no engine's
-	// queue is more than a quarter over the others'.
-	defaultBound = 1.25
-	// defaultCredit is the share of a cold prompt's prefill time by which its
-	// preferred engine is favoured, as the requests that follow will save it.
-	defaultCredit = 0.5
-	// defaultSlowFactor ejects an endpoint that takes three times its pool's
-	// median: the spread within healthy pools stays below two.
+	// defaultTargetPrefillWait is the wait for prefill at an engine that the prefill window aims
+	// for. With a shorter one, engines idle between the requests of several entries, and long
+	// prompts are refused below capacity. With a longer one, prompts miss their first-token target
+	// under overload. Of 0.6, 1.5, 2.5 and 3.5 s this value gave the most on-time answers over
+	// loads of 0.9 and 3 times the capacity together.
+	defaultTargetPrefillWait = 2500 * time.Millisecond
+	// defaultTargetUrgentPrefillWait is the same for urgent requests: one step of a long prompt's
+	// prefill, which can't be interrupted, plus a margin.
+	defaultTargetUrgentPrefillWait = 375 * time.Millisecond
+	// defaultLoadBound is the ratio to the mean load up to which an engine stays preferred for its
+	// prefixes. 1.25 is a common choice for consistent hashing with bounded loads: it keeps most of
+	// the affinity, and no engine's queue exceeds the mean by more than a quarter.
+	defaultLoadBound = 1.25
+	// defaultAffinityCredit is the share of the prefill time of uncached tokens that is subtracted
+	// from the score of the preferred engine, because later requests with the same prefix will save
+	// it.
+	defaultAffinityCredit = 0.5
+	// defaultSlowFactor is the ratio to the peers' median latency above which an endpoint is
+	// ejected. Healthy pools stay below a ratio of two.
 	defaultSlowFactor = 3.0
-	// defaultErrorRate ejects an endpoint that fails half of its requests.
-	defaultErrorRate = 0.5
-	// defaultErrorCost is added to an endpoint's score in proportion to its
-	// error rate: the time that a retry elsewhere costs the caller.
+	// defaultMaxErrorRate is the error rate from which an endpoint is ejected.
+	defaultMaxErrorRate = 0.5
+	// defaultErrorCost is added to an endpoint's score in proportion to its error rate. It is the
+	// time that a retry on another endpoint costs the caller.
 	defaultErrorCost = time.Second
-	// defaultMaxOut is the share of a pool that may be ejected at once: one
-	// of three plain services, four of twelve engines, one zone of three.
-	defaultMaxOut = 0.34
-	// defaultEject is the first ejection's length; each next one doubles. A
-	// mistaken or outlived ejection costs the pool an engine, a probe of a
-	// bad one costs a few callers a retry: of first and longest 5 and 60, 5
-	// and 20, 3 and 10, 2 and 5 s, the shorter lost fewer answers.
-	defaultEject = 3 * time.Second
-	// defaultEjectMax bounds the doubling. A plain service that fails its
-	// commits is probed with them, so it isn't probed every few seconds.
-	defaultEjectMax = 15 * time.Second
-	// defaultRamp is the time in which a returning endpoint's share grows
-	// from a tenth to the whole; its caches are cold.
-	defaultRamp = 5 * time.Second
-	// defaultStuck ejects an endpoint that has requests in flight but has
-	// shown no progress: over five times the first-token target.
-	defaultStuck = 2 * time.Second
-	// defaultKVBandwidth is the rate of a KV transfer in bytes a second:
-	// 10 Gbit/s.
-	defaultKVBandwidth = 1.25e9
-	// defaultKVBytes is the KV cache size of one token.
-	defaultKVBytes = 128 << 10
-	// defaultKVSetup is the fixed time of an export and an import.
-	defaultKVSetup = 5 * time.Millisecond
+	// defaultMaxEjectedShare is the share of a pool that may be ejected at once: one of three plain
+	// services, four of twelve engines, or one zone of three.
+	defaultMaxEjectedShare = 0.34
+	// defaultBaseEjectionTime is the length of the first ejection; each further one doubles it. An
+	// ejection that is mistaken or outlasts its cause costs the pool an engine, while a probe of a
+	// bad engine costs a few callers a retry. Of base and maximum times of 5 and 60, 5 and 20, 3
+	// and 10, and 2 and 5 s, shorter ones lost fewer answers.
+	defaultBaseEjectionTime = 3 * time.Second
+	// defaultMaxEjectionTime bounds the doubling. A plain service that fails its commits is probed
+	// with real commits, so probes must not come every few seconds.
+	defaultMaxEjectionTime = 15 * time.Second
+	// defaultSlowStart is the time over which the share of a returning endpoint grows from a tenth
+	// to its full share, because its caches are cold.
+	defaultSlowStart = 5 * time.Second
+	// defaultStuckTimeout is part of the time without progress after which an endpoint with
+	// requests in flight is ejected (see firstTokenTimeout). It exceeds five times the first-token
+	// target.
+	defaultStuckTimeout = 2 * time.Second
+	// defaultKVBandwidth is the bandwidth of a KV cache transfer in bytes per second: 10 Gbit/s.
+	defaultKVBandwidth     = 1.25e9
+	defaultKVBytesPerToken = 128 << 10
+	// defaultKVTransferOverhead is the fixed time of exporting and importing a KV cache.
+	defaultKVTransferOverhead = 5 * time.Millisecond
 )
 
-// Guards switches single protections off, so that tests and measurements can
-// show what each is for.
+// Guards disables single mechanisms, so that tests and benchmarks can show the effect of each.
 type Guards struct {
-	NoTwoChoices  bool // scan for the lowest reported load instead
-	NoOwnCounts   bool // trust load reports alone
-	NoEjection    bool
-	NoErrorCost   bool
-	NoMaxOut      bool
-	NoRamp        bool
-	NoBound       bool
-	NoAffinity    bool
-	NoPrefillWindow       bool // send whatever the engine's queue
-	NoGapRebuild  bool // keep believing cache contents after a gap in events
-	NoSlownessPenalty bool // ignore measured slowness between ejections
-	RoundRobin    bool // the plain baseline
+	NoTwoChoices      bool // scan all endpoints for the lowest score instead of comparing two choices
+	NoLocalCounts     bool // use load reports without this entry's own counts
+	NoEjection        bool
+	NoErrorCost       bool
+	NoMaxEjectedShare bool
+	NoSlowStart       bool
+	NoLoadBound       bool
+	NoAffinity        bool
+	NoPrefillWindow   bool // send regardless of the queue at the engine
+	NoGapReset        bool // keep the cache view after a gap in cache events
+	NoSlownessPenalty bool // don't raise the scores of slow endpoints
+	RoundRobin        bool // choose in round-robin order, as a baseline
 }
 
-// Config sets a Router. Zero fields take the defaults.
+// Config configures a Router. Zero fields take the defaults.
 type Config struct {
-	Zone          string // this entry's availability zone
-	Entries       int    // how many entries share the endpoints
-	Cells         int
-	PieceTokens   int
-	ZoneCost      time.Duration
-	Stale         time.Duration
-	Overcommit    float64
-	Ahead         time.Duration
-	UrgentAhead   time.Duration
-	BetweenTokensObjective time.Duration // objective, zero for none
-	StrictRoles   bool          // an engine in role Decode never prefills
-	Bound         float64
-	Credit        float64
-	SlowFactor    float64
-	ErrorRate     float64
-	ErrorCost     time.Duration
-	MaxOut        float64
-	Eject         time.Duration
-	EjectMax      time.Duration
-	Ramp          time.Duration
-	StuckTimeout         time.Duration
-	KVBandwidth   float64 // bytes a second
-	KVBytesPerToken       int     // of one token
-	KVTransferOverhead       time.Duration
-	Limit         limit.Config // of this entry's requests at one endpoint
-	Disabled           Guards
+	Zone                    string // this entry's availability zone
+	Entries                 int    // number of entries that share the endpoints
+	Cells                   int
+	PieceTokens             int
+	CrossZoneCost           time.Duration
+	MaxReportAge            time.Duration
+	Overcommit              float64
+	TargetPrefillWait       time.Duration
+	TargetUrgentPrefillWait time.Duration
+	BetweenTokensObjective  time.Duration // zero for none
+	StrictRoles             bool          // engines in role Decode never prefill
+	LoadBound               float64
+	AffinityCredit          float64
+	SlowFactor              float64
+	MaxErrorRate            float64
+	ErrorCost               time.Duration
+	MaxEjectedShare         float64
+	BaseEjectionTime        time.Duration
+	MaxEjectionTime         time.Duration
+	SlowStart               time.Duration
+	StuckTimeout            time.Duration
+	KVBandwidth             float64 // bytes per second
+	KVBytesPerToken         int
+	KVTransferOverhead      time.Duration
+	Limit                   limit.Config // of this entry's concurrency at one endpoint
+	Disabled                Guards
 }
 
 func (c Config) withDefaults() Config {
 	orInt(&c.Entries, 1)
 	orInt(&c.Cells, 1)
 	orInt(&c.PieceTokens, defaultPieceTokens)
-	orDuration(&c.ZoneCost, defaultZoneCost)
-	orDuration(&c.Stale, defaultStale)
+	orDuration(&c.CrossZoneCost, defaultCrossZoneCost)
+	orDuration(&c.MaxReportAge, defaultMaxReportAge)
 	orFloat(&c.Overcommit, defaultOvercommit)
-	orDuration(&c.Ahead, defaultAhead)
-	orDuration(&c.UrgentAhead, defaultUrgentAhead)
-	orFloat(&c.Bound, defaultBound)
-	orFloat(&c.Credit, defaultCredit)
+	orDuration(&c.TargetPrefillWait, defaultTargetPrefillWait)
+	orDuration(&c.TargetUrgentPrefillWait, defaultTargetUrgentPrefillWait)
+	orFloat(&c.LoadBound, defaultLoadBound)
+	orFloat(&c.AffinityCredit, defaultAffinityCredit)
 	orFloat(&c.SlowFactor, defaultSlowFactor)
-	orFloat(&c.ErrorRate, defaultErrorRate)
+	orFloat(&c.MaxErrorRate, defaultMaxErrorRate)
 	orDuration(&c.ErrorCost, defaultErrorCost)
-	orFloat(&c.MaxOut, defaultMaxOut)
-	orDuration(&c.Eject, defaultEject)
-	orDuration(&c.EjectMax, defaultEjectMax)
-	orDuration(&c.Ramp, defaultRamp)
-	orDuration(&c.StuckTimeout, defaultStuck)
+	orFloat(&c.MaxEjectedShare, defaultMaxEjectedShare)
+	orDuration(&c.BaseEjectionTime, defaultBaseEjectionTime)
+	orDuration(&c.MaxEjectionTime, defaultMaxEjectionTime)
+	orDuration(&c.SlowStart, defaultSlowStart)
+	orDuration(&c.StuckTimeout, defaultStuckTimeout)
 	orFloat(&c.KVBandwidth, defaultKVBandwidth)
-	orInt(&c.KVBytesPerToken, defaultKVBytes)
-	orDuration(&c.KVTransferOverhead, defaultKVSetup)
+	orInt(&c.KVBytesPerToken, defaultKVBytesPerToken)
+	orDuration(&c.KVTransferOverhead, defaultKVTransferOverhead)
 	return c
 }
 
--- a/internal/policy/route/dispatch.go
+++ b/internal/policy/route/dispatch.go
@@ -7,20 +7,20 @@
 	"fescuestand/internal/policy/limit"
 )
 
-// Dispatch is one piece of work for one endpoint. It belongs to the goroutine
-// that serves the request.
+// Dispatch is one unit of work sent to one endpoint. It is owned by the goroutine that serves the
+// request and is not safe for concurrent use.
 type Dispatch struct {
-	Endpoint   *Endpoint // nil if there is no such piece of work
-	work       int64
-	lane       lane
-	unloaded   time.Duration
-	expected   time.Duration
-	sentAt     clock.Time
-	firstAt    clock.Time
-	sent       bool
-	answered   bool
-	firstRatio float64
-	stepRatio  float64
+	Endpoint        *Endpoint // nil if the dispatch is unused
+	prefillNanos    int64     // uncached prefill work
+	lane            lane
+	unloadedTime    time.Duration // estimated, without waiting
+	expectedTime    time.Duration // estimated, including waiting
+	sentAt          clock.Time
+	firstTokenAt    clock.Time
+	sent            bool
+	firstTokenSeen  bool
+	firstTokenRatio float64
+	stepRatio       float64
 }
 
 // Outcome is how a dispatch ended.
@@ -29,113 +29,114 @@
 // The outcomes.
 const (
 	Success  Outcome = iota
-	Failed           // an error of the endpoint's own, or its connection broke
-	Refused          // the endpoint refused the work without running it
-	Canceled         // ended by the caller; says nothing about the endpoint
+	Failed           // the endpoint returned an error, or its connection broke
+	Refused          // the endpoint rejected the work without running it
+	Canceled         // the caller ended the request; not a sample of the endpoint
 )
 
-// Sent counts d as in flight. It follows Pick at once.
+// Sent counts d as in flight. Call it immediately after Pick.
 func (r *Router) Sent(now clock.Time, d *Dispatch) {
 	d.sent, d.sentAt = true, now
-	l := d.Endpoint.live
-	if l.awaiting.Add(1) == 1 {
-		l.dueAt.Store(int64(now.Add(r.patience(d.expected))))
+	rt := d.Endpoint.runtime
+	if rt.awaitingFirstToken.Add(1) == 1 {
+		rt.firstTokenDueAt.Store(int64(now.Add(r.firstTokenTimeout(d.expectedTime))))
 	}
-	l.change(now, 1, d.work, d.lane)
-	d.Endpoint.shared.windows[d.lane].add(d.work)
+	rt.recordChange(now, 1, d.prefillNanos, d.lane)
+	d.Endpoint.peers.windows[d.lane].add(d.prefillNanos)
 }
 
-// patience is how long an endpoint that expects to need t may show no first
-// token before it counts as stuck.
-func (r *Router) patience(t time.Duration) time.Duration {
-	return r.cfg.StuckTimeout + time.Duration(r.cfg.SlowFactor*float64(t))
+// firstTokenTimeout returns how long an endpoint with an expected first-token time may go without
+// producing a first token before it counts as stuck.
+func (r *Router) firstTokenTimeout(expected time.Duration) time.Duration {
+	return r.cfg.StuckTimeout + time.Duration(r.cfg.SlowFactor*float64(expected))
 }
 
-// progress notes that one request less awaits its first token.
-func (r *Router) progress(now clock.Time, l *live) {
-	l.awaiting.Add(-1)
-	_, work := r.load(now, l)
-	rest := time.Duration(max(work, l.ownPrefill()))
-	l.dueAt.Store(int64(now.Add(r.patience(rest))))
+// endAwaiting records that one request fewer is waiting for its first token.
+func (r *Router) endAwaiting(now clock.Time, rt *endpointRuntime) {
+	rt.awaitingFirstToken.Add(-1)
+	_, prefillNanos := r.estimateLoad(now, rt)
+	remaining := time.Duration(max(prefillNanos, rt.totalOwnPrefillNanos()))
+	rt.firstTokenDueAt.Store(int64(now.Add(r.firstTokenTimeout(remaining))))
 }
 
-// FirstToken reports the first token, the end of a prefill, or the whole
-// answer of a plain service.
+// FirstToken records the first token of d, the end of its prefill, or the whole answer of a plain
+// service.
 func (r *Router) FirstToken(now clock.Time, d *Dispatch) {
-	if d.answered || !d.sent {
+	if d.firstTokenSeen || !d.sent {
 		return
 	}
-	d.answered, d.firstAt = true, now
-	l := d.Endpoint.live
-	l.ownWork[d.lane].Add(-d.work)
-	r.prefillEnded(now, d)
-	r.progress(now, l)
-	took := float64(now.Sub(d.sentAt))
-	l.first.add(now, took/float64(max(d.expected, minExpected)), 1)
-	d.firstRatio = took / float64(max(d.unloaded, minExpected))
+	d.firstTokenSeen, d.firstTokenAt = true, now
+	rt := d.Endpoint.runtime
+	rt.ownPrefillNanos[d.lane].Add(-d.prefillNanos)
+	r.recordPrefillEnd(now, d)
+	r.endAwaiting(now, rt)
+	elapsed := float64(now.Sub(d.sentAt))
+	rt.firstTokenRatio.observe(now, elapsed/float64(max(d.expectedTime, minExpectedTime)), 1)
+	d.firstTokenRatio = elapsed / float64(max(d.unloadedTime, minExpectedTime))
 }
 
-// prefillEnded lets the window follow the measured wait.
-func (r *Router) prefillEnded(now clock.Time, d *Dispatch) {
-	w := &d.Endpoint.shared.windows[d.lane]
-	w.add(-d.work)
-	if d.work > 0 {
-		w.observe(now, now.Sub(d.sentAt)-d.unloaded, d.lane == normal && r.strained(d.Endpoint))
+// recordPrefillEnd removes the prefill of d from its window and adapts the window to the measured
+// wait.
+func (r *Router) recordPrefillEnd(now clock.Time, d *Dispatch) {
+	win := &d.Endpoint.peers.windows[d.lane]
+	win.add(-d.prefillNanos)
+	if d.prefillNanos > 0 {
+		win.observe(now, now.Sub(d.sentAt)-d.unloadedTime, d.lane == normal && r.decodeTooSlow(d.Endpoint))
 	}
 }
 
-// minExpected keeps ratios meaningful for services that answer in no time: a
-// tenth of a millisecond is the resolution of a loaded VM's network.
-const minExpected = 100 * time.Microsecond
+// minExpectedTime keeps ratios meaningful for services that answer almost immediately. A tenth of a
+// millisecond is the latency resolution of the network of a loaded VM.
+const minExpectedTime = 100 * time.Microsecond
 
-// Progress reports that tokens have come so far. Calling it each few tokens
-// shows an endpoint that has become slow long before its answers end.
+// Progress records that the given number of tokens has been received so far. Calling it every few
+// tokens detects an endpoint that has become slow long before its answers end.
 func (r *Router) Progress(now clock.Time, d *Dispatch, tokens int) {
-	n := d.Endpoint.decodeStepNanos
-	if !d.answered || tokens < 2 || n == 0 {
+	stepNanos := d.Endpoint.decodeStepNanos
+	if !d.firstTokenSeen || tokens < 2 || stepNanos == 0 {
 		return
 	}
-	step := float64(now.Sub(d.firstAt)) / float64(tokens-1)
-	d.stepRatio = step / float64(n)
-	d.Endpoint.live.step.add(now, d.stepRatio, 1)
+	stepTime := float64(now.Sub(d.firstTokenAt)) / float64(tokens-1)
+	d.stepRatio = stepTime / float64(stepNanos)
+	d.Endpoint.runtime.stepRatio.observe(now, d.stepRatio, 1)
 }
 
-// Done ends d. Another call does nothing.
-func (r *Router) Done(now clock.Time, d *Dispatch, o Outcome) {
+// Done ends d with the given outcome. Further calls have no effect.
+func (r *Router) Done(now clock.Time, d *Dispatch, outcome Outcome) {
 	if !d.sent {
 		return
 	}
-	l := d.Endpoint.live
-	inFlight := int(l.ownRuns.Load())
-	if o == Success {
+	rt := d.Endpoint.runtime
+	inFlight := int(rt.ownRequests.Load())
+	if outcome == Success {
 		r.FirstToken(now, d)
 	}
-	work := -d.work
-	if d.answered {
-		work = 0
+	prefillNanos := -d.prefillNanos
+	if d.firstTokenSeen {
+		prefillNanos = 0
 	}
-	l.change(now, -1, work, d.lane)
-	if !d.answered {
-		d.answered = true
-		d.Endpoint.shared.windows[d.lane].add(-d.work)
-		r.progress(now, l)
+	rt.recordChange(now, -1, prefillNanos, d.lane)
+	if !d.firstTokenSeen {
+		d.firstTokenSeen = true
+		d.Endpoint.peers.windows[d.lane].add(-d.prefillNanos)
+		r.endAwaiting(now, rt)
 	}
 	d.sent = false
-	switch o {
+	switch outcome {
 	case Canceled:
 		return
 	case Success:
-		l.errs.add(now, 0, 0)
+		rt.errorRate.observe(now, 0, 0)
 	case Failed:
-		// The latency of an error is not a sample: an endpoint that fails
-		// fast would look like the fastest of the pool and draw its traffic.
-		l.errs.add(now, 1, 0)
+		// The latency of an error is not a sample: an endpoint that fails fast would look like the
+		// fastest of the pool and attract its traffic.
+		rt.errorRate.observe(now, 1, 0)
 	case Refused:
 	}
-	l.lim.Observe(now, limit.Sample{
-		FirstToken: d.firstRatio,
+	rt.limiter.Observe(now, limit.Sample{
+		FirstToken: d.firstTokenRatio,
 		Step:       d.stepRatio,
 		InFlight:   inFlight,
-		Overloaded: o == Refused,
+		Overloaded: outcome == Refused,
 	})
 }
--- a/internal/policy/route/doc.go
+++ b/internal/policy/route/doc.go
@@ -1,39 +1,37 @@
 // Package route chooses the endpoint for each request.
 //
-// Load pattern: prompts share long prefixes that engines keep in limited
-// caches; load reports are late, several entries read the same ones, and the
-// prompt-to-output mix swings within minutes. Without this package:
+// Load pattern: prompts share long prefixes, which engines keep in limited prefix caches. Load
+// reports arrive late, several entries read the same reports, and the mix of prompt and output
+// lengths changes within minutes. Simpler policies fail as follows; the names in parentheses are
+// the Guards that disable the remedy:
 //
-//   - sent to the least loaded engine by the last report, the requests of all
-//     entries meet on the engine that was idle a moment ago, and the next
-//     report moves them all on to another (NoOwnCounts, NoTwoChoices);
-//   - sent in turn, each engine prefills each prefix again, and long prompts
-//     queue up behind one another while other engines idle (RoundRobin);
-//   - sent by prefix alone, the engine of one hot prefix is overloaded
-//     (NoBound);
-//   - an endpoint that answers errors fast looks idle and draws the pool's
-//     traffic (NoErrorCost, NoEjection), and a common fault ejects a whole
-//     pool (NoMaxOut);
-//   - several entries fill every queue that looked empty in the last report,
-//     and requests wait where admission can no longer refuse them (NoAhead).
+//   - Least loaded by the last report: the requests of all entries herd to the engine that was idle
+//     a moment ago, and the next report moves them all to another (NoLocalCounts, NoTwoChoices).
+//   - Round robin: each engine prefills each prefix again, and long prompts queue behind one another
+//     while other engines idle (RoundRobin).
+//   - Hashing by prefix alone: the engine of one hot prefix is overloaded (NoLoadBound).
+//   - No outlier ejection: an endpoint that returns errors quickly looks idle and attracts the
+//     pool's traffic (NoErrorCost, NoEjection). Without a limit on ejections, a common fault ejects
+//     a whole pool (NoMaxEjectedShare).
+//   - No bound on outstanding prefill: several entries fill every queue that was empty in the last
+//     report, and requests wait where admission can no longer refuse them (NoPrefillWindow).
 //
-// The choice is the lowest estimated time to the first token among few
-// candidates: the two engines that rendezvous hashing prefers for the prompt's
-// first pieces, unless their load is over a bound, one in turn and one drawn
-// at random.
-// The estimate is the queued prefill and the slots taken, from the newest
-// report and what this entry sent since it was taken; plus the prefill of what
-// is not believed to be cached; corrected by the endpoint's measured slowness
-// and error rate and the distance of its availability zone. The grounds for
-// the figures stand with the constants.
+// Approach: Pick chooses the lowest estimated time to the first token among a few candidates. These
+// are the two engines that rendezvous hashing prefers for the prompt's first cache blocks, unless
+// their load exceeds a bound; one engine in round-robin order; and one random engine. The estimate
+// adds up the queued prefill and occupied slots, from the newest report and what this entry sent
+// since, and the prefill of the tokens estimated not to be cached. Penalties account for the
+// endpoint's measured slowness, its error rate and a remote availability zone. The reasons for the
+// parameters are documented with the constants.
 //
-// What one entry has outstanding is bounded by windows that follow the waits
-// it measures itself, and an engine's streams by their measured time between
-// tokens.
+// An entry's outstanding prefill is bounded by windows that follow the waits it measures. An
+// engine's streams are bounded by their measured time between tokens.
 //
-// What is known of an endpoint takes 20 kB, so an entry's table should hold
-// its own cell (CellOf) and no others once there are several. A Table is built
-// by the control goroutine and published through an atomic pointer. Traffic
-// goroutines share counters by atomics; a decision takes no lock and allocates
-// nothing.
+// Cache blocks are called pieces in identifiers and on the wire.
+//
+// Memory: the state of one endpoint takes 20 kB, so in a deployment with several cells an entry's
+// table should hold only the entry's own cell (see CellOf).
+//
+// Concurrency: a control goroutine builds each Table and publishes it through an atomic pointer.
+// Traffic goroutines share counters by atomics; a decision takes no lock and allocates nothing.
 package route
--- a/internal/policy/route/fleet_test.go
+++ b/internal/policy/route/fleet_test.go
@@ -13,47 +13,47 @@
 	"fescuestand/internal/policy/loadtest"
 )
 
-// service is a plain service endpoint: it runs one call in 10 ms, and others
-// wait in line.
+// service simulates a plain service endpoint. It runs one call at a time, each for 10 ms; other
+// calls queue.
 type service struct {
-	slow      float64
-	fails     bool // answers an error at once
-	busyUntil clock.Time
-	waiting   int
-	served    int
+	slowdown    float64
+	fails       bool // returns an error within a millisecond
+	busyUntil   clock.Time
+	outstanding int
+	served      int
 }
 
 const (
-	callTime   = 10 * time.Millisecond
-	services   = 12
-	entries    = 7
-	reportLag  = 300 * time.Millisecond
-	reportEach = 100 * time.Millisecond
+	callTime       = 10 * time.Millisecond
+	serviceCount   = 12
+	entryCount     = 7
+	reportLag      = 300 * time.Millisecond
+	reportInterval = 100 * time.Millisecond
 )
 
-// callers are the calls of several entries to the services, each entry with a
-// router of its own and load reports that are late for all.
-type callers struct {
-	loop     loadtest.Loop
-	rng      *rand.Rand
-	services []*service
-	routers  []*Router
-	silent   bool
-	waits    []time.Duration
-	errors   int
-	spread   []int // calls to each service within a window
-	worst    int
+// callSimulation simulates the calls of several entries to the services. Each entry has its own
+// router, and all receive the same late load reports.
+type callSimulation struct {
+	loop           loadtest.Loop
+	rng            *rand.Rand
+	services       []*service
+	routers        []*Router
+	reportsStopped bool
+	latencies      []time.Duration
+	errors         int
+	recentCalls    []int // calls to each service since the last recordBurst
+	maxBurst       int   // most calls to one service between two recordBursts
 }
 
-func newCallers(off Guards) *callers {
-	c := &callers{rng: rand.New(rand.NewPCG(1, 1)), spread: make([]int, services)}
+func newCallSimulation(disabled Guards) *callSimulation {
+	c := &callSimulation{rng: rand.New(rand.NewPCG(1, 1)), recentCalls: make([]int, serviceCount)}
 	var eps []Endpoint
-	for i := range services {
-		c.services = append(c.services, &service{slow: 1})
+	for i := range serviceCount {
+		c.services = append(c.services, &service{slowdown: 1})
 		eps = append(eps, Endpoint{Name: fmt.Sprintf("service-%02d", i), Pool: "lantern", Slots: 1, Base: callTime})
 	}
-	for i := range entries {
-		cfg := Config{Entries: entries, Disabled: off}
+	for i := range entryCount {
+		cfg := Config{Entries: entryCount, Disabled: disabled}
 		cfg.Limit.Max, cfg.Limit.Start, cfg.Limit.Fixed = 64, 64, true
 		cfg.Overcommit = 1000
 		r := NewRouter(cfg, uint64(i))
@@ -63,26 +63,26 @@
 	return c
 }
 
-// run calls at the given part of the capacity.
-func (c *callers) run(load float64, length time.Duration) {
-	rate := load * services / callTime.Seconds()
+// simulate sends calls at the given share of the services' capacity.
+func (c *callSimulation) simulate(load float64, duration time.Duration) {
+	rate := load * serviceCount / callTime.Seconds()
 	var arrive func()
 	arrive = func() {
-		c.call(c.routers[c.rng.IntN(entries)])
+		c.call(c.routers[c.rng.IntN(entryCount)])
 		c.loop.After(time.Duration(c.rng.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
 	arrive()
-	c.loop.Every(reportEach, c.report)
-	c.loop.Every(50*time.Millisecond, c.count)
+	c.loop.Every(reportInterval, c.report)
+	c.loop.Every(50*time.Millisecond, c.recordBurst)
 	c.loop.Every(100*time.Millisecond, func() {
 		for _, r := range c.routers {
 			r.EjectOutliers(c.loop.Now())
 		}
 	})
-	c.loop.Run(clock.Time(length))
+	c.loop.Run(clock.Time(duration))
 }
 
-func (c *callers) call(r *Router) {
+func (c *callSimulation) call(r *Router) {
 	now := c.loop.Now()
 	d, err := r.Pick(now, &Request{Pool: "lantern"})
 	if err != nil {
@@ -92,7 +92,7 @@
 	r.Sent(now, &d.Dispatch)
 	i := slices.Index(c.names(r), d.Endpoint.Name)
 	s := c.services[i]
-	c.spread[i]++
+	c.recentCalls[i]++
 	s.served++
 	if s.fails {
 		c.loop.After(time.Millisecond, func() {
@@ -101,16 +101,16 @@
 		})
 		return
 	}
-	s.waiting++
-	s.busyUntil = max(s.busyUntil, now).Add(time.Duration(float64(callTime) * s.slow))
+	s.outstanding++
+	s.busyUntil = max(s.busyUntil, now).Add(time.Duration(float64(callTime) * s.slowdown))
 	c.loop.At(s.busyUntil, func() {
-		s.waiting--
-		c.waits = append(c.waits, c.loop.Now().Sub(now))
+		s.outstanding--
+		c.latencies = append(c.latencies, c.loop.Now().Sub(now))
 		r.Done(c.loop.Now(), &d.Dispatch, Success)
 	})
 }
 
-func (c *callers) names(r *Router) []string {
+func (c *callSimulation) names(r *Router) []string {
 	var names []string
 	for _, e := range r.Table().Endpoints() {
 		names = append(names, e.Name)
@@ -118,13 +118,13 @@
 	return names
 }
 
-func (c *callers) report() {
-	if c.silent {
+func (c *callSimulation) report() {
+	if c.reportsStopped {
 		return
 	}
 	now := c.loop.Now()
 	for i, s := range c.services {
-		rep := Report{TakenAt: now, Running: s.waiting}
+		rep := Report{TakenAt: now, Running: s.outstanding}
 		c.loop.After(reportLag, func() {
 			for _, r := range c.routers {
 				r.ObserveReport(fmt.Sprintf("service-%02d", i), rep)
@@ -133,104 +133,103 @@
 	}
 }
 
-// count notes the most calls that one service got within 50 ms.
-func (c *callers) count() {
-	c.worst = max(c.worst, slices.Max(c.spread))
-	clear(c.spread)
+// recordBurst records the maximum number of calls that one service got within 50 ms.
+func (c *callSimulation) recordBurst() {
+	c.maxBurst = max(c.maxBurst, slices.Max(c.recentCalls))
+	clear(c.recentCalls)
 }
 
-// over counts the calls that took longer than ms milliseconds.
-func (c *callers) over(ms int) int {
+// slowerThan counts the calls that took longer than ms milliseconds.
+func (c *callSimulation) slowerThan(ms int) int {
 	n := 0
-	for _, w := range c.waits {
-		if w > time.Duration(ms)*time.Millisecond {
+	for _, latency := range c.latencies {
+		if latency > time.Duration(ms)*time.Millisecond {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *callers) p99() time.Duration {
-	slices.Sort(c.waits)
-	return c.waits[len(c.waits)*99/100]
+func (c *callSimulation) p99() time.Duration {
+	slices.Sort(c.latencies)
+	return c.latencies[len(c.latencies)*99/100]
 }
 
-// Seven entries read the same reports, 0.3 s old. Sent to the least loaded by
-// the report, everybody's calls meet on the service that was idle then, wait
-// there, and the next report moves them all on to another. Two choices at
-// random and own counts hold the herd.
-func TestHerd(t *testing.T) {
-	on := newCallers(Guards{})
-	on.run(0.7, 20*time.Second)
-	off := newCallers(Guards{NoTwoChoices: true, NoOwnCounts: true})
-	off.run(0.7, 20*time.Second)
-	turn := newCallers(Guards{RoundRobin: true})
-	turn.run(0.7, 20*time.Second)
-	t.Logf("p99 %v, most calls to one service in 50 ms %d; without the guards %v, %d; round robin %v, %d",
-		on.p99(), on.worst, off.p99(), off.worst, turn.p99(), turn.worst)
-	assert.Assert(t, off.p99() > 3*on.p99())
-	assert.Assert(t, off.worst > 2*on.worst)
-	// Turns are hard to beat among equals; they are the floor.
-	assert.Assert(t, on.p99() < turn.p99()*11/10)
+// Guards against herding. Seven entries read the same reports, 0.3 s old. If each sends its calls
+// to the service with the lowest reported load, all calls meet on one service and queue there, and
+// the next report moves them all to another. Two choices and own counts prevent this.
+func TestTwoChoicesPreventHerding(t *testing.T) {
+	guarded := newCallSimulation(Guards{})
+	guarded.simulate(0.7, 20*time.Second)
+	unguarded := newCallSimulation(Guards{NoTwoChoices: true, NoLocalCounts: true})
+	unguarded.simulate(0.7, 20*time.Second)
+	roundRobin := newCallSimulation(Guards{RoundRobin: true})
+	roundRobin.simulate(0.7, 20*time.Second)
+	t.Logf("p99 %v, most calls to one service in 50 ms %d; guards disabled %v, %d; round robin %v, %d",
+		guarded.p99(), guarded.maxBurst, unguarded.p99(), unguarded.maxBurst, roundRobin.p99(), roundRobin.maxBurst)
+	assert.Assert(t, unguarded.p99() > 3*guarded.p99())
+	assert.Assert(t, unguarded.maxBurst > 2*guarded.maxBurst)
+	// Round robin is close to optimal among equal services, so its p99 is the reference.
+	assert.Assert(t, guarded.p99() < roundRobin.p99()*11/10)
 }
 
-// A service answers each call with an error within a millisecond. It has never
-// anything in flight, so that it looks the least loaded and draws the calls of
-// the whole pool.
-func TestFastErrors(t *testing.T) {
-	broken := func(off Guards) *callers {
-		c := newCallers(off)
+// Guards against a service that answers each call with an error within a millisecond. It never has
+// a call in flight for long, so it looks least loaded and attracts the calls of the whole pool.
+func TestFastErrorsDoNotAttractTraffic(t *testing.T) {
+	withBrokenService := func(disabled Guards) *callSimulation {
+		c := newCallSimulation(disabled)
 		c.loop.After(5*time.Second, func() { c.services[3].fails = true })
-		c.run(0.7, 20*time.Second)
+		c.simulate(0.7, 20*time.Second)
 		return c
 	}
-	on := broken(Guards{})
-	off := broken(Guards{NoEjection: true, NoErrorCost: true})
-	t.Logf("errors %d of %d; without the guards %d", on.errors, len(on.waits)+on.errors, off.errors)
-	assert.Assert(t, on.errors*100 < len(on.waits))
-	assert.Assert(t, off.errors > 10*on.errors)
+	guarded := withBrokenService(Guards{})
+	unguarded := withBrokenService(Guards{NoEjection: true, NoErrorCost: true})
+	t.Logf("errors %d of %d; guards disabled %d", guarded.errors, len(guarded.latencies)+guarded.errors, unguarded.errors)
+	assert.Assert(t, guarded.errors*100 < len(guarded.latencies))
+	assert.Assert(t, unguarded.errors > 10*guarded.errors)
 }
 
-// A service becomes ten times slower and reports stop. Its calls wait in line
-// longer and longer.
+// Guards against calls queueing at a service that becomes ten times slower while load reports stop.
+// Only measured latencies show the slowness.
 func TestSlowServiceWithoutReports(t *testing.T) {
-	slow := func(off Guards) *callers {
-		c := newCallers(off)
-		c.loop.After(5*time.Second, func() { c.services[3].slow, c.silent = 10, true })
-		c.loop.After(25*time.Second, func() { c.services[3].slow, c.silent = 1, false })
-		c.run(0.7, 40*time.Second)
+	withSlowService := func(disabled Guards) *callSimulation {
+		c := newCallSimulation(disabled)
+		c.loop.After(5*time.Second, func() { c.services[3].slowdown, c.reportsStopped = 10, true })
+		c.loop.After(25*time.Second, func() { c.services[3].slowdown, c.reportsStopped = 1, false })
+		c.simulate(0.7, 40*time.Second)
 		return c
 	}
-	on := slow(Guards{})
-	off := slow(Guards{NoEjection: true, NoSlownessPenalty: true})
-	turn := slow(Guards{NoEjection: true, RoundRobin: true})
-	t.Logf("over 60 ms: %d; without the guards %d, in turn %d; the service's calls %d of %d",
-		on.over(60), off.over(60), turn.over(60), on.services[3].served, len(on.waits))
-	assert.Assert(t, off.over(60) > 2*on.over(60))
-	assert.Assert(t, turn.over(60) > 4*on.over(60))
-	// It is back in its place: a twelfth of the calls of half of the run.
-	assert.Assert(t, on.services[3].served*12 > len(on.waits)/4)
+	guarded := withSlowService(Guards{})
+	unguarded := withSlowService(Guards{NoEjection: true, NoSlownessPenalty: true})
+	roundRobin := withSlowService(Guards{NoEjection: true, RoundRobin: true})
+	t.Logf("over 60 ms: %d; guards disabled %d, round robin %d; the service's calls %d of %d",
+		guarded.slowerThan(60), unguarded.slowerThan(60), roundRobin.slowerThan(60), guarded.services[3].served, len(guarded.latencies))
+	assert.Assert(t, unguarded.slowerThan(60) > 2*guarded.slowerThan(60))
+	assert.Assert(t, roundRobin.slowerThan(60) > 4*guarded.slowerThan(60))
+	// The service is healthy for half of the run, so its fair share is a twelfth of half of the calls.
+	// It must get at least half of that.
+	assert.Assert(t, guarded.services[3].served*12 > len(guarded.latencies)/4)
 }
 
-// Something behind all services is slow: all look bad at once. Ejecting them
-// all would leave nobody; at most a third is out, and no more than that.
+// Guards against ejecting a whole pool when a common dependency makes many services fail at once.
+// At most a third may be ejected.
 func TestEjectionIsCapped(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		c := newCallers(Guards{NoMaxOut: off})
+	for _, disabled := range []bool{false, true} {
+		c := newCallSimulation(Guards{NoMaxEjectedShare: disabled})
 		for _, s := range c.services[:8] {
 			s.fails = true
 		}
-		most := 0
+		maxEjected := 0
 		c.loop.Every(100*time.Millisecond, func() {
-			out := 0
+			ejected := 0
 			for _, e := range c.routers[0].Snapshot(c.loop.Now()).Endpoints {
 				if e.Out {
-					out++
+					ejected++
 				}
 			}
-			most = max(most, out)
+			maxEjected = max(maxEjected, ejected)
 		})
-		c.run(0.2, 5*time.Second)
-		assert.Equal(t, most > services/3, off, "%d out", most)
+		c.simulate(0.2, 5*time.Second)
+		assert.Equal(t, maxEjected > serviceCount/3, disabled, "%d ejected", maxEjected)
 	}
 }
--- a/internal/policy/route/handover.go
+++ b/internal/policy/route/handover.go
@@ -6,41 +6,43 @@
 	"fescuestand/internal/clock"
 )
 
-// handOver chooses an engine to prefill and one to answer with the KV cache
-// moved over.
-func (r *Router) handOver(now clock.Time, req *Request, ws uint64, m *members) (Decision, bool) {
-	first, ok := r.choose(now, req, ws, &m.prefill)
+// pickHandoff chooses one engine for the prefill and another for the decode, which receives the KV
+// cache.
+func (r *Router) pickHandoff(now clock.Time, req *Request, wsHash uint64, m *cellMembers) (Decision, bool) {
+	prefiller, ok := r.chooseFrom(now, req, wsHash, &m.prefill)
 	if !ok {
 		return Decision{}, false
 	}
-	moved := *req
-	moved.Prefilled = true
-	second, ok := r.choose(now, &moved, ws, &m.decode)
+	decodeReq := *req
+	decodeReq.Prefilled = true
+	decoder, ok := r.chooseFrom(now, &decodeReq, wsHash, &m.decode)
 	if !ok {
 		return Decision{}, false
 	}
-	d := r.decide(now, &moved, second)
-	p := r.decide(now, req, first)
-	d.Prefill = p.Dispatch
-	d.Reason, d.Cached = p.Reason, p.Cached
-	d.Score += p.Score
+	d := r.newDecision(now, &decodeReq, decoder)
+	prefill := r.newDecision(now, req, prefiller)
+	d.Prefill = prefill.Dispatch
+	d.Reason, d.Cached = prefill.Reason, prefill.Cached
+	d.Score += prefill.Score
 	return d, true
 }
 
-// pays says whether a hand-over is better than the answer from one engine.
+// handoffPays reports whether a handoff is better than serving the request on one engine. Both
+// conditions must hold:
 //
-// The transfer must take less than the recomputation, or the network is spent
-// for nothing; and the whole way must be shorter, or the request waits in the
-// prefill engine's queue while its own engine idles.
-func (r *Router) pays(req *Request, direct, split *Decision) bool {
-	if r.transferTime(req.PromptTokens) >= direct.unloaded {
+//   - The transfer takes less time than computing the KV cache there; otherwise it uses the network
+//     without benefit.
+//   - The total time to the first token is lower; otherwise the request waits in the prefill
+//     engine's queue while the other engine idles.
+func (r *Router) handoffPays(req *Request, direct, handoff *Decision) bool {
+	if r.transferTime(req.PromptTokens) >= direct.unloadedTime {
 		return false
 	}
-	return split.Score < direct.Score
+	return handoff.Score < direct.Score
 }
 
-// transferTime is the time to export, move and import the KV cache of a
-// prompt. Pieces that the decoding engine has cached are moved all the same.
+// transferTime returns the time to export, transfer and import the KV cache of a prompt. Blocks
+// that the decode engine already caches are transferred as well.
 func (r *Router) transferTime(tokens int) time.Duration {
 	bytes := float64(tokens) * float64(r.cfg.KVBytesPerToken)
 	return r.cfg.KVTransferOverhead + time.Duration(bytes/r.cfg.KVBandwidth*float64(time.Second))
--- a/internal/policy/route/health.go
+++ b/internal/policy/route/health.go
@@ -10,18 +10,20 @@
 )
 
 const (
-	// minJudged is the fewest samples that an endpoint is judged by.
-	minJudged = 5
-	// minPeers is the fewest judged endpoints whose median means anything.
+	// minSamples is the number of latency samples an endpoint needs before it is compared with its
+	// peers.
+	minSamples = 5
+	// minPeers is the number of endpoints with enough samples that a median needs. It is also the
+	// number of outcomes an endpoint needs before its error rate is judged.
 	minPeers = 3
-	// maxDoublings bounds the shift of the ejection time.
-	maxDoublings = 6
-	// forgive is the time in service after which an earlier ejection no
-	// longer lengthens the next one.
-	forgive = 2 * time.Minute
+	// maxEjectionDoublings bounds the shift that doubles the ejection time.
+	maxEjectionDoublings = 6
+	// ejectionHistory is the time in service after which earlier ejections no longer lengthen the
+	// next one.
+	ejectionHistory = 2 * time.Minute
 )
 
-// Cause says why an endpoint was ejected.
+// Cause is the reason for an ejection.
 type Cause uint8
 
 // The causes.
@@ -33,135 +35,137 @@
 
 func (c Cause) String() string { return [...]string{"slow", "failing", "stuck"}[c] }
 
-// Ejection is one endpoint taken out of its pool, with the figures for it.
+// Ejection describes one outlier that was ejected from its pool, or would have been, with the
+// measurements behind the decision.
 type Ejection struct {
-	Endpoint string
-	Pool     string
-	Cause    Cause
-	Value    float64 // latency ratio, error rate or seconds overdue
-	Median   float64 // of the pool
-	For      time.Duration
-	Out, Of  int  // ejected endpoints of the pool with this one, pool size
-	Held     bool // not carried out, as too much of the pool is out
+	Endpoint          string
+	Pool              string
+	Cause             Cause
+	Value             float64 // latency ratio, error rate or seconds overdue
+	Median            float64 // of its peers
+	Duration          time.Duration
+	Ejected, PoolSize int  // ejected peers including this endpoint, number of peers
+	Suppressed        bool // not ejected, because too many peers are ejected already
 }
 
 func (e Ejection) String() string {
 	verb := "ejected"
-	if e.Held {
+	if e.Suppressed {
 		verb = "kept"
 	}
 	return fmt.Sprintf("endpoint %s %s cause=%s value=%.2f median=%.2f for=%s out=%d/%d",
-		e.Endpoint, verb, e.Cause, e.Value, e.Median, e.For, e.Out, e.Of)
+		e.Endpoint, verb, e.Cause, e.Value, e.Median, e.Duration, e.Ejected, e.PoolSize)
 }
 
-// EjectOutliers compares each endpoint with its pool and ejects the worst. The control
+// EjectOutliers compares each endpoint with its peers and ejects the worst outliers. The control
 // goroutine calls it a few times a second.
 func (r *Router) EjectOutliers(now clock.Time) []Ejection {
-	r.measureSending(now)
-	var all []Ejection
-	for _, p := range r.Table().peers {
-		all = append(all, r.sweepPool(now, p)...)
+	r.estimateOtherEntries(now)
+	var ejections []Ejection
+	for _, p := range r.Table().peerGroups {
+		ejections = append(ejections, r.ejectFromGroup(now, p)...)
 	}
-	return all
+	return ejections
 }
 
-// sendingWindow is the time over which this entry's sending is averaged.
-const sendingWindow = time.Second
+// sendRateInterval is the time over which this entry's send rate is averaged.
+const sendRateInterval = time.Second
 
-// measureSending estimates how busy the other entries keep the endpoints: they
-// follow the same policy, so each sends as much as this one.
-func (r *Router) measureSending(now clock.Time) {
-	span := now.Sub(r.sendingAt)
-	if span < sendingWindow {
+// estimateOtherEntries estimates the load that the other entries put on the endpoints. They follow
+// the same policy, so each is assumed to send as much as this one.
+func (r *Router) estimateOtherEntries(now clock.Time) {
+	elapsed := now.Sub(r.sendRatesAt)
+	if elapsed < sendRateInterval {
 		return
 	}
-	r.sendingAt = now
-	for i := range r.Table().peers {
-		p := &r.Table().peers[i]
-		var sent, runs int64
-		for _, e := range p.eps {
-			sent += e.live.sentWork.Load()
-			runs += max(e.live.runs.Load()-e.live.ownRuns.Load(), 0)
+	r.sendRatesAt = now
+	for i := range r.Table().peerGroups {
+		p := &r.Table().peerGroups[i]
+		var sentNanos, requests int64
+		for _, e := range p.endpoints {
+			sentNanos += e.runtime.sentPrefillNanos.Load()
+			requests += max(e.runtime.requests.Load()-e.runtime.ownRequests.Load(), 0)
 		}
-		n := int64(len(p.eps))
-		rate := float64(sent-p.sentWork) / float64(span) / float64(len(p.eps))
-		if p.sentWork == 0 {
+		n := int64(len(p.endpoints))
+		rate := float64(sentNanos-p.sentPrefillNanos) / float64(elapsed) / float64(len(p.endpoints))
+		if p.sentPrefillNanos == 0 {
 			rate = 0
 		}
-		p.sentWork = sent
-		p.rate += sampleWeight * (rate - p.rate)
-		others := min(1000*p.rate*float64(r.sharers()-1), 1000)
-		for _, e := range p.eps {
-			e.live.others.Store(int64(others))
-			e.live.othersRuns.Store((runs + n/2) / n)
+		p.sentPrefillNanos = sentNanos
+		p.sendRate += sampleWeight * (rate - p.sendRate)
+		othersPermille := min(1000*p.sendRate*float64(r.entryCount()-1), 1000)
+		for _, e := range p.endpoints {
+			e.runtime.othersBusyPermille.Store(int64(othersPermille))
+			e.runtime.meanOthersRequests.Store((requests + n/2) / n)
 		}
 	}
 }
 
-func (r *Router) sweepPool(now clock.Time, p peers) []Ejection {
-	median := medians{
-		first: medianOf(now, p.eps, func(l *live) *ewma { return &l.first }),
-		step:  medianOf(now, p.eps, func(l *live) *ewma { return &l.step }),
+func (r *Router) ejectFromGroup(now clock.Time, p peerGroup) []Ejection {
+	median := groupMedians{
+		firstTokenRatio: medianOf(now, p.endpoints, func(rt *endpointRuntime) *ewma { return &rt.firstTokenRatio }),
+		stepRatio:       medianOf(now, p.endpoints, func(rt *endpointRuntime) *ewma { return &rt.stepRatio }),
 	}
-	shared := p.eps[0].shared
-	shared.first.Store(math.Float64bits(median.first))
-	shared.step.Store(math.Float64bits(median.step))
-	out := 0
-	var found []Ejection
-	var at []*Endpoint
-	for _, e := range p.eps {
-		if int64(now) < e.live.outUntil.Load() {
-			out++
+	peers := p.endpoints[0].peers
+	peers.firstTokenMedianBits.Store(math.Float64bits(median.firstTokenRatio))
+	peers.stepMedianBits.Store(math.Float64bits(median.stepRatio))
+	ejected := 0
+	var outliers []Ejection
+	var outlierEndpoints []*Endpoint
+	for _, e := range p.endpoints {
+		if int64(now) < e.runtime.ejectedUntil.Load() {
+			ejected++
 			continue
 		}
-		if j, bad := r.judge(now, e, median); bad {
-			found = append(found, j)
-			at = append(at, e)
+		if ej, bad := r.detectOutlier(now, e, median); bad {
+			outliers = append(outliers, ej)
+			outlierEndpoints = append(outlierEndpoints, e)
 		}
 	}
 	if r.cfg.Disabled.NoEjection {
 		return nil
 	}
-	allowed := int(r.cfg.MaxOut * float64(len(p.eps)))
-	if r.cfg.Disabled.NoMaxOut {
-		allowed = len(p.eps)
+	allowed := int(r.cfg.MaxEjectedShare * float64(len(p.endpoints)))
+	if r.cfg.Disabled.NoMaxEjectedShare {
+		allowed = len(p.endpoints)
 	}
-	order := make([]int, len(found))
+	order := make([]int, len(outliers))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return found[b].worse(found[a]) })
-	sorted := make([]Ejection, 0, len(found))
+	slices.SortStableFunc(order, func(a, b int) int { return outliers[b].compareSeverity(outliers[a]) })
+	decided := make([]Ejection, 0, len(outliers))
 	for _, i := range order {
-		j := found[i]
-		j.Of = len(p.eps)
-		j.Held = out >= allowed
-		if !j.Held {
-			out++
-			j.For = r.eject(now, at[i].live)
+		ej := outliers[i]
+		ej.PoolSize = len(p.endpoints)
+		ej.Suppressed = ejected >= allowed
+		if !ej.Suppressed {
+			ejected++
+			ej.Duration = r.eject(now, outlierEndpoints[i].runtime)
 		}
-		j.Out = out
-		sorted = append(sorted, j)
+		ej.Ejected = ejected
+		decided = append(decided, ej)
 	}
-	return sorted
+	return decided
 }
 
-// worse orders stuck and failing endpoints over slow ones, then by value.
-func (e Ejection) worse(f Ejection) int {
-	if e.Cause != f.Cause {
-		return int(e.Cause) - int(f.Cause)
+// compareSeverity orders stuck above failing above slow endpoints, then by value. A positive result
+// means that e is more severe.
+func (e Ejection) compareSeverity(other Ejection) int {
+	if e.Cause != other.Cause {
+		return int(e.Cause) - int(other.Cause)
 	}
-	return int(math.Copysign(1, e.Value-f.Value))
+	return int(math.Copysign(1, e.Value-other.Value))
 }
 
-// medians are the middle values of a pool, zero if too few have been measured.
-type medians struct{ first, step float64 }
+// groupMedians are the medians of a peer group; zero if too few endpoints have enough samples.
+type groupMedians struct{ firstTokenRatio, stepRatio float64 }
 
-func medianOf(now clock.Time, eps []*Endpoint, of func(*live) *ewma) float64 {
+func medianOf(now clock.Time, eps []*Endpoint, selectMean func(*endpointRuntime) *ewma) float64 {
 	var ratios []float64
 	for _, e := range eps {
-		if m := of(e.live); m.n.Load() >= minJudged {
-			ratios = append(ratios, m.value(now, 1))
+		if mean := selectMean(e.runtime); mean.n.Load() >= minSamples {
+			ratios = append(ratios, mean.value(now, 1))
 		}
 	}
 	if len(ratios) < minPeers {
@@ -171,109 +175,109 @@
 	return ratios[len(ratios)/2]
 }
 
-func (r *Router) judge(now clock.Time, e *Endpoint, m medians) (Ejection, bool) {
-	l := e.live
-	j := Ejection{Endpoint: e.Name, Pool: e.Pool}
-	overdue := now.Sub(clock.Time(l.dueAt.Load()))
-	if l.awaiting.Load() > 0 && overdue > 0 {
-		j.Cause, j.Value = Stuck, overdue.Seconds()
-		return j, true
+func (r *Router) detectOutlier(now clock.Time, e *Endpoint, medians groupMedians) (Ejection, bool) {
+	rt := e.runtime
+	ej := Ejection{Endpoint: e.Name, Pool: e.Pool}
+	overdue := now.Sub(clock.Time(rt.firstTokenDueAt.Load()))
+	if rt.awaitingFirstToken.Load() > 0 && overdue > 0 {
+		ej.Cause, ej.Value = Stuck, overdue.Seconds()
+		return ej, true
 	}
-	if rate := l.errs.value(now, 0); l.errs.n.Load() >= minPeers && rate >= r.cfg.ErrorRate {
-		j.Cause, j.Value = Failing, rate
-		return j, true
+	if rate := rt.errorRate.value(now, 0); rt.errorRate.n.Load() >= minPeers && rate >= r.cfg.MaxErrorRate {
+		ej.Cause, ej.Value = Failing, rate
+		return ej, true
 	}
-	j.Cause = Slow
-	if r.slow(now, &l.first, m.first, &j) || r.slow(now, &l.step, m.step, &j) {
-		return j, true
+	ej.Cause = Slow
+	if r.isSlow(now, &rt.firstTokenRatio, medians.firstTokenRatio, &ej) || r.isSlow(now, &rt.stepRatio, medians.stepRatio, &ej) {
+		return ej, true
 	}
-	return j, false
+	return ej, false
 }
 
-func (r *Router) slow(now clock.Time, e *ewma, median float64, j *Ejection) bool {
-	j.Value, j.Median = e.value(now, 1), median
-	return median > 0 && e.n.Load() >= minJudged && j.Value > r.cfg.SlowFactor*max(median, 1)
+func (r *Router) isSlow(now clock.Time, mean *ewma, median float64, ej *Ejection) bool {
+	ej.Value, ej.Median = mean.value(now, 1), median
+	return median > 0 && mean.n.Load() >= minSamples && ej.Value > r.cfg.SlowFactor*max(median, 1)
 }
 
-// eject takes an endpoint out for a time that doubles when it fails again
-// soon after its return, and makes it come back slowly with a clean record.
-func (r *Router) eject(now clock.Time, l *live) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if now.Sub(l.ejectedAt) > forgive {
-		l.ejections = 0
+// eject ejects an endpoint. The ejection time doubles with each ejection that soon follows the
+// last. The endpoint returns with slow start and without its previous health measurements.
+func (r *Router) eject(now clock.Time, rt *endpointRuntime) time.Duration {
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	if now.Sub(rt.lastEjectionEnd) > ejectionHistory {
+		rt.ejections = 0
 	}
-	d := min(r.cfg.Eject<<min(l.ejections, maxDoublings), r.cfg.EjectMax)
-	l.ejections++
-	until := now.Add(d)
-	l.ejectedAt = until
-	l.outUntil.Store(int64(until))
-	l.rampFrom.Store(int64(until))
-	l.dueAt.Store(int64(until.Add(r.cfg.StuckTimeout)))
-	l.clean()
-	return d
+	duration := min(r.cfg.BaseEjectionTime<<min(rt.ejections, maxEjectionDoublings), r.cfg.MaxEjectionTime)
+	rt.ejections++
+	until := now.Add(duration)
+	rt.lastEjectionEnd = until
+	rt.ejectedUntil.Store(int64(until))
+	rt.slowStartFrom.Store(int64(until))
+	rt.firstTokenDueAt.Store(int64(until.Add(r.cfg.StuckTimeout)))
+	rt.resetHealth()
+	return duration
 }
 
-// Stats are the router's figures for expvar.
+// Stats are the router's statistics, published through expvar.
 type Stats struct {
 	Picks     map[string]int64
 	Endpoints []EndpointStats
 }
 
-// EndpointStats are one endpoint's figures.
+// EndpointStats are the statistics of one endpoint.
 type EndpointStats struct {
 	Name      string
 	Pool      string
 	State     State
-	Out       bool
-	InFlight  int64
+	Out       bool  // ejected
+	InFlight  int64 // of this entry
 	Limit     int
-	Runs      int64 // of all entries, estimated
-	Wait      time.Duration
-	Ratio     float64 // measured over expected time to the first token
-	Step      float64 // measured over nominal time between tokens
+	Runs      int64         // of all entries, estimated
+	Wait      time.Duration // queued prefill, estimated
+	Ratio     float64       // measured over expected time to the first token
+	Step      float64       // measured over nominal time between tokens
 	Errors    float64
 	Ejections int
 	Reports   uint64
-	Late      uint64 // reports older than one already seen
+	Late      uint64 // reports dropped as older than an earlier one
 	CacheGaps uint64
 	ReportAge time.Duration // -1 without a report
 }
 
-// Snapshot returns the router's figures at now.
+// Snapshot returns the router's statistics at now.
 func (r *Router) Snapshot(now clock.Time) Stats {
 	s := Stats{Picks: map[string]int64{}}
-	for i := range r.count {
-		s.Picks[Reason(i).String()] = r.count[i].Load()
+	for i := range r.pickCounts {
+		s.Picks[Reason(i).String()] = r.pickCounts[i].Load()
 	}
-	for _, e := range r.Table().all {
+	for _, e := range r.Table().endpoints {
 		s.Endpoints = append(s.Endpoints, r.statsOf(now, e))
 	}
 	return s
 }
 
 func (r *Router) statsOf(now clock.Time, e *Endpoint) EndpointStats {
-	l := e.live
-	runs, work := r.load(now, l)
+	rt := e.runtime
+	requests, prefillNanos := r.estimateLoad(now, rt)
 	s := EndpointStats{
 		Name: e.Name, Pool: e.Pool, State: e.State,
-		Out:      int64(now) < l.outUntil.Load(),
-		InFlight: l.ownRuns.Load(),
-		Limit:    l.lim.Limit(),
-		Runs:     runs,
-		Wait:     time.Duration(work),
-		Ratio:    l.first.value(now, 1),
-		Step:     l.step.value(now, 1),
-		Errors:   l.errs.value(now, 0),
+		Out:      int64(now) < rt.ejectedUntil.Load(),
+		InFlight: rt.ownRequests.Load(),
+		Limit:    rt.limiter.Limit(),
+		Runs:     requests,
+		Wait:     time.Duration(prefillNanos),
+		Ratio:    rt.firstTokenRatio.value(now, 1),
+		Step:     rt.stepRatio.value(now, 1),
+		Errors:   rt.errorRate.value(now, 0),
 	}
 	s.ReportAge = -1
-	if at := l.takenAt.Load(); at != 0 {
+	if at := rt.reportTakenAt.Load(); at != 0 {
 		s.ReportAge = now.Sub(clock.Time(at))
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s.Ejections = l.ejections
-	s.Reports, s.Late = l.reports, l.late
-	s.CacheGaps = l.seq.gaps
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	s.Ejections = rt.ejections
+	s.Reports, s.Late = rt.reportCount, rt.lateReports
+	s.CacheGaps = rt.cacheEvents.gaps
 	return s
 }
--- a/internal/policy/route/pick.go
+++ b/internal/policy/route/pick.go
@@ -11,29 +11,29 @@
 	"fescuestand/internal/splitmix"
 )
 
-// Request is what routing needs to know of a request.
+// Request is the part of a request that routing decisions depend on.
 type Request struct {
-	Pool      string
-	Artifact  Artifact
-	Workspace string
-	Pieces    []uint64 // chained hashes of the prompt's whole pieces, see Pieces
-	PromptTokens    int      // tokens
-	Exclude   []*Endpoint
-	Urgent    bool // sent with the engine's higher priority
-	Prefilled bool // its KV cache exists and is to be moved
-	Isolate   bool // may crash its endpoint: run it where it hurts fewest
+	Pool         string
+	Artifact     Artifact
+	Workspace    string
+	Pieces       []uint64 // chained hashes of the prompt's whole cache blocks, see Pieces
+	PromptTokens int
+	Exclude      []*Endpoint
+	Urgent       bool // sent with the engine's higher priority
+	Prefilled    bool // its KV cache exists and will be transferred
+	Isolate      bool // may crash its endpoint: run it where the fewest requests are affected
 }
 
-// Reason says what decided a choice.
+// Reason is the criterion that decided a choice.
 type Reason uint8
 
 // The reasons.
 const (
-	LeastWait Reason = iota // the better of two, one in turn and one at random
-	Affinity                // preferred for the prompt's prefix
-	CacheHit                // believed to have cached a prefix of the prompt
-	Isolated
-	Fallback // every eligible endpoint was ejected or suspect
+	LeastWait Reason = iota // the better of two: one round robin, one at random
+	Affinity                // preferred by rendezvous hashing of the prompt's prefix
+	CacheHit                // estimated to cache a prefix of the prompt
+	Isolated                // fewest requests at the endpoint, for Request.Isolate
+	Fallback                // every eligible endpoint was ejected or suspect
 	reasons
 )
 
@@ -41,94 +41,94 @@
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// Decision is where a request goes.
+// Decision is the result of Pick.
 type Decision struct {
-	// Dispatch is for the endpoint that answers.
+	// Dispatch is the unit of work for the endpoint that answers.
 	Dispatch
-	Prefill  Dispatch // an engine that prefills and hands its KV cache over
+	Prefill  Dispatch // for an engine that prefills first and transfers its KV cache; optional
 	Reason   Reason
-	Cached   int           // pieces believed to be cached at the endpoint
+	Cached   int           // cache blocks estimated to be cached at the endpoint
 	Score    time.Duration // estimated time to the first token, with penalties
 	Transfer time.Duration // of the KV cache
 }
 
-// maxDraws bounds the tries to draw an eligible endpoint at random before the
-// list is scanned: with a third of a pool out, eight misses come once in 6,500.
-const maxDraws = 8
+// maxRandomTries bounds the random samples taken to find an eligible endpoint before the list is
+// scanned. With a third of a pool ejected, eight misses in a row occur once in 6,500 choices.
+const maxRandomTries = 8
 
-// candidate is an endpoint with its score.
+// candidate is an endpoint with its score. The lowest score wins.
 type candidate struct {
-	ep     *Endpoint
-	score  float64 // nanoseconds
-	cached int
-	reason Reason
+	endpoint *Endpoint
+	score    float64 // nanoseconds
+	cached   int     // leading cache blocks
+	reason   Reason
 }
 
-// Pick chooses where req goes. It allocates only when it fails.
+// Pick chooses where req goes. It allocates only when it returns an error.
 //
-// Where a Decision has a Prefill dispatch, that comes first. When it has ended,
-// the entry may Pick again with Prefilled set, since by then another engine may
-// be the better one to go on with.
+// If the Decision has a Prefill dispatch, that runs first. When it has ended, the entry may call
+// Pick again with Prefilled set, because another engine may have become the better one for the
+// decode.
 func (r *Router) Pick(now clock.Time, req *Request) (Decision, error) {
 	t := r.table.Load()
 	g := t.groups[groupKey{req.Pool, req.Artifact}]
 	if g == nil {
-		return Decision{}, r.noEndpoint(req, t, now)
+		return Decision{}, r.noEndpointError(req, t, now)
 	}
-	ws := hashOf(req.Workspace)
+	wsHash := hashWorkspace(req.Workspace)
 	m := &g.cells[0]
 	if t.cells > 1 {
-		m = g.cellFor(ws)
+		m = g.cellFor(wsHash)
 	}
-	d, ok := r.pickIn(now, req, ws, m)
+	d, ok := r.pickInCell(now, req, wsHash, m)
 	if !ok {
-		d, ok = r.lastResort(now, req, g)
+		d, ok = r.pickFallback(now, req, g)
 	}
 	if !ok {
-		return Decision{}, r.noEndpoint(req, t, now)
+		return Decision{}, r.noEndpointError(req, t, now)
 	}
-	r.count[d.Reason].Add(1)
+	r.pickCounts[d.Reason].Add(1)
 	return d, nil
 }
 
-// pickIn decides within one cell.
-func (r *Router) pickIn(now clock.Time, req *Request, ws uint64, m *members) (Decision, bool) {
+// pickInCell chooses within one cell.
+func (r *Router) pickInCell(now clock.Time, req *Request, wsHash uint64, m *cellMembers) (Decision, bool) {
 	if req.Prefilled {
-		best, ok := r.choose(now, req, ws, &m.decode)
-		return r.decide(now, req, best), ok
+		best, ok := r.chooseFrom(now, req, wsHash, &m.decode)
+		return r.newDecision(now, req, best), ok
 	}
-	best, ok := r.choose(now, req, ws, &m.whole)
-	d := r.decide(now, req, best)
-	if len(m.prefill.eps) == 0 || req.Isolate && ok {
+	best, ok := r.chooseFrom(now, req, wsHash, &m.colocated)
+	d := r.newDecision(now, req, best)
+	if len(m.prefill.endpoints) == 0 || req.Isolate && ok {
 		return d, ok
 	}
-	split, found := r.handOver(now, req, ws, m)
-	if !found {
+	handoff, handoffFound := r.pickHandoff(now, req, wsHash, m)
+	if !handoffFound {
 		return d, ok
 	}
-	if ok && d.Endpoint.Role != Prefill && !r.pays(req, &d, &split) {
+	if ok && d.Endpoint.Role != Prefill && !r.handoffPays(req, &d, &handoff) {
 		return d, true
 	}
-	return split, true
+	return handoff, true
 }
 
-func hashOf(workspace string) uint64 {
+func hashWorkspace(workspace string) uint64 {
 	if workspace == "" {
 		return 0
 	}
 	return xxhash.Sum64String(workspace)
 }
 
-// cellFor returns the members of the workspace's cell, or of the next one in
+// cellFor returns the members of the workspace's cell or, if that is empty, of the next cell in
 // rendezvous order that has any.
-func (g *group) cellFor(ws uint64) *members {
-	best, top := -1, uint64(0)
+func (g *artifactGroup) cellFor(wsHash uint64) *cellMembers {
+	best, bestWeight := -1, uint64(0)
 	for i := range g.cells {
-		if len(g.cells[i].decode.eps) == 0 {
+		if len(g.cells[i].decode.endpoints) == 0 {
 			continue
 		}
-		if s := splitmix.Mix(ws ^ splitmix.Mix(uint64(i)+1)); s >= top {
-			best, top = i, s
+		if weight := splitmix.Mix(wsHash ^ splitmix.Mix(uint64(i)+1)); weight >= bestWeight {
+			best, bestWeight = i, weight
 		}
 	}
 	if best < 0 {
@@ -137,65 +137,64 @@
 	return &g.cells[best]
 }
 
-func (r *Router) choose(now clock.Time, req *Request, ws uint64, s *set) (candidate, bool) {
+func (r *Router) chooseFrom(now clock.Time, req *Request, wsHash uint64, s *endpointSet) (candidate, bool) {
 	switch {
-	case len(s.eps) == 0:
+	case len(s.endpoints) == 0:
 		return candidate{}, false
 	case req.Isolate:
-		return r.leastHarm(now, req, s)
+		return r.fewestRequests(now, req, s)
 	case r.cfg.Disabled.RoundRobin:
-		return r.nextInTurn(now, req, s)
+		return r.roundRobinBaseline(now, req, s)
 	case r.cfg.Disabled.NoTwoChoices:
-		return r.leastReported(now, req, s)
+		return r.leastLoadedBaseline(now, req, s)
 	}
 	best := candidate{score: math.Inf(1)}
 	if len(req.Pieces) > 0 && !req.Prefilled && !r.cfg.Disabled.NoAffinity {
-		r.preferred(now, req, ws, s, &best)
+		r.scoreAffinity(now, req, wsHash, s, &best)
 	}
-	if e := r.inTurn(now, req, s); e != nil && e != best.ep {
-		best = better(best, r.score(now, req, e, LeastWait))
+	if e := r.nextRoundRobinEndpoint(now, req, s); e != nil && e != best.endpoint {
+		best = lowerScore(best, r.score(now, req, e, LeastWait))
 	}
-	if e := r.draw(now, req, s.eps); e != nil && e != best.ep {
-		best = better(best, r.score(now, req, e, LeastWait))
+	if e := r.randomEndpoint(now, req, s.endpoints); e != nil && e != best.endpoint {
+		best = lowerScore(best, r.score(now, req, e, LeastWait))
 	}
-	return best, best.ep != nil
+	return best, best.endpoint != nil
 }
 
-// inTurn returns the next endpoint in turn if it is eligible. One of the two
-// choices goes in turn rather than at random: where nothing tells endpoints
-// apart, turns spread the requests more evenly than chance. Entries take their
-// turns from different places.
-func (r *Router) inTurn(now clock.Time, req *Request, s *set) *Endpoint {
-	e := s.eps[(r.seed+s.turn.Add(1))%uint64(len(s.eps))]
+// nextRoundRobinEndpoint returns the next endpoint in round-robin order, or nil if it is not
+// eligible. One of the two choices is round robin rather than random, because it spreads requests
+// more evenly when the endpoints' scores are equal. Each entry starts at a different position.
+func (r *Router) nextRoundRobinEndpoint(now clock.Time, req *Request, s *endpointSet) *Endpoint {
+	e := s.endpoints[(r.seed+s.nextRoundRobin.Add(1))%uint64(len(s.endpoints))]
 	if !r.eligible(now, req, e, uint32(r.random())) {
 		return nil
 	}
 	return e
 }
 
-func better(a, b candidate) candidate {
+func lowerScore(a, b candidate) candidate {
 	if b.score < a.score {
 		return b
 	}
 	return a
 }
 
-// random returns 64 random bits. The sequence is fixed by the seed.
-func (r *Router) random() uint64 { return splitmix.Mix(r.seed + r.draws.Add(1)) }
+// random returns 64 pseudo-random bits. The seed determines the sequence.
+func (r *Router) random() uint64 { return splitmix.Mix(r.seed + r.randomCalls.Add(1)) }
 
-// draw returns an eligible endpoint at random, or nil.
-func (r *Router) draw(now clock.Time, req *Request, list []*Endpoint) *Endpoint {
-	n := uint64(len(list))
-	for range maxDraws {
+// randomEndpoint returns a random eligible endpoint, or nil if there is none.
+func (r *Router) randomEndpoint(now clock.Time, req *Request, endpoints []*Endpoint) *Endpoint {
+	n := uint64(len(endpoints))
+	for range maxRandomTries {
 		x := r.random()
-		e := list[(x>>32)*n>>32]
+		e := endpoints[(x>>32)*n>>32]
 		if r.eligible(now, req, e, uint32(x)) {
 			return e
 		}
 	}
 	start := r.random() % n
 	for i := range n {
-		e := list[(start+i)%n]
+		e := endpoints[(start+i)%n]
 		if r.eligible(now, req, e, 0) {
 			return e
 		}
@@ -203,79 +202,79 @@
 	return nil
 }
 
-// eligible says whether e may take req now. chance is a random number that
-// lets a returning endpoint take a growing share; zero always passes.
+// eligible reports whether e may take req now. chance is a random number by which an endpoint in
+// slow start accepts a growing share of requests; zero always accepts.
 func (r *Router) eligible(now clock.Time, req *Request, e *Endpoint, chance uint32) bool {
-	l := e.live
-	if e.State != Open || int64(now) < l.outUntil.Load() {
+	rt := e.runtime
+	if e.State != Open || int64(now) < rt.ejectedUntil.Load() {
 		return false
 	}
-	if r.full(now, e, req.lane()) {
+	if r.atCapacity(now, e, req.lane()) {
 		return false
 	}
 	if excluded(req, e) {
 		return false
 	}
-	from := l.rampFrom.Load()
-	if from == 0 || r.cfg.Disabled.NoRamp {
+	slowStartFrom := rt.slowStartFrom.Load()
+	if slowStartFrom == 0 || r.cfg.Disabled.NoSlowStart {
 		return true
 	}
-	share := rampStart + float64(int64(now)-from)/float64(r.cfg.Ramp)
+	share := slowStartShare + float64(int64(now)-slowStartFrom)/float64(r.cfg.SlowStart)
 	return share >= 1 || float64(chance) < share*math.MaxUint32
 }
 
-// rampStart is the share of its usual work that a returning endpoint begins
-// with: enough samples to judge it by, few callers hurt if it is still slow.
-const rampStart = 0.1
+// slowStartShare is the share of its usual requests that an endpoint starts with after its return.
+// It yields enough samples to judge the endpoint and affects few callers if it is still slow.
+const slowStartShare = 0.1
 
-func (r *Router) decide(now clock.Time, req *Request, c candidate) Decision {
-	if c.ep == nil {
+func (r *Router) newDecision(now clock.Time, req *Request, c candidate) Decision {
+	if c.endpoint == nil {
 		return Decision{}
 	}
-	wait, run := r.estimate(now, req, c.ep, c.cached)
+	wait, service := r.estimateTimes(now, req, c.endpoint, c.cached)
 	d := Decision{Reason: c.reason, Cached: c.cached, Score: time.Duration(c.score)}
 	d.Dispatch = Dispatch{
-		Endpoint: c.ep,
-		work:     run - c.ep.baseNanos,
-		lane:     req.lane(),
-		unloaded: time.Duration(run),
-		expected: time.Duration(wait + run),
+		Endpoint:     c.endpoint,
+		prefillNanos: service - c.endpoint.baseNanos,
+		lane:         req.lane(),
+		unloadedTime: time.Duration(service),
+		expectedTime: time.Duration(wait + service),
 	}
 	if req.Prefilled {
-		d.work = 0
-		d.Transfer = d.unloaded
+		d.prefillNanos = 0
+		d.Transfer = d.unloadedTime
 		return d
 	}
 	for _, p := range req.Pieces {
-		c.ep.live.cache.add(p)
+		c.endpoint.runtime.cacheView.add(p)
 	}
 	return d
 }
 
-func (r *Router) noEndpoint(req *Request, t *Table, now clock.Time) error {
-	known, open, out, full := 0, 0, 0, 0
-	for i := range t.peers {
-		p := &t.peers[i] // a copy would race with Sweep, which writes its rates
+func (r *Router) noEndpointError(req *Request, t *Table, now clock.Time) error {
+	total, eligible, ejected, full := 0, 0, 0, 0
+	for i := range t.peerGroups {
+		p := &t.peerGroups[i] // a copy would race with EjectOutliers, which writes its rates
 		if p.pool != req.Pool {
 			continue
 		}
-		for _, e := range p.eps {
-			known++
+		for _, e := range p.endpoints {
+			total++
 			switch {
 			case e.State != Open:
-			case int64(now) < e.live.outUntil.Load():
-				out++
-			case r.full(now, e, req.lane()):
+			case int64(now) < e.runtime.ejectedUntil.Load():
+				ejected++
+			case r.atCapacity(now, e, req.lane()):
 				full++
 			default:
-				open++
+				eligible++
 			}
 		}
 	}
 	return code.New(code.NoEndpoint, "pool %s model %q: %d endpoints, %d eligible, %d ejected, %d full",
-		req.Pool, req.Artifact.Model, known, open, out, full).WithRetryAfter(retryAfter)
+		req.Pool, req.Artifact.Model, total, eligible, ejected, full).WithRetryAfter(noEndpointRetryAfter)
 }
 
-// retryAfter is the time to come back when no endpoint takes work: two rounds
-// of the sweep that ends ejections.
-const retryAfter = 500 * time.Millisecond
+// noEndpointRetryAfter is the Retry-After delay of a request that no endpoint accepts: two rounds
+// of EjectOutliers, which may change the set of ejected endpoints.
+const noEndpointRetryAfter = 500 * time.Millisecond
--- a/internal/policy/route/route_test.go
+++ b/internal/policy/route/route_test.go
@@ -27,7 +27,7 @@
 	return p
 }
 
-func draft(key int) *Request {
+func draftRequest(key int) *Request {
 	return &Request{Pool: "drafts", Artifact: Artifact{Model: "m"}, Workspace: fmt.Sprint(key), PromptTokens: 8000, Pieces: pieces(key, 4)}
 }
 
@@ -38,60 +38,61 @@
 	return d
 }
 
-// Entries don't talk, yet all of them prefer the same engine for a prefix.
-func TestEntriesAgreeOnHomes(t *testing.T) {
-	a := newRouter(Config{}, fleet(12))
+// Guards against entries preferring different engines for the same prefix, which they must agree on
+// without coordination.
+func TestEntriesPreferTheSameEngine(t *testing.T) {
+	a := newRouter(Config{}, testEngines(12))
 	b := NewRouter(Config{}, 99)
-	b.Publish(1, NewTable(Config{}, fleet(12)))
+	b.Publish(1, NewTable(Config{}, testEngines(12)))
 	for key := range 50 {
-		assert.Equal(t, pick(t, a, 1, draft(key)).Endpoint.Name, pick(t, b, 1, draft(key)).Endpoint.Name)
+		assert.Equal(t, pick(t, a, 1, draftRequest(key)).Endpoint.Name, pick(t, b, 1, draftRequest(key)).Endpoint.Name)
 	}
 }
 
-// One prefix becomes hot. Hashing alone sends all its requests to one engine.
+// Guards against hashing alone sending all requests of one hot prefix to one engine.
 func TestHotPrefixIsBounded(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		cfg := Config{Credit: 50, Disabled: Guards{NoBound: off, NoPrefillWindow: true}}
+	for _, disabled := range []bool{false, true} {
+		cfg := Config{AffinityCredit: 50, Disabled: Guards{NoLoadBound: disabled, NoPrefillWindow: true}}
 		cfg.Limit.Max, cfg.Limit.Start = 1000, 1000
-		r := newRouter(cfg, fleet(12))
-		at := map[string]int{}
-		most := 0
+		r := newRouter(cfg, testEngines(12))
+		perEngine := map[string]int{}
+		maxPerEngine := 0
 		for i := range 48 {
-			d := pick(t, r, clock.Time(i)*clock.Time(20*time.Millisecond), draft(7))
+			d := pick(t, r, clock.Time(i)*clock.Time(20*time.Millisecond), draftRequest(7))
 			r.Sent(1, &d.Dispatch)
 			r.FirstToken(1+d.sentAt, &d.Dispatch)
-			at[d.Endpoint.Name]++
-			most = max(most, at[d.Endpoint.Name])
+			perEngine[d.Endpoint.Name]++
+			maxPerEngine = max(maxPerEngine, perEngine[d.Endpoint.Name])
 		}
-		t.Logf("bound off=%v: most on one engine %d of 48", off, most)
-		assert.Equal(t, most > 8, off)
+		t.Logf("load bound disabled=%v: most on one engine %d of 48", disabled, maxPerEngine)
+		assert.Equal(t, maxPerEngine > 8, disabled)
 	}
 }
 
-// An engine restarts and the events that would tell it are lost. Requests for
-// its old prefixes go on being sent there, to be prefilled behind a queue.
-func TestCacheEventGap(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		r := newRouter(Config{Disabled: Guards{NoGapRebuild: off}}, fleet(12))
+// Guards against a stale cache view when an engine restarts and the events that would report it are
+// lost. Requests for its old prefixes would still be sent there and wait for a prefill.
+func TestCacheEventGapClearsTheView(t *testing.T) {
+	for _, disabled := range []bool{false, true} {
+		r := newRouter(Config{Disabled: Guards{NoGapReset: disabled}}, testEngines(12))
 		e := r.Table().Endpoints()[0]
 		p := pieces(1, 4)
 		r.ApplyCacheEvents(e.Name, []CacheEvent{{Seq: 1, Piece: p[0]}, {Seq: 2, Piece: p[1]}, {Seq: 2, Piece: p[1]}})
-		assert.Equal(t, e.live.cache.depth(p), 2)
-		r.ApplyCacheEvents(e.Name, []CacheEvent{{Seq: 1, Piece: p[0], Evicted: true}}) // late: already seen
-		assert.Equal(t, e.live.cache.depth(p), 2)
+		assert.Equal(t, e.runtime.cacheView.cachedPrefix(p), 2)
+		r.ApplyCacheEvents(e.Name, []CacheEvent{{Seq: 1, Piece: p[0], Evicted: true}}) // late duplicate
+		assert.Equal(t, e.runtime.cacheView.cachedPrefix(p), 2)
 		r.ApplyCacheEvents(e.Name, []CacheEvent{{Seq: 5, Piece: p[2]}})
-		assert.Equal(t, e.live.cache.depth(p) > 0, off)
+		assert.Equal(t, e.runtime.cacheView.cachedPrefix(p) > 0, disabled)
 		r.ApplyCacheEvents(e.Name, []CacheEvent{{Seq: 6, Piece: p[0]}, {Seq: 7, Piece: p[1], Evicted: true}, {Seq: 1, Cleared: true}, {Seq: 2, Piece: p[0]}})
-		assert.Equal(t, e.live.cache.depth(p), 1)
+		assert.Equal(t, e.runtime.cacheView.cachedPrefix(p), 1)
 	}
 }
 
-func TestLateReportCountsWhatWasSentSince(t *testing.T) {
+func TestLateReportIncludesRequestsSentSince(t *testing.T) {
 	const sec = clock.Time(time.Second)
-	r := newRouter(Config{}, fleet(1))
+	r := newRouter(Config{}, testEngines(1))
 	e := r.Table().Endpoints()[0]
 	send := func(now clock.Time) Dispatch {
-		d := Dispatch{Endpoint: e, work: int64(time.Second)}
+		d := Dispatch{Endpoint: e, prefillNanos: int64(time.Second)}
 		r.Sent(now, &d)
 		return d
 	}
@@ -99,23 +100,24 @@
 	send(11 * sec)
 	r.Done(11*sec, &first, Canceled)
 	r.ObserveReport(e.Name, Report{TakenAt: 10*sec + sec/2, Running: 5, PrefillTokens: 1000})
-	runs, work := r.load(11*sec, e.live)
-	assert.Equal(t, runs, int64(5+1-1))
-	assert.Equal(t, time.Duration(work), 600*time.Millisecond)
-	r.ObserveReport(e.Name, Report{TakenAt: 10 * sec, Running: 50}) // older
-	runs, _ = r.load(11*sec, e.live)
-	assert.Equal(t, runs, int64(5))
-	runs, _ = r.load(60*sec, e.live) // stale: own counts only
-	assert.Equal(t, runs, int64(1))
+	requests, prefillNanos := r.estimateLoad(11*sec, e.runtime)
+	assert.Equal(t, requests, int64(5+1-1))
+	assert.Equal(t, time.Duration(prefillNanos), 600*time.Millisecond)
+	r.ObserveReport(e.Name, Report{TakenAt: 10 * sec, Running: 50}) // older than the last report
+	requests, _ = r.estimateLoad(11*sec, e.runtime)
+	assert.Equal(t, requests, int64(5))
+	requests, _ = r.estimateLoad(60*sec, e.runtime) // the report is stale, so only own counts are used
+	assert.Equal(t, requests, int64(1))
 }
 
-// Moving a KV cache pays when it takes less time than computing it again.
-func TestHandOver(t *testing.T) {
-	for _, x := range []struct {
+// Guards against KV cache transfers that take longer than computing the cache again, or that delay
+// the first token because the prefill engines are busy.
+func TestHandoff(t *testing.T) {
+	for _, tc := range []struct {
 		name      string
 		prompt    int
 		bandwidth float64
-		queued    int // tokens at the prefill engines
+		queued    int // prompt tokens at each prefill engine
 		strict    bool
 		want      bool
 	}{
@@ -125,8 +127,8 @@
 		{"prefill engines are busy", 20_000, 10e9, 90_000, false, false},
 		{"decode engines never prefill", 40, 0.1e9, 9_000, true, true},
 	} {
-		cfg := Config{KVBandwidth: x.bandwidth, KVBytesPerToken: 128 << 10, StrictRoles: x.strict}
-		eps := fleet(4)
+		cfg := Config{KVBandwidth: tc.bandwidth, KVBytesPerToken: 128 << 10, StrictRoles: tc.strict}
+		eps := testEngines(4)
 		for i := range eps {
 			eps[i].Role = []Role{Prefill, Decode}[i%2]
 		}
@@ -134,23 +136,23 @@
 		for _, e := range r.Table().Endpoints() {
 			tokens := 0
 			if e.Role == Prefill {
-				tokens = x.queued
+				tokens = tc.queued
 			}
 			r.ObserveReport(e.Name, Report{TakenAt: 1, PrefillTokens: tokens, Running: 4})
 		}
-		d := pick(t, r, 2, &Request{Pool: "drafts", Artifact: Artifact{Model: "m"}, PromptTokens: x.prompt})
-		assert.Equal(t, d.Prefill.Endpoint != nil, x.want, x.name)
-		assert.Equal(t, d.Endpoint.Role, Decode, x.name)
+		d := pick(t, r, 2, &Request{Pool: "drafts", Artifact: Artifact{Model: "m"}, PromptTokens: tc.prompt})
+		assert.Equal(t, d.Prefill.Endpoint != nil, tc.want, tc.name)
+		assert.Equal(t, d.Endpoint.Role, Decode, tc.name)
 	}
 }
 
 func TestStatesAndExclusions(t *testing.T) {
-	eps := fleet(4)
+	eps := testEngines(4)
 	eps[0].State, eps[1].State, eps[2].State = Draining, Unavailable, Suspect
 	r := newRouter(Config{}, eps)
-	d := pick(t, r, 1, draft(1))
+	d := pick(t, r, 1, draftRequest(1))
 	assert.Equal(t, d.Endpoint.Name, "engine-0003")
-	req := draft(1)
+	req := draftRequest(1)
 	req.Exclude = []*Endpoint{d.Endpoint}
 	d = pick(t, r, 1, req)
 	assert.Equal(t, d.Endpoint.Name, "engine-0002")
@@ -162,87 +164,88 @@
 	assert.Equal(t, code.Of(err).Code, code.NoEndpoint)
 }
 
-func TestSuspectRequestRunsWhereItHurtsFewest(t *testing.T) {
-	r := newRouter(Config{}, fleet(6))
+func TestSuspectRequestRunsOnLeastLoadedEngine(t *testing.T) {
+	r := newRouter(Config{}, testEngines(6))
 	for i, e := range r.Table().Endpoints() {
 		r.ObserveReport(e.Name, Report{TakenAt: 1, Running: (i + 4) % 6})
 	}
-	req := draft(1)
+	req := draftRequest(1)
 	req.Isolate = true
 	d := pick(t, r, 2, req)
 	assert.Equal(t, d.Endpoint.Name, "engine-0002")
 	assert.Equal(t, d.Reason, Isolated)
 }
 
-// An engine returns from a role change with empty caches. With its whole share
-// at once it prefills everything anew and the first callers wait.
-func TestReturnIsSlow(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		cfg := Config{Disabled: Guards{NoRamp: off, NoAffinity: true}}
-		eps := fleet(4)
+// Guards against an engine that returns from a role change with empty caches and gets its full
+// share at once. It would prefill every prefix again while the first callers wait.
+func TestReturningEngineGetsSlowStart(t *testing.T) {
+	for _, disabled := range []bool{false, true} {
+		cfg := Config{Disabled: Guards{NoSlowStart: disabled, NoAffinity: true}}
+		eps := testEngines(4)
 		eps[0].State = Unavailable
 		r := newRouter(cfg, eps)
 		eps[0].State = Open
 		now := clock.Time(time.Minute)
 		r.Publish(now, NewTable(cfg, eps))
-		got := 0
+		atOnce := 0
 		for range 1000 {
-			if pick(t, r, now, draft(1)).Endpoint.Name == eps[0].Name {
-				got++
+			if pick(t, r, now, draftRequest(1)).Endpoint.Name == eps[0].Name {
+				atOnce++
 			}
 		}
 		later := 0
 		for range 1000 {
-			if pick(t, r, now.Add(time.Minute), draft(1)).Endpoint.Name == eps[0].Name {
+			if pick(t, r, now.Add(time.Minute), draftRequest(1)).Endpoint.Name == eps[0].Name {
 				later++
 			}
 		}
-		t.Logf("ramp off=%v: %d of 1000 at once, %d a minute later", off, got, later)
-		assert.Equal(t, got > 150, off)
+		t.Logf("slow start disabled=%v: %d of 1000 at once, %d a minute later", disabled, atOnce, later)
+		assert.Equal(t, atOnce > 150, disabled)
 		assert.Assert(t, later > 150)
 	}
 }
 
 func TestCells(t *testing.T) {
 	cfg := Config{Cells: 8}
-	r := newRouter(cfg, fleet(400))
+	r := newRouter(cfg, testEngines(400))
 	cell := map[string]int{}
 	for _, e := range r.Table().Endpoints() {
 		cell[e.Name] = CellOf(e.Name, 8)
 	}
 	moved := 0
 	for key := range 400 {
-		ws := fmt.Sprint(key)
-		assert.Equal(t, cell[pick(t, r, 1, draft(key)).Endpoint.Name], CellOf(ws, 8))
-		if CellOf(ws, 9) != CellOf(ws, 8) {
+		workspace := fmt.Sprint(key)
+		assert.Equal(t, cell[pick(t, r, 1, draftRequest(key)).Endpoint.Name], CellOf(workspace, 8))
+		if CellOf(workspace, 9) != CellOf(workspace, 8) {
 			moved++
 		}
 	}
 	assert.Assert(t, moved > 20 && moved < 80, "%d of 400 workspaces moved for one more cell", moved)
 }
 
-// A hung engine answers nothing at all, so that no latency speaks against it.
+// Guards against a hung engine staying in its pool: it returns nothing, so there is no latency
+// sample that shows it is slow.
 func TestStuckEngineIsEjected(t *testing.T) {
-	r := newRouter(Config{}, fleet(6))
+	r := newRouter(Config{}, testEngines(6))
 	e := r.Table().Endpoints()[0]
-	d := Dispatch{Endpoint: e, expected: time.Second}
+	d := Dispatch{Endpoint: e, expectedTime: time.Second}
 	r.Sent(1, &d)
 	assert.Equal(t, len(r.EjectOutliers(clock.Time(4*time.Second))), 0)
-	out := r.EjectOutliers(clock.Time(6 * time.Second))
-	assert.Equal(t, len(out), 1)
-	assert.Equal(t, out[0].Cause, Stuck)
-	t.Log(out[0])
+	ejections := r.EjectOutliers(clock.Time(6 * time.Second))
+	assert.Equal(t, len(ejections), 1)
+	assert.Equal(t, ejections[0].Cause, Stuck)
+	t.Log(ejections[0])
 }
 
-// Traffic and control share the router; the race detector watches.
+// Guards against data races between traffic and control goroutines; run with the race detector.
 func TestConcurrentUse(t *testing.T) {
-	r := newRouter(Config{}, fleet(30))
+	r := newRouter(Config{}, testEngines(30))
 	var wg sync.WaitGroup
 	for g := range 4 {
 		wg.Go(func() {
 			for i := range 300 {
 				now := clock.Time(i) * clock.Time(100*time.Millisecond)
-				if d, err := r.Pick(now, draft(g*i)); err == nil {
+				if d, err := r.Pick(now, draftRequest(g*i)); err == nil {
 					r.Sent(now, &d.Dispatch)
 					r.FirstToken(now+1000, &d.Dispatch)
 					r.Done(now+2000, &d.Dispatch, Outcome(i%3))
@@ -252,7 +255,7 @@
 	}
 	for i := range 30 {
 		now := clock.Time(i) * clock.Time(time.Second)
-		r.Publish(now, NewTable(Config{}, fleet(30-i%2)))
+		r.Publish(now, NewTable(Config{}, testEngines(30-i%2)))
 		r.EjectOutliers(now)
 		r.ObserveReport("engine-0003", Report{TakenAt: now, Running: 3})
 		r.ApplyCacheEvents("engine-0003", []CacheEvent{{Seq: uint64(i), Piece: 7}})
@@ -260,6 +263,6 @@
 	}
 	wg.Wait()
 	for _, e := range r.Table().Endpoints() {
-		assert.Assert(t, e.live.ownPrefill() >= 0)
+		assert.Assert(t, e.runtime.totalOwnPrefillNanos() >= 0)
 	}
 }
--- a/internal/policy/route/router.go
+++ b/internal/policy/route/router.go
@@ -9,128 +9,126 @@
 	"fescuestand/internal/splitmix"
 )
 
-// Router routes the requests of one entry. Pick, Sent, FirstToken, Done,
-// Report and CacheEvents are safe for concurrent use by traffic goroutines;
-// Publish and Sweep belong to one control goroutine.
+// Router routes the requests of one entry. Pick, Sent, FirstToken, Progress, Done, ObserveReport
+// and ApplyCacheEvents are safe for concurrent use by traffic goroutines. Publish and EjectOutliers
+// must be called by a single control goroutine.
 type Router struct {
-	cfg   Config
-	table atomic.Pointer[Table]
-	draws atomic.Uint64
-	seed  uint64
-	turn  atomic.Uint64
-	// entries is how many entries share the endpoints.
-	entries atomic.Int64
-	count   [reasons]atomic.Int64
+	cfg            Config
+	table          atomic.Pointer[Table]
+	randomCalls    atomic.Uint64
+	seed           uint64
+	nextRoundRobin atomic.Uint64 // of the round-robin baseline
+	// entries is the number of entries that share the endpoints.
+	entries    atomic.Int64
+	pickCounts [reasons]atomic.Int64
 
-	sendingAt clock.Time // of the last measurement by Sweep
+	sendRatesAt clock.Time // last measurement of send rates by EjectOutliers
 
-	shared map[peersKey]*shared // Publish's own
+	peerStates map[peerGroupKey]*peerState // used by Publish only
 
-	mu    sync.Mutex // guards lives
-	lives map[string]*live
+	mu       sync.Mutex                  // guards runtimes
+	runtimes map[string]*endpointRuntime // by endpoint name
 }
 
-// NewRouter returns a router without endpoints. Different entries take
-// different seeds, so that they don't make the same choices.
+// NewRouter returns a router without endpoints. Each entry needs a different seed, so that entries
+// don't make the same choices.
 func NewRouter(cfg Config, seed uint64) *Router {
-	r := &Router{cfg: cfg.withDefaults(), seed: splitmix.Mix(seed), lives: map[string]*live{}, shared: map[peersKey]*shared{}}
+	r := &Router{cfg: cfg.withDefaults(), seed: splitmix.Mix(seed), runtimes: map[string]*endpointRuntime{}, peerStates: map[peerGroupKey]*peerState{}}
 	r.SetEntries(r.cfg.Entries)
 	r.table.Store(NewTable(cfg, nil))
 	return r
 }
 
-// SetEntries tells how many entries share the endpoints from now on; before, it
-// is what the configuration says. Windows follow with the next table.
+// SetEntries sets the number of entries that share the endpoints. It replaces Config.Entries;
+// prefill windows are resized at the next Publish.
 func (r *Router) SetEntries(n int) { r.entries.Store(int64(max(n, 1))) }
 
-// sharers is how many entries share the endpoints.
-func (r *Router) sharers() int { return int(r.entries.Load()) }
+func (r *Router) entryCount() int { return int(r.entries.Load()) }
 
-// Table returns the table in force.
+// Table returns the current table.
 func (r *Router) Table() *Table { return r.table.Load() }
 
-// Publish puts t in force and joins it to what is known of its endpoints.
-// An endpoint that was away or is new returns with a growing share, except
-// before the first table.
+// Publish makes t the current table and attaches the state of endpoints that the previous table
+// had. An endpoint that was unavailable, or is new, enters slow start. Endpoints of the first table
+// don't.
 func (r *Router) Publish(now clock.Time, t *Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	started := len(r.lives) > 0
-	keep := make(map[string]*live, len(t.all))
-	for _, e := range t.all {
-		l := r.lives[e.Name]
-		isNew := l == nil
+	hadEndpoints := len(r.runtimes) > 0
+	runtimes := make(map[string]*endpointRuntime, len(t.endpoints))
+	for _, e := range t.endpoints {
+		rt := r.runtimes[e.Name]
+		isNew := rt == nil
 		if isNew {
-			l = &live{lim: limit.NewLimiter(r.limitOf(e))}
+			rt = &endpointRuntime{limiter: limit.NewLimiter(r.limitConfig(e))}
 		}
-		l.stay.Store(e.slotNanos*e.slots + 1)
-		l.mu.Lock()
-		back := (isNew && started) || (!isNew && l.state == Unavailable)
-		if back && e.State == Open {
-			l.rampFrom.Store(int64(now))
-			l.cache.forget()
-			l.clean()
-			l.batch.Store(0)
+		rt.serviceNanos.Store(e.slotAdvanceNanos*e.slots + 1)
+		rt.mu.Lock()
+		returned := (isNew && hadEndpoints) || (!isNew && rt.state == Unavailable)
+		if returned && e.State == Open {
+			rt.slowStartFrom.Store(int64(now))
+			rt.cacheView.clear()
+			rt.resetHealth()
+			rt.batchLimitBits.Store(0)
 		}
-		l.state = e.State
-		l.mu.Unlock()
-		e.live = l
-		keep[e.Name] = l
+		rt.state = e.State
+		rt.mu.Unlock()
+		e.runtime = rt
+		runtimes[e.Name] = rt
 	}
-	r.lives = keep
-	r.joinPeers(t)
+	r.runtimes = runtimes
+	r.attachPeerStates(t)
 	r.table.Store(t)
 }
 
-func (r *Router) limitOf(e *Endpoint) limit.Config {
-	c := r.cfg.Limit
-	if c.Max == 0 {
-		c.Max = 2 * int(e.slots)
+func (r *Router) limitConfig(e *Endpoint) limit.Config {
+	lc := r.cfg.Limit
+	if lc.Max == 0 {
+		lc.Max = 2 * int(e.slots)
 	}
-	if c.Start == 0 {
-		// One entry's fair part of the slots, doubled: entries are seldom all
-		// busy at once, and the limiter takes back what is too much.
-		c.Start = max(2*int(e.slots)/r.sharers(), 1)
+	if lc.Start == 0 {
+		// Twice this entry's fair share of the slots: entries are rarely all busy at once, and the
+		// limiter shrinks a limit that is too high.
+		lc.Start = max(2*int(e.slots)/r.entryCount(), 1)
 	}
-	return c
+	return lc
 }
 
-func (r *Router) liveOf(name string) *live {
+func (r *Router) runtimeOf(name string) *endpointRuntime {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lives[name]
+	return r.runtimes[name]
 }
 
-// ObserveReport takes the load report of the named endpoint. Reports that are older
-// than one already seen are dropped.
+// ObserveReport applies a load report of the named endpoint. The load in a report that is not newer
+// than the last one is dropped; its step time is still observed.
 func (r *Router) ObserveReport(name string, rep Report) {
-	e := r.find(name)
+	e := r.findEndpoint(name)
 	if e == nil {
 		return
 	}
-	e.live.report(rep, e.prefillNanos, r.cfg.Disabled.NoOwnCounts)
+	e.runtime.applyReport(rep, e.prefillNanosPerToken, r.cfg.Disabled.NoLocalCounts)
 	if rep.StepTime > 0 && e.decodeStepNanos > 0 {
-		e.live.step.add(rep.TakenAt, float64(rep.StepTime)/float64(e.decodeStepNanos), 1)
-		r.adaptBatch(rep.TakenAt, e)
+		e.runtime.stepRatio.observe(rep.TakenAt, float64(rep.StepTime)/float64(e.decodeStepNanos), 1)
+		r.adaptBatchLimit(rep.TakenAt, e)
 	}
 }
 
-// ApplyCacheEvents takes events of the named engine's prefix cache in the order of
-// their arrival.
+// ApplyCacheEvents applies events of the named engine's prefix cache in order of arrival.
 func (r *Router) ApplyCacheEvents(name string, events []CacheEvent) {
-	l := r.liveOf(name)
-	if l == nil {
+	rt := r.runtimeOf(name)
+	if rt == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
 	for _, e := range events {
-		l.seq.apply(&l.cache, e, r.cfg.Disabled.NoGapRebuild)
+		rt.cacheEvents.apply(&rt.cacheView, e, r.cfg.Disabled.NoGapReset)
 	}
 }
 
-func (r *Router) find(name string) *Endpoint {
-	all := r.Table().all
+func (r *Router) findEndpoint(name string) *Endpoint {
+	all := r.Table().endpoints
 	lo, hi := 0, len(all)
 	for lo < hi {
 		mid := (lo + hi) / 2
--- a/internal/policy/route/score.go
+++ b/internal/policy/route/score.go
@@ -7,66 +7,66 @@
 	"fescuestand/internal/clock"
 )
 
-// score estimates e's time to the first token of req in nanoseconds.
+// score estimates the time to the first token of req at e in nanoseconds, including penalties.
 func (r *Router) score(now clock.Time, req *Request, e *Endpoint, reason Reason) candidate {
-	c := candidate{ep: e, reason: reason}
+	c := candidate{endpoint: e, reason: reason}
 	if !r.cfg.Disabled.NoAffinity && !req.Prefilled {
-		c.cached = e.live.cache.depth(req.Pieces)
+		c.cached = e.runtime.cacheView.cachedPrefix(req.Pieces)
 	}
 	if c.cached > 0 && reason == LeastWait {
 		c.reason = CacheHit
 	}
-	wait, run := r.estimate(now, req, e, c.cached)
-	c.score = float64(wait + run)
+	wait, service := r.estimateTimes(now, req, e, c.cached)
+	c.score = float64(wait + service)
 	if e.Role == Decode && !req.Prefilled {
-		// The prefill would hold up the streams of the batch.
-		c.score += float64(run) * float64(e.live.runs.Load()) / float64(e.slots)
+		// The prefill would delay the streams of the batch.
+		c.score += float64(service) * float64(e.runtime.requests.Load()) / float64(e.slots)
 	}
 	if !r.cfg.Disabled.NoSlownessPenalty {
-		c.score *= e.slowness(now)
+		c.score *= e.slowdown(now)
 	}
-	if e.far {
-		c.score += float64(r.cfg.ZoneCost)
+	if e.crossZone {
+		c.score += float64(r.cfg.CrossZoneCost)
 	}
 	if !r.cfg.Disabled.NoErrorCost {
-		c.score += e.live.errs.value(now, 0) * float64(r.cfg.ErrorCost)
+		c.score += e.runtime.errorRate.value(now, 0) * float64(r.cfg.ErrorCost)
 	}
 	return c
 }
 
-// usualSpread is how far an endpoint may lie over its peers' median before its
-// scores suffer: lengths and queues make that much difference between equals.
-const usualSpread = 2
+// normalSpread is the ratio to the peers' median up to which an endpoint's score is not penalized.
+// Differences in request lengths and queues cause that much spread between equal endpoints.
+const normalSpread = 2
 
-// slowness is the factor by which e is slower than its peers beyond the usual
-// spread, at least one. It turns traffic away before e's ejection, and for good
-// if the pool has no room for one more ejection.
-func (e *Endpoint) slowness(now clock.Time) float64 {
-	f := excess(e.live.first.value(now, 1), &e.shared.first)
-	return max(f, excess(e.live.step.value(now, 1), &e.shared.step), 1)
+// slowdown returns the factor by which e is slower than its peers beyond the normal spread, at
+// least one. It diverts traffic before e is ejected, and keeps diverting it if the pool has reached
+// its limit on ejections.
+func (e *Endpoint) slowdown(now clock.Time) float64 {
+	factor := excessRatio(e.runtime.firstTokenRatio.value(now, 1), &e.peers.firstTokenMedianBits)
+	return max(factor, excessRatio(e.runtime.stepRatio.value(now, 1), &e.peers.stepMedianBits), 1)
 }
 
-func excess(ratio float64, median *atomic.Uint64) float64 {
-	return ratio / (usualSpread * max(math.Float64frombits(median.Load()), 1))
+func excessRatio(ratio float64, median *atomic.Uint64) float64 {
+	return ratio / (normalSpread * max(math.Float64frombits(median.Load()), 1))
 }
 
-// estimate returns the time that req would wait at e, and the time that its
-// own prefill or fixed work takes there.
-func (r *Router) estimate(now clock.Time, req *Request, e *Endpoint, cached int) (wait, run int64) {
-	runs, work := r.load(now, e.live)
-	wait = work
+// estimateTimes returns the time that req would wait at e and the time of its own prefill, KV cache
+// transfer or fixed work there, in nanoseconds.
+func (r *Router) estimateTimes(now clock.Time, req *Request, e *Endpoint, cached int) (wait, service int64) {
+	requests, prefillNanos := r.estimateLoad(now, e.runtime)
+	wait = prefillNanos
 	if req.Urgent {
-		wait = min(work, int64(r.cfg.PieceTokens)*e.prefillNanos) + e.live.ownWork[urgent].Load()
+		wait = min(prefillNanos, int64(r.cfg.PieceTokens)*e.prefillNanosPerToken) + e.runtime.ownPrefillNanos[urgent].Load()
 	}
-	if over := runs + 1 - e.slots; over > 0 {
-		wait += over * e.slotNanos
+	if queued := requests + 1 - e.slots; queued > 0 {
+		wait += queued * e.slotAdvanceNanos
 	}
-	// Each running request lengthens the steps of the batch: half a step for
-	// a full batch, by which endpoints below their slots still differ.
-	wait += runs * (e.decodeStepNanos + e.baseNanos) / (2 * e.slots)
+	// Each running request lengthens the steps of the batch, by half a step for a full batch. This
+	// also ranks endpoints that have free slots.
+	wait += requests * (e.decodeStepNanos + e.baseNanos) / (2 * e.slots)
 	if req.Prefilled {
 		return wait, int64(r.transferTime(req.PromptTokens))
 	}
 	tokens := max(req.PromptTokens-cached*r.cfg.PieceTokens, 0)
-	return wait, int64(tokens)*e.prefillNanos + e.baseNanos
+	return wait, int64(tokens)*e.prefillNanosPerToken + e.baseNanos
 }
--- a/internal/policy/route/table.go
+++ b/internal/policy/route/table.go
@@ -13,7 +13,7 @@
 	"fescuestand/internal/splitmix"
 )
 
-// Role is the kind of work that an engine takes.
+// Role is the stage of inference that an engine serves.
 type Role uint8
 
 // The roles. A plain service is Mixed.
@@ -23,189 +23,190 @@
 	Decode
 )
 
-// State says whether an endpoint takes new work.
+// State determines whether an endpoint takes new work.
 type State uint8
 
 // The states of an endpoint.
 const (
-	Open     State = iota
-	Draining       // finishes its streams before a planned stop
-	Unavailable           // changing role or version, or gone
-	Suspect        // may be unreachable; used only when nothing else is left
+	Open        State = iota
+	Draining          // finishes its streams before a planned stop
+	Unavailable       // changing role or version, or lost
+	Suspect           // may be unreachable; used only as a fallback
 )
 
-// Artifact names what an engine serves. A request with an empty Version is
-// served by any. A plain service has the zero Artifact.
+// Artifact identifies what an engine serves. A request with an empty Version matches every version.
+// A plain service has the zero Artifact.
 type Artifact struct {
 	Model, Version, Adapter string
 }
 
-// Endpoint is one engine or plain service as the control side knows it.
+// Endpoint describes one engine or plain service.
 type Endpoint struct {
 	Name            string
 	Pool            string
 	Zone            string
 	Role            Role
 	State           State
-	Slots           int           // requests that it runs at once
+	Slots           int           // requests that it runs concurrently
 	PrefillPerToken time.Duration // when unloaded
 	DecodePerToken  time.Duration // when unloaded
-	Base            time.Duration // fixed time of a request
-	Serves          []Artifact
-	spec
+	Base            time.Duration // fixed time per request
+	Serves          []Artifact    // empty for a plain service
+	derivedFields
 }
 
-// spec is what NewTable derives from an endpoint's settings.
-type spec struct {
-	live            *live
-	shared          *shared
-	hash            uint64
-	slots           int64
-	far             bool // in another availability zone
-	prefillNanos    int64
-	baseNanos       int64
-	decodeStepNanos int64
-	slotNanos       int64 // in which one waiting request moves up
+// derivedFields are computed by NewTable, except runtime and peers, which Publish sets.
+type derivedFields struct {
+	runtime              *endpointRuntime
+	peers                *peerState
+	nameHash             uint64
+	slots                int64
+	crossZone            bool // in another availability zone
+	prefillNanosPerToken int64
+	baseNanos            int64
+	decodeStepNanos      int64
+	slotAdvanceNanos     int64 // time after which the next waiting request gets a slot
 }
 
-// nominalOutput is the output length in tokens that the speed of a slot queue
-// is reckoned with before anything has been measured.
-const nominalOutput = 200
+// nominalOutputTokens is the output length that is assumed, without any measurement, to estimate the
+// speed of a slot queue.
+const nominalOutputTokens = 200
 
 // Table is an immutable set of endpoints, indexed for routing.
 type Table struct {
-	all    []*Endpoint
-	groups map[groupKey]*group
-	peers  []peers
-	cells  int
+	endpoints  []*Endpoint
+	groups     map[groupKey]*artifactGroup
+	peerGroups []peerGroup
+	cells      int
 }
 
 type groupKey struct {
-	pool string
-	art  Artifact
+	pool     string
+	artifact Artifact
 }
 
-// group holds the endpoints of one pool that serve one artifact, by cell.
-type group struct{ cells []members }
+// artifactGroup holds the endpoints of one pool that serve one artifact, by cell.
+type artifactGroup struct{ cells []cellMembers }
 
-// members are the endpoints of one cell by what they can be asked to do.
-type members struct {
-	whole   set // prefill and answer
-	prefill set // prefill for another engine
-	decode  set // answer what was prefilled elsewhere
+// cellMembers are the endpoints of one cell, by the work they accept. An endpoint may be in several
+// sets.
+type cellMembers struct {
+	colocated endpointSet // prefill and decode of the same request
+	prefill   endpointSet // prefill for a decode on another engine
+	decode    endpointSet // decode, after a prefill elsewhere or on the same engine
 }
 
-// set is a list of endpoints with what all of its users share.
-type set struct {
-	eps    []*Endpoint
-	hashes []uint64 // of eps, side by side for rendezvous hashing
-	turn   atomic.Uint64
-	meanAt atomic.Int64
-	mean   atomic.Uint64 // load over slots, as bits of a float64
+// endpointSet is a list of endpoints with the selection state that all requests share.
+type endpointSet struct {
+	endpoints      []*Endpoint
+	nameHashes     []uint64 // of endpoints, contiguous for rendezvous hashing
+	nextRoundRobin atomic.Uint64
+	meanLoadAt     atomic.Int64
+	meanLoadBits   atomic.Uint64 // bits of the mean of requests over slots
 }
 
-func (s *set) add(e *Endpoint) {
-	if slices.Contains(s.eps, e) {
+func (s *endpointSet) add(e *Endpoint) {
+	if slices.Contains(s.endpoints, e) {
 		return
 	}
-	s.eps = append(s.eps, e)
-	s.hashes = append(s.hashes, e.hash)
+	s.endpoints = append(s.endpoints, e)
+	s.nameHashes = append(s.nameHashes, e.nameHash)
 }
 
-// meanAge is how old the mean load of a set may be. At the design size a cell
-// of 100 runners gets about 90 requests a second, so that the mean misses a
-// tenth of a request per runner; reports are older than that anyway.
-const meanAge = 100 * time.Millisecond
+// maxMeanLoadAge is the maximum age of the cached mean load of a set. At the design size a cell of
+// 100 runners gets about 90 requests a second, so the cached mean is off by at most a tenth of a
+// request per runner. Load reports are older than that anyway.
+const maxMeanLoadAge = 100 * time.Millisecond
 
-// meanLoad returns the mean share of slots that are taken.
-func (r *Router) meanLoad(now clock.Time, s *set) float64 {
-	at := s.meanAt.Load()
-	if at != 0 && int64(now)-at < int64(meanAge) || !s.meanAt.CompareAndSwap(at, int64(now)) {
-		return math.Float64frombits(s.mean.Load())
+// meanLoad returns the mean share of occupied slots. The first caller after maxMeanLoadAge
+// recomputes it.
+func (r *Router) meanLoad(now clock.Time, s *endpointSet) float64 {
+	at := s.meanLoadAt.Load()
+	if at != 0 && int64(now)-at < int64(maxMeanLoadAge) || !s.meanLoadAt.CompareAndSwap(at, int64(now)) {
+		return math.Float64frombits(s.meanLoadBits.Load())
 	}
-	var runs, slots int64
-	for _, e := range s.eps {
-		if e.State != Open || int64(now) < e.live.outUntil.Load() {
+	var requests, slots int64
+	for _, e := range s.endpoints {
+		if e.State != Open || int64(now) < e.runtime.ejectedUntil.Load() {
 			continue
 		}
-		n, _ := r.load(now, e.live)
-		runs += n
+		n, _ := r.estimateLoad(now, e.runtime)
+		requests += n
 		slots += e.slots
 	}
-	mean := float64(runs) / float64(max(slots, 1))
-	s.mean.Store(math.Float64bits(mean))
+	mean := float64(requests) / float64(max(slots, 1))
+	s.meanLoadBits.Store(math.Float64bits(mean))
 	return mean
 }
 
-// peers are the endpoints that ejection compares with one another.
-type peers struct {
-	pool string
-	role Role
-	cell int
-	eps  []*Endpoint
+// peerGroup holds the endpoints that outlier ejection compares with one another.
+type peerGroup struct {
+	pool      string
+	role      Role
+	cell      int
+	endpoints []*Endpoint
 
-	// Sweep's own.
-	sentWork int64
-	rate     float64
+	// Used by EjectOutliers only.
+	sentPrefillNanos int64
+	sendRate         float64
 }
 
-// NewTable returns a table of eps, which it copies. A Router's Publish puts it
-// in force.
+// NewTable returns a table of copies of eps. Router.Publish makes it current.
 func NewTable(cfg Config, eps []Endpoint) *Table {
 	cfg = cfg.withDefaults()
-	t := &Table{groups: map[groupKey]*group{}, cells: cfg.Cells}
+	t := &Table{groups: map[groupKey]*artifactGroup{}, cells: cfg.Cells}
 	for i := range eps {
-		t.all = append(t.all, prepare(eps[i], cfg))
+		t.endpoints = append(t.endpoints, deriveFields(eps[i], cfg))
 	}
-	slices.SortFunc(t.all, func(a, b *Endpoint) int { return strings.Compare(a.Name, b.Name) })
-	for _, e := range t.all {
-		cell := cellOf(e.hash, cfg.Cells)
-		t.index(e, cell, cfg)
-		t.compare(e, cell)
+	slices.SortFunc(t.endpoints, func(a, b *Endpoint) int { return strings.Compare(a.Name, b.Name) })
+	for _, e := range t.endpoints {
+		cell := cellOf(e.nameHash, cfg.Cells)
+		t.indexByArtifact(e, cell, cfg)
+		t.addPeer(e, cell)
 	}
 	return t
 }
 
-func (t *Table) compare(e *Endpoint, cell int) {
-	for i := range t.peers {
-		p := &t.peers[i]
+func (t *Table) addPeer(e *Endpoint, cell int) {
+	for i := range t.peerGroups {
+		p := &t.peerGroups[i]
 		if p.pool == e.Pool && p.role == e.Role && p.cell == cell {
-			p.eps = append(p.eps, e)
+			p.endpoints = append(p.endpoints, e)
 			return
 		}
 	}
-	t.peers = append(t.peers, peers{pool: e.Pool, role: e.Role, cell: cell, eps: []*Endpoint{e}})
+	t.peerGroups = append(t.peerGroups, peerGroup{pool: e.Pool, role: e.Role, cell: cell, endpoints: []*Endpoint{e}})
 }
 
-func prepare(e Endpoint, cfg Config) *Endpoint {
-	e.hash = xxhash.Sum64String(e.Name)
-	e.far = e.Zone != cfg.Zone
+func deriveFields(e Endpoint, cfg Config) *Endpoint {
+	e.nameHash = xxhash.Sum64String(e.Name)
+	e.crossZone = e.Zone != cfg.Zone
 	e.slots = int64(max(e.Slots, 1))
-	e.prefillNanos = int64(e.PrefillPerToken)
+	e.prefillNanosPerToken = int64(e.PrefillPerToken)
 	e.baseNanos = int64(e.Base)
 	e.decodeStepNanos = int64(e.DecodePerToken)
-	e.slotNanos = (e.baseNanos + nominalOutput*e.decodeStepNanos) / e.slots
+	e.slotAdvanceNanos = (e.baseNanos + nominalOutputTokens*e.decodeStepNanos) / e.slots
 	return &e
 }
 
-func (t *Table) index(e *Endpoint, cell int, cfg Config) {
+func (t *Table) indexByArtifact(e *Endpoint, cell int, cfg Config) {
 	arts := e.Serves
 	if len(arts) == 0 {
 		arts = []Artifact{{}}
 	}
 	for _, a := range arts {
-		t.add(groupKey{e.Pool, a}, e, cell, cfg)
+		t.addToGroup(groupKey{e.Pool, a}, e, cell, cfg)
 		if a.Version != "" {
 			a.Version = ""
-			t.add(groupKey{e.Pool, a}, e, cell, cfg)
+			t.addToGroup(groupKey{e.Pool, a}, e, cell, cfg)
 		}
 	}
 }
 
-func (t *Table) add(k groupKey, e *Endpoint, cell int, cfg Config) {
+func (t *Table) addToGroup(k groupKey, e *Endpoint, cell int, cfg Config) {
 	g := t.groups[k]
 	if g == nil {
-		g = &group{cells: make([]members, t.cells)}
+		g = &artifactGroup{cells: make([]cellMembers, t.cells)}
 		t.groups[k] = g
 	}
 	if e.State == Draining || e.State == Unavailable {
@@ -214,31 +215,31 @@
 	m := &g.cells[cell]
 	switch e.Role {
 	case Mixed:
-		m.whole.add(e)
+		m.colocated.add(e)
 		m.decode.add(e)
 	case Prefill:
 		m.prefill.add(e)
 	case Decode:
 		m.decode.add(e)
 		if !cfg.StrictRoles {
-			m.whole.add(e)
+			m.colocated.add(e)
 		}
 	}
 }
 
-// Endpoints returns the table's endpoints in the order of their names.
-func (t *Table) Endpoints() []*Endpoint { return t.all }
+// Endpoints returns the table's endpoints, sorted by name.
+func (t *Table) Endpoints() []*Endpoint { return t.endpoints }
 
-// CellOf returns the cell of a workspace or endpoint name among n cells.
+// CellOf returns which of n cells a workspace or endpoint name belongs to.
 func CellOf(name string, n int) int { return cellOf(xxhash.Sum64String(name), n) }
 
-// cellOf is a rendezvous hash: a change of the cell count from n to n+1 moves
-// only one name in n+1.
-func cellOf(h uint64, n int) int {
-	best, top := 0, uint64(0)
+// cellOf chooses a cell by rendezvous hashing. A change of the cell count from n to n+1 moves only
+// one name in n+1.
+func cellOf(nameHash uint64, n int) int {
+	best, bestWeight := 0, uint64(0)
 	for i := range n {
-		if s := splitmix.Mix(h ^ splitmix.Mix(uint64(i)+1)); s >= top {
-			best, top = i, s
+		if weight := splitmix.Mix(nameHash ^ splitmix.Mix(uint64(i)+1)); weight >= bestWeight {
+			best, bestWeight = i, weight
 		}
 	}
 	return best
--- a/internal/policy/route/window.go
+++ b/internal/policy/route/window.go
@@ -8,8 +8,8 @@
 	"fescuestand/internal/clock"
 )
 
-// lane separates urgent requests from others. Engines honour priorities, so
-// urgent requests wait only for one another and for the step under way.
+// lane separates urgent requests from others. Engines honour priorities, so an urgent request waits
+// only for other urgent requests and for the step in progress.
 type lane uint8
 
 const (
@@ -26,122 +26,120 @@
 }
 
 const (
-	// windowEvery is the time between two decisions on a window.
-	windowEvery = 250 * time.Millisecond
-	// windowBackoff and windowGrowth let the windows of several entries
-	// converge: a window that makes others wait shrinks in proportion to
-	// itself, all grow by the same amount.
+	// windowInterval is the time between two adjustments of a window.
+	windowInterval = 250 * time.Millisecond
+	// windowBackoff and windowGrowth make the windows of several entries converge. A window whose
+	// requests wait too long shrinks in proportion to its size, and all windows grow by the same
+	// amount.
 	windowBackoff = 0.85
-	windowGrowth  = 0.2 // of the work of a full window
-	// windowUsed is the share of a window that must be in use for it to grow.
-	windowUsed = 0.7
+	windowGrowth  = 0.2 // of the fair share of the window
+	// minWindowUse is the share of a window that must be in use for it to grow.
+	minWindowUse = 0.7
 )
 
-// window bounds the prefill that this entry has outstanding at one set of
-// peers, in nanoseconds.
+// prefillWindow bounds the prefill work, in nanoseconds, that this entry has outstanding at one
+// peer group.
 //
-// Load reports are a second or two old, in which several entries can each fill
-// every queue that was last seen empty. What this entry has outstanding is
-// known exactly, and how long its own prefills waited is measured at once. So
-// the window follows the measured wait: the queues at the engines stay about
-// Ahead long, and the rest of the backlog stays with admission, where it can
-// be reordered or refused.
-type window struct {
-	limit       atomic.Int64
-	outstanding atomic.Int64
-
-	mu     sync.Mutex
-	target time.Duration
-	unit   float64 // of growth
-	least  int64
-	most   int64
-	since  clock.Time
-	waited time.Duration
-	n      int
-	peak   int64
+// Load reports are a second or two old. In that time several entries can each fill every queue that
+// was empty in the last report. By contrast, the entry has an exact count of its own outstanding
+// work and measures the waits of its own prefills immediately. The window therefore follows the
+// measured wait: engine queues stay about TargetPrefillWait long, and the rest of the backlog stays
+// in admission, where it can be reordered or refused.
+type prefillWindow struct {
+	limitNanos       atomic.Int64
+	outstandingNanos atomic.Int64
+
+	mu            sync.Mutex
+	targetWait    time.Duration
+	growthNanos   float64 // added per adjustment
+	minLimitNanos int64
+	maxLimitNanos int64
+	intervalStart clock.Time
+	totalWait     time.Duration
+	waits         int
+	peakNanos     int64
 }
 
-// resize fits the window to n engines of which this entry has a share.
-func (w *window) resize(n int, target time.Duration, entries int) {
+// resize sets the window's bounds for n engines shared by the given number of entries.
+func (w *prefillWindow) resize(n int, target time.Duration, entries int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.target = target
-	fair := int64(n) * int64(target) / int64(entries)
-	w.unit = windowGrowth * float64(fair)
-	w.least = max(fair/8, 1)
-	w.most = int64(n) * int64(target) * 2
-	if old := w.limit.Load(); old == 0 {
-		w.limit.Store(max(2*fair, 1))
+	w.targetWait = target
+	fairShare := int64(n) * int64(target) / int64(entries)
+	w.growthNanos = windowGrowth * float64(fairShare)
+	w.minLimitNanos = max(fairShare/8, 1)
+	w.maxLimitNanos = int64(n) * int64(target) * 2
+	if old := w.limitNanos.Load(); old == 0 {
+		w.limitNanos.Store(max(2*fairShare, 1))
 	}
-	w.store(float64(w.limit.Load()))
+	w.setLimit(float64(w.limitNanos.Load()))
 }
 
-func (w *window) store(x float64) {
-	w.limit.Store(min(max(int64(x), w.least), w.most))
+func (w *prefillWindow) setLimit(nanos float64) {
+	w.limitNanos.Store(min(max(int64(nanos), w.minLimitNanos), w.maxLimitNanos))
 }
 
-// full says whether no more prefill may be sent. One request is always
-// allowed, however long.
-func (w *window) full() bool {
-	out := w.outstanding.Load()
-	return out > 0 && out >= w.limit.Load()
+// full reports whether no more prefill may be sent. One request is always allowed, however long.
+func (w *prefillWindow) full() bool {
+	out := w.outstandingNanos.Load()
+	return out > 0 && out >= w.limitNanos.Load()
 }
 
-// add counts work sent, or ended where negative.
-func (w *window) add(work int64) { w.outstanding.Add(work) }
+// add adds work that was sent, or removes work that ended if prefillNanos is negative.
+func (w *prefillWindow) add(prefillNanos int64) { w.outstandingNanos.Add(prefillNanos) }
 
-// observe takes the time that one prefill waited at its engine, and whether
-// prefills slow the engines' streams too much.
-func (w *window) observe(now clock.Time, wait time.Duration, strained bool) {
+// observe records how long one prefill waited at its engine and adapts the window once per
+// windowInterval. decodeTooSlow makes the window shrink regardless of the wait.
+func (w *prefillWindow) observe(now clock.Time, wait time.Duration, decodeTooSlow bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.waited += max(wait, 0)
-	w.n++
-	w.peak = max(w.peak, w.outstanding.Load())
-	if now.Sub(w.since) < windowEvery {
+	w.totalWait += max(wait, 0)
+	w.waits++
+	w.peakNanos = max(w.peakNanos, w.outstandingNanos.Load())
+	if now.Sub(w.intervalStart) < windowInterval {
 		return
 	}
-	limit := float64(w.limit.Load())
+	limit := float64(w.limitNanos.Load())
 	switch {
-	case strained, w.waited/time.Duration(w.n) > w.target:
-		w.store(limit * windowBackoff)
-	case float64(w.peak) >= windowUsed*limit:
-		w.store(limit + w.unit)
+	case decodeTooSlow, w.totalWait/time.Duration(w.waits) > w.targetWait:
+		w.setLimit(limit * windowBackoff)
+	case float64(w.peakNanos) >= minWindowUse*limit:
+		w.setLimit(limit + w.growthNanos)
 	}
-	w.since, w.waited, w.n, w.peak = now, 0, 0, 0
+	w.intervalStart, w.totalWait, w.waits, w.peakNanos = now, 0, 0, 0
 }
 
-// shared is what peers have in common.
-type shared struct {
-	windows [lanes]window
-	first   atomic.Uint64 // median ratio of the peers as bits, zero if unknown
-	step    atomic.Uint64
+// peerState is the state shared by the endpoints of a peer group.
+type peerState struct {
+	windows              [lanes]prefillWindow
+	firstTokenMedianBits atomic.Uint64 // bits of the median ratio, zero if unknown
+	stepMedianBits       atomic.Uint64
 }
 
-type peersKey struct {
+type peerGroupKey struct {
 	pool string
 	role Role
 	cell int
 }
 
-// joinPeers gives each endpoint what it shares with its peers.
-func (r *Router) joinPeers(t *Table) {
-	for i := range t.peers {
-		p := &t.peers[i]
-		k := peersKey{p.pool, p.role, p.cell}
-		s := r.shared[k]
-		if s == nil {
-			s = &shared{}
-			r.shared[k] = s
+// attachPeerStates sets the shared peer state of each endpoint and resizes its windows.
+func (r *Router) attachPeerStates(t *Table) {
+	for i := range t.peerGroups {
+		p := &t.peerGroups[i]
+		key := peerGroupKey{p.pool, p.role, p.cell}
+		state := r.peerStates[key]
+		if state == nil {
+			state = &peerState{}
+			r.peerStates[key] = state
 		}
 		open := 0
-		for _, e := range p.eps {
-			e.shared = s
+		for _, e := range p.endpoints {
+			e.peers = state
 			if e.State == Open {
 				open++
 			}
 		}
-		s.windows[normal].resize(max(open, 1), r.cfg.Ahead, r.sharers())
-		s.windows[urgent].resize(max(open, 1), r.cfg.UrgentAhead, r.sharers())
+		state.windows[normal].resize(max(open, 1), r.cfg.TargetPrefillWait, r.entryCount())
+		state.windows[urgent].resize(max(open, 1), r.cfg.TargetUrgentPrefillWait, r.entryCount())
 	}
 }
