--- a/internal/entry/fleet/poll.go
+++ b/internal/entry/fleet/poll.go
@@ -81,9 +81,9 @@
 }
 
 func (p *poller) tellRouter(r *driver.LoadReport) {
-	p.f.router.Report(p.name, route.Report{
+	p.f.router.ObserveReport(p.name, route.Report{
 		TakenAt: p.f.clk.Now().Add(-r.Age), Running: r.Running, Waiting: r.Queued, PrefillTokens: r.QueuedTokens,
-		Step: r.DecodeStep,
+		StepTime: r.DecodeStep,
 	})
 }
 
@@ -105,7 +105,7 @@
 		out = append(out, route.CacheEvent{Seq: e.Seq, Piece: e.Piece, Evicted: e.Evicted})
 	}
 	if len(out) > 0 {
-		p.f.router.CacheEvents(p.name, out)
+		p.f.router.ApplyCacheEvents(p.name, out)
 	}
 }
 
--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -26,8 +26,8 @@
 			{Name: "question", Priority: 1, Weight: 2, OutputTokens: 10},
 			{Name: "manifest", Priority: 1, Weight: 1, OutputTokens: 10},
 		},
-		Rates: Rates{PrefillPerToken: 100 * time.Microsecond, DecodePerToken: 10 * time.Millisecond, Batch: 1},
-		Disabled:   off,
+		Rates:    Rates{PrefillPerToken: 100 * time.Microsecond, DecodePerToken: 10 * time.Millisecond, Batch: 1},
+		Disabled: off,
 	}
 }
 
--- a/internal/policy/admit/config.go
+++ b/internal/policy/admit/config.go
@@ -37,11 +37,11 @@
 
 // Class is a kind of request in the sheet.
 type Class struct {
-	Name     string
-	Priority int     // 0 is served first; a lower class waits while a higher one has work
-	Weight   float64 // share among the classes of one priority
-	OutputTokens   int     // expected output tokens, until measured
-	Urgent   bool    // sent with the engine's higher priority
+	Name         string
+	Priority     int     // 0 is served first; a lower class waits while a higher one has work
+	Weight       float64 // share among the classes of one priority
+	OutputTokens int     // expected output tokens, until measured
+	Urgent       bool    // sent with the engine's higher priority
 }
 
 // Rates are the times that an engine takes, as measured.
@@ -73,7 +73,7 @@
 	KeyLimit   int
 	LongFactor float64
 	LongShare  float64
-	Disabled        Guards
+	Disabled   Guards
 }
 
 func (c Config) withDefaults() Config {
--- a/internal/policy/admit/request.go
+++ b/internal/policy/admit/request.go
@@ -11,17 +11,17 @@
 // Request is one request at the door of a pool. The caller fills the exported
 // fields and leaves the rest to the queue.
 type Request struct {
-	ID        string
-	Class     string
-	Workspace string
-	Caller    string
-	Key       string     // of the thing asked about, for the hot-key limit; may be empty
-	PromptTokens    int        // tokens
-	CachedTokens    int        // tokens of the prompt expected in a cache
-	MaxOutputTokens int        // tokens; zero if the caller set none
-	Deadline  clock.Time // of the whole answer
-	FirstTokenDeadline   clock.Time // of the first token; zero if it has none
-	Value     any        // the caller's own
+	ID                 string
+	Class              string
+	Workspace          string
+	Caller             string
+	Key                string     // of the thing asked about, for the hot-key limit; may be empty
+	PromptTokens       int        // tokens
+	CachedTokens       int        // tokens of the prompt expected in a cache
+	MaxOutputTokens    int        // tokens; zero if the caller set none
+	Deadline           clock.Time // of the whole answer
+	FirstTokenDeadline clock.Time // of the first token; zero if it has none
+	Value              any        // the caller's own
 
 	class   *class
 	arrived clock.Time
--- a/internal/policy/admit/serve.go
+++ b/internal/policy/admit/serve.go
@@ -180,10 +180,10 @@
 
 // Measurement is what a request showed about the rates.
 type Measurement struct {
-	OK         bool          // the answer was whole; only then do the rates learn
-	FirstToken time.Duration // from dispatch
-	Step       time.Duration // mean time between tokens
-	OutputTokens     int           // tokens
+	OK           bool          // the answer was whole; only then do the rates learn
+	FirstToken   time.Duration // from dispatch
+	Step         time.Duration // mean time between tokens
+	OutputTokens int           // tokens
 }
 
 // Done ends a request that Next returned and learns from it.
--- a/internal/policy/backpressure/notice.go
+++ b/internal/policy/backpressure/notice.go
@@ -22,10 +22,10 @@
 
 // Fields are the texts by which an endpoint gives notice, empty ones if there are none.
 type Fields struct {
-	Limit   string // a decimal number of requests a second
-	Leaving string // 1 if it leaves
-	RetryAfter   string // seconds, or a date, after which to come back; of refusals only
-	Now     time.Time
+	Limit      string // a decimal number of requests a second
+	Leaving    string // 1 if it leaves
+	RetryAfter string // seconds, or a date, after which to come back; of refusals only
+	Now        time.Time
 }
 
 // Parse reads an endpoint's notice.
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -44,7 +44,7 @@
 	// RequestRate is the rate of callers' requests at this VM, and VMs is how many serve
 	// callers. They are set before the first use.
 	RequestRate func() float64
-	VMCount      func() int
+	VMCount     func() int
 	// OnChange is called when an endpoint has said something that other VMs should know soon.
 	OnChange func()
 
--- a/internal/policy/backpressure/told.go
+++ b/internal/policy/backpressure/told.go
@@ -26,12 +26,12 @@
 
 // Report is what a VM tells the others of one endpoint.
 type Report struct {
-	Endpoint IncarnationID
-	HasAnswer     bool          // the endpoint has answered this VM
-	AnswerAge      time.Duration // of that answer
-	Limited  bool          // by that answer
-	Limit    float64       // requests a second, if Limited
-	Sent     uint32        // requests of this process
+	Endpoint  IncarnationID
+	HasAnswer bool          // the endpoint has answered this VM
+	AnswerAge time.Duration // of that answer
+	Limited   bool          // by that answer
+	Limit     float64       // requests a second, if Limited
+	Sent      uint32        // requests of this process
 }
 
 // Reports returns what the other VMs should know now.
--- a/internal/policy/policytest/compare_test.go
+++ b/internal/policy/policytest/compare_test.go
@@ -70,7 +70,7 @@
 			o.Admit = func(c *admit.Config) { a(&c.Disabled) }
 		}
 		if r != nil {
-			o.Route = func(c *route.Config) { r(&c.Off) }
+			o.Route = func(c *route.Config) { r(&c.Disabled) }
 		}
 		return policytest.Policy(o, half())
 	}
@@ -111,7 +111,7 @@
 	}
 	// Without the windows the entries queue long prompts at the engines,
 	// where they can't be refused any more: hardly one is on time.
-	w := play(t, c, without("windows", nil, func(g *route.Guards) { g.NoAhead = true }))
+	w := play(t, c, without("windows", nil, func(g *route.Guards) { g.NoPrefillWindow = true }))
 	assert.Assert(t, w.onTime[1]*4 < ours.onTime[1])
 }
 
@@ -159,7 +159,7 @@
 	c := steady(loadtest.Lakeshore(), 0.8)
 	c.Faults = []loadtest.Fault{{Kind: loadtest.Slow, At: 20 * time.Second, For: 40 * time.Second, Engines: []int{1}, Factor: 10}}
 	on := play(t, c, full)
-	off := play(t, c, without("ejection", nil, func(g *route.Guards) { g.NoEjection, g.NoCalibration = true, true }))
+	off := play(t, c, without("ejection", nil, func(g *route.Guards) { g.NoEjection, g.NoSlownessPenalty = true, true }))
 	lost := func(o outcome) int { return o.offered[0] - o.onTime[0] }
 	assert.Assert(t, lost(off) > 4*lost(on), "lost %d with the guard off, %d with it on", lost(off), lost(on))
 }
@@ -187,7 +187,7 @@
 		}
 	}
 	on := play(t, c, mixed("mixed", nil))
-	off := play(t, c, mixed("mixed, no objective", func(c *route.Config) { c.BetweenTokens = 0 }))
+	off := play(t, c, mixed("mixed, no objective", func(c *route.Config) { c.BetweenTokensObjective = 0 }))
 	assert.Assert(t, on.goodput > 1.3*off.goodput)
 	assert.Assert(t, off.spoiled[0] > 2*on.spoiled[0])
 }
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -72,17 +72,17 @@
 func newEntry(o Options, s loadtest.Setup, mixed bool) *entry {
 	m := s.Config.Model
 	rc := route.Config{
-		Zone:          fmt.Sprint("zone-", s.Index%s.Config.Zones),
-		Entries:       s.Config.Entries,
-		StrictRoles:   true,
-		BetweenTokens: s.Config.Workload.Short.BetweenToken,
-		KVBytes:       1,
-		KVBandwidth:   m.KVRate,
-		KVSetup:       m.KVDelay,
+		Zone:                   fmt.Sprint("zone-", s.Index%s.Config.Zones),
+		Entries:                s.Config.Entries,
+		StrictRoles:            true,
+		BetweenTokensObjective: s.Config.Workload.Short.BetweenToken,
+		KVBytesPerToken:        1,
+		KVBandwidth:            m.KVRate,
+		KVTransferOverhead:     m.KVDelay,
 	}
 	if mixed {
 		// The loop tells the first token of a mixed engine only with the end.
-		rc.Stuck = time.Minute
+		rc.StuckTimeout = time.Minute
 	}
 	if o.Route != nil {
 		o.Route(&rc)
@@ -123,7 +123,7 @@
 	}
 	if now.Sub(e.swept) >= sweepEvery {
 		e.swept = now
-		e.router.Sweep(now)
+		e.router.EjectOutliers(now)
 	}
 }
 
@@ -148,7 +148,7 @@
 
 func (e *entry) endpoint(g *loadtest.EngineView) route.Endpoint {
 	m := e.cfg.Model
-	states := [...]route.State{route.Open, route.Draining, route.Away, route.Away}
+	states := [...]route.State{route.Open, route.Draining, route.Unavailable, route.Unavailable}
 	roles := [...]route.Role{route.Mixed, route.Prefill, route.Decode}
 	return route.Endpoint{
 		Name:            engineName(g.ID),
@@ -168,14 +168,14 @@
 		return
 	}
 	s.report = g.Report.MeasuredAt
-	e.router.Report(engineName(g.ID), route.Report{
+	e.router.ObserveReport(engineName(g.ID), route.Report{
 		TakenAt:       g.Report.MeasuredAt,
 		Running:       g.Report.Running + g.Report.Ready,
 		Waiting:       g.Report.Waiting,
 		PrefillTokens: g.Report.WaitingTokens,
-		Step:          g.Report.StepTime,
+		StepTime:      g.Report.StepTime,
 	})
-	e.router.CacheEvents(engineName(g.ID), s.events(g.Report.Cached))
+	e.router.ApplyCacheEvents(engineName(g.ID), s.events(g.Report.Cached))
 }
 
 // events turns the difference between two lists of cached prefixes to events.
@@ -210,15 +210,15 @@
 	a.sync(now, v)
 	c := a.cfg.Workload.Classes()[q.Class]
 	r := &request{admit: admit.Request{
-		Class:     c.Name,
-		Workspace: fmt.Sprint("workspace-", q.Caller),
-		Caller:    fmt.Sprint("caller-", q.Caller),
-		PromptTokens:    q.Prompt,
-		Deadline:  q.Deadline,
-		FirstTokenDeadline:   q.Arrive.Add(c.FirstToken),
-		Value:     q,
+		Class:              c.Name,
+		Workspace:          fmt.Sprint("workspace-", q.Caller),
+		Caller:             fmt.Sprint("caller-", q.Caller),
+		PromptTokens:       q.Prompt,
+		Deadline:           q.Deadline,
+		FirstTokenDeadline: q.Arrive.Add(c.FirstToken),
+		Value:              q,
 	}}
-	r.route = route.Request{Pool: pool, Prompt: q.Prompt, Urgent: c.Priority > 0}
+	r.route = route.Request{Pool: pool, PromptTokens: q.Prompt, Urgent: c.Priority > 0}
 	for i := range q.Prefix / loadtest.PieceTokens {
 		r.route.Pieces = append(r.route.Pieces, piece(q.Key, i))
 	}
