--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -55,10 +55,10 @@
 	Host   string
 	Header http.Header // without Host, Content-Length and hop-by-hop fields
 	Body   []byte
-	// Once makes the exchange use only connections on which it is unlikely
+	// NoRetry makes the exchange use only connections on which it is unlikely
 	// that the endpoint has just closed: after such a loss nobody knows
 	// whether the request ran, and it may not be sent again.
-	Once bool
+	NoRetry bool
 }
 
 // Response is an endpoint's final response. It must be closed.
@@ -115,7 +115,7 @@
 // Errors are driver.ErrNotSent if no byte of r left this process, else
 // driver.ErrCut: r may have run.
 func (p *Pool) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
-	c, err := p.get(ctx, addr, r.Once)
+	c, err := p.get(ctx, addr, r.NoRetry)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", driver.ErrNotSent, err)
 	}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -373,7 +373,7 @@
 	p.mu.Lock()
 	p.idle[e.addr][0].idleAt = time.Now().Add(-2 * onceIdle)
 	p.mu.Unlock()
-	_, err := do(t, p, e.addr, &Request{Method: "POST", Target: "/", Host: "h", Once: true})
+	_, err := do(t, p, e.addr, &Request{Method: "POST", Target: "/", Host: "h", NoRetry: true})
 	assert.NilError(t, err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if e.accepted.Load() == before+1 {
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -146,7 +146,7 @@
 	s.Left, s.Urgency = x.left(), x.urgency()
 	req := &exchange.Request{
 		Method: x.c.Method, Target: x.c.Target, Host: x.c.Host,
-		Header: x.g.o.Codec.Header(x.c, s), Body: x.c.Body, Once: !x.route.Repeatable(),
+		Header: x.g.o.Codec.Header(x.c, s), Body: x.c.Body, NoRetry: !x.route.Repeatable(),
 	}
 	sentAt := x.now()
 	resp, err := x.g.o.Pool.Do(ctx, s.Endpoint.Address, req)
