--- a/internal/policy/loadtest/clairvoyant.go
+++ b/internal/policy/loadtest/clairvoyant.go
@@ -61,7 +61,7 @@
 // Plan implements RolePlan.
 func (c *Clairvoyant) Plan(now clock.Time, v *View) []Change {
 	c.forget(v)
-	prefill, decode := c.demand(now, v.Arrivals.ComputedShare)
+	prefill, decode := c.demand(now, v.Arrivals.UncachedShare)
 	if prefill+decode == 0 || len(c.planned) >= c.Away {
 		return nil
 	}
--- a/internal/policy/loadtest/demand.go
+++ b/internal/policy/loadtest/demand.go
@@ -39,7 +39,7 @@
 func (d *demand) close(now clock.Time) Arrivals {
 	a := d.sum
 	a.At = now
-	a.ComputedShare = d.computed
+	a.UncachedShare = d.computed
 	d.sum = Arrivals{}
 	return a
 }
--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -131,7 +131,7 @@
 	Requests      float64 // a second
 	PromptTokens  float64 // a second
 	OutputTokens  float64 // a second
-	ComputedShare float64
+	UncachedShare float64
 }
 
 // CachedTokens returns the tokens of the request's prefix that the engine is
--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -66,7 +66,7 @@
 	s := roles.Snapshot{
 		Pool: p.setup.Config.Name,
 		Arrivals: roles.Arrivals{
-			PromptTokensPerSec: a.PromptTokens * a.ComputedShare,
+			PromptTokensPerSec: a.PromptTokens * a.UncachedShare,
 			OutputTokensPerSec: a.OutputTokens,
 			Age:                now.Sub(a.At),
 		},
