--- a/internal/policy/loadtest/baseline.go
+++ b/internal/policy/loadtest/baseline.go
@@ -112,7 +112,7 @@
 // PickDecode implements Routing.
 func (LeastLoad) PickDecode(_ clock.Time, _ *Request, _ int, v *View) (int, bool) {
 	return least(v, Decode, func(e *EngineView) int {
-		return e.Report.Running + e.Report.Ready + e.OwnSince.Requests
+		return e.Report.Running + e.Report.WaitingDecode + e.OwnSince.Requests
 	})
 }
 
--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -115,7 +115,7 @@
 	Role          Role
 	State         State
 	Running       int // streams in the batch
-	Ready         int // prefilled streams that wait for a place in the batch
+	WaitingDecode         int // prefilled streams that wait for a place in the batch
 	Waiting       int // requests that wait for prefill
 	WaitingTokens int
 	StepTime      time.Duration
--- a/internal/policy/loadtest/run.go
+++ b/internal/policy/loadtest/run.go
@@ -105,7 +105,7 @@
 		Role:          e.role,
 		State:         e.state,
 		Running:       len(e.running),
-		Ready:         len(e.ready),
+		WaitingDecode:         len(e.ready),
 		Waiting:       len(e.waiting),
 		WaitingTokens: e.waitingTokens(),
 		StepTime:      e.stepTime,
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -170,7 +170,7 @@
 	s.report = g.Report.MeasuredAt
 	e.router.Report(engineName(g.ID), route.Report{
 		TakenAt:       g.Report.MeasuredAt,
-		Running:       g.Report.Running + g.Report.Ready,
+		Running:       g.Report.Running + g.Report.WaitingDecode,
 		Waiting:       g.Report.Waiting,
 		PrefillTokens: g.Report.WaitingTokens,
 		Step:          g.Report.StepTime,
--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -82,7 +82,7 @@
 	e := roles.Engine{
 		Name:      fmt.Sprintf("runner-%03d", v.ID),
 		Role:      roles.Role(v.Role),
-		Running:   v.Report.Running + v.Report.Ready,
+		Running:   v.Report.Running + v.Report.WaitingDecode,
 		Queued:    v.Report.Waiting,
 		ReportAge: -1,
 	}
