--- a/internal/policy/loadtest/clairvoyant.go
+++ b/internal/policy/loadtest/clairvoyant.go
@@ -131,7 +131,7 @@
 		if e.State != Ready || c.role(e) != from {
 			continue
 		}
-		if n := e.Report.Running + e.Report.Waiting; n < lowest {
+		if n := e.Report.Running + e.Report.WaitingPrefill; n < lowest {
 			best, lowest = i, n
 		}
 	}
--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -116,7 +116,7 @@
 	State         State
 	Running       int // streams in the batch
 	WaitingDecode         int // prefilled streams that wait for a place in the batch
-	Waiting       int // requests that wait for prefill
+	WaitingPrefill       int // requests that wait for prefill
 	WaitingTokens int
 	StepTime      time.Duration
 	Cached        []Cached
--- a/internal/policy/loadtest/run.go
+++ b/internal/policy/loadtest/run.go
@@ -106,7 +106,7 @@
 		State:         e.state,
 		Running:       len(e.running),
 		WaitingDecode:         len(e.ready),
-		Waiting:       len(e.waiting),
+		WaitingPrefill:       len(e.waiting),
 		WaitingTokens: e.waitingTokens(),
 		StepTime:      e.stepTime,
 		Cached:        slices.Clone(e.cache.held),
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -171,7 +171,7 @@
 	e.router.Report(engineName(g.ID), route.Report{
 		TakenAt:       g.Report.MeasuredAt,
 		Running:       g.Report.Running + g.Report.WaitingDecode,
-		Waiting:       g.Report.Waiting,
+		Waiting:       g.Report.WaitingPrefill,
 		PrefillTokens: g.Report.WaitingTokens,
 		Step:          g.Report.StepTime,
 	})
--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -83,7 +83,7 @@
 		Name:      fmt.Sprintf("runner-%03d", v.ID),
 		Role:      roles.Role(v.Role),
 		Running:   v.Report.Running + v.Report.WaitingDecode,
-		Queued:    v.Report.Waiting,
+		Queued:    v.Report.WaitingPrefill,
 		ReportAge: -1,
 	}
 	if p.setup.Config.Planners > 1 {
