--- a/internal/policy/loadtest/baseline.go
+++ b/internal/policy/loadtest/baseline.go
@@ -105,7 +105,7 @@
 // Pick implements Routing.
 func (LeastLoad) Pick(_ clock.Time, _ *Request, v *View) (int, bool) {
 	return least(v, Prefill, func(e *EngineView) int {
-		return e.Report.WaitingTokens + e.OwnSince.PromptTokens
+		return e.Report.WaitingPrefillTokens + e.OwnSince.PromptTokens
 	})
 }
 
--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -117,7 +117,7 @@
 	Running       int // streams in the batch
 	WaitingDecode         int // prefilled streams that wait for a place in the batch
 	WaitingPrefill       int // requests that wait for prefill
-	WaitingTokens int
+	WaitingPrefillTokens int
 	StepTime      time.Duration
 	Cached        []Cached
 }
--- a/internal/policy/loadtest/run.go
+++ b/internal/policy/loadtest/run.go
@@ -107,7 +107,7 @@
 		Running:       len(e.running),
 		WaitingDecode:         len(e.ready),
 		WaitingPrefill:       len(e.waiting),
-		WaitingTokens: e.waitingTokens(),
+		WaitingPrefillTokens: e.waitingTokens(),
 		StepTime:      e.stepTime,
 		Cached:        slices.Clone(e.cache.held),
 	}
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -172,7 +172,7 @@
 		TakenAt:       g.Report.MeasuredAt,
 		Running:       g.Report.Running + g.Report.WaitingDecode,
 		Waiting:       g.Report.WaitingPrefill,
-		PrefillTokens: g.Report.WaitingTokens,
+		PrefillTokens: g.Report.WaitingPrefillTokens,
 		Step:          g.Report.StepTime,
 	})
 	e.router.CacheEvents(engineName(g.ID), s.events(g.Report.Cached))
