--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -119,7 +119,7 @@
 	WaitingPrefill       int // requests that wait for prefill
 	WaitingPrefillTokens int
 	StepTime      time.Duration
-	Cached        []Cached
+	CachedPrefixes        []Cached
 }
 
 // Arrivals is the demand that the entries measured over the last second,
@@ -137,7 +137,7 @@
 // CachedTokens returns the tokens of the request's prefix that the engine is
 // reported to hold.
 func (v *EngineView) CachedTokens(r *Request) int {
-	for _, c := range v.Report.Cached {
+	for _, c := range v.Report.CachedPrefixes {
 		if c.Key == r.Key {
 			return min(c.Pieces*PieceTokens, r.Prefix)
 		}
--- a/internal/policy/loadtest/run.go
+++ b/internal/policy/loadtest/run.go
@@ -109,7 +109,7 @@
 		WaitingPrefill:       len(e.waiting),
 		WaitingPrefillTokens: e.waitingTokens(),
 		StepTime:      e.stepTime,
-		Cached:        slices.Clone(e.cache.held),
+		CachedPrefixes:        slices.Clone(e.cache.held),
 	}
 	r.views(e.id, func(v *EngineView) {
 		if r.rng.Float64() < r.cfg.Reports.Missing {
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -175,7 +175,7 @@
 		PrefillTokens: g.Report.WaitingPrefillTokens,
 		Step:          g.Report.StepTime,
 	})
-	e.router.CacheEvents(engineName(g.ID), s.events(g.Report.Cached))
+	e.router.CacheEvents(engineName(g.ID), s.events(g.Report.CachedPrefixes))
 }
 
 // events turns the difference between two lists of cached prefixes to events.
--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -92,7 +92,7 @@
 	if v.Report.MeasuredAt > 0 {
 		e.ReportAge = now.Sub(v.Report.MeasuredAt)
 	}
-	for _, c := range v.Report.Cached {
+	for _, c := range v.Report.CachedPrefixes {
 		e.CachedPieces += c.Pieces
 	}
 	switch v.State {
