--- a/internal/policy/loadtest/engine.go
+++ b/internal/policy/loadtest/engine.go
@@ -258,16 +258,16 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // prefixCache keeps the most recently used prefixes.
-type prefixCache struct{ held []Cached }
+type prefixCache struct{ held []CachedPrefix }
 
-// Cached is one prefix in an engine's cache.
-type Cached struct {
+// CachedPrefix is one prefix in an engine's cache.
+type CachedPrefix struct {
 	Key    uint64
 	Pieces int
 }
 
 func (c *prefixCache) pieces(key uint64) int {
-	i := slices.IndexFunc(c.held, func(h Cached) bool { return h.Key == key })
+	i := slices.IndexFunc(c.held, func(h CachedPrefix) bool { return h.Key == key })
 	if i < 0 {
 		return 0
 	}
@@ -278,8 +278,8 @@
 	if pieces == 0 {
 		return
 	}
-	c.held = slices.DeleteFunc(c.held, func(h Cached) bool { return h.Key == key })
-	c.held = append(c.held, Cached{Key: key, Pieces: pieces})
+	c.held = slices.DeleteFunc(c.held, func(h CachedPrefix) bool { return h.Key == key })
+	c.held = append(c.held, CachedPrefix{Key: key, Pieces: pieces})
 	used := 0
 	for i := len(c.held) - 1; i >= 0; i-- {
 		used += c.held[i].Pieces
--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -119,7 +119,7 @@
 	WaitingPrefill       int // requests that wait for prefill
 	WaitingPrefillTokens int
 	StepTime      time.Duration
-	CachedPrefixes        []Cached
+	CachedPrefixes        []CachedPrefix
 }
 
 // Arrivals is the demand that the entries measured over the last second,
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -179,7 +179,7 @@
 }
 
 // events turns the difference between two lists of cached prefixes to events.
-func (s *engineSeen) events(cached []loadtest.Cached) []route.CacheEvent {
+func (s *engineSeen) events(cached []loadtest.CachedPrefix) []route.CacheEvent {
 	var out []route.CacheEvent
 	now := make(map[uint64]int, len(cached))
 	for _, c := range cached {
