--- a/internal/policy/loadtest/clairvoyant.go
+++ b/internal/policy/loadtest/clairvoyant.go
@@ -45,7 +45,7 @@
 }
 
 // New returns the plan for one run.
-func (c Clairvoyant) New(s Setup) RolePlan {
+func (c Clairvoyant) New(s Setup) RolePlanner {
 	n := int((s.Config.Workload.Length+tail)/time.Second) + 1
 	c.model = s.Config.Model
 	c.prompt = make([]float64, n)
--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -14,7 +14,7 @@
 	Name      string
 	Admission func(Setup) Admission
 	Routing   func(Setup) Routing
-	Roles     func(Setup) RolePlan
+	Roles     func(Setup) RolePlanner
 	Split     func(engines int) []Role
 }
 
@@ -57,8 +57,8 @@
 	Done(now clock.Time, o Outcome)
 }
 
-// RolePlan moves engines between roles.
-type RolePlan interface {
+// RolePlanner moves engines between roles.
+type RolePlanner interface {
 	Plan(now clock.Time, v *View) []Change
 }
 
--- a/internal/policy/loadtest/run.go
+++ b/internal/policy/loadtest/run.go
@@ -28,7 +28,7 @@
 }
 
 type planner struct {
-	plan RolePlan
+	plan RolePlanner
 	view View
 }
 
--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -35,8 +35,8 @@
 	log     func(clock.Time, roles.Change, roles.Hold)
 }
 
-func planned(cfg roles.Config, log func(clock.Time, roles.Change, roles.Hold)) func(loadtest.Setup) loadtest.RolePlan {
-	return func(s loadtest.Setup) loadtest.RolePlan {
+func planned(cfg roles.Config, log func(clock.Time, roles.Change, roles.Hold)) func(loadtest.Setup) loadtest.RolePlanner {
+	return func(s loadtest.Setup) loadtest.RolePlanner {
 		if s.Config.Planners > 1 {
 			cfg.Self = holder(s.Index)
 		}
--- a/internal/policy/roles/measure_test.go
+++ b/internal/policy/roles/measure_test.go
@@ -22,7 +22,7 @@
 var morning = loadtest.SplitShare(0.42)
 
 // entries returns our admission and routing with a role plan of choice.
-func entries(name string, split func(int) []loadtest.Role, plan func(loadtest.Setup) loadtest.RolePlan) func() loadtest.Policy {
+func entries(name string, split func(int) []loadtest.Role, plan func(loadtest.Setup) loadtest.RolePlanner) func() loadtest.Policy {
 	return func() loadtest.Policy {
 		p := policytest.Policy(policytest.Options{Name: name}, split)
 		p.Roles = plan
--- a/internal/policy/roles/swing_test.go
+++ b/internal/policy/roles/swing_test.go
@@ -13,7 +13,7 @@
 
 // plain routes to the least loaded engine and refuses nothing, so that only the
 // role plan differs between runs.
-func plain(plan func(loadtest.Setup) loadtest.RolePlan) loadtest.Policy {
+func plain(plan func(loadtest.Setup) loadtest.RolePlanner) loadtest.Policy {
 	p := loadtest.LeastLoaded(loadtest.SplitShare(0.5))
 	p.Roles = plan
 	return p
