--- a/internal/policy/loadtest/clairvoyant.go
+++ b/internal/policy/loadtest/clairvoyant.go
@@ -59,7 +59,7 @@
 }
 
 // Plan implements RolePlan.
-func (c *Clairvoyant) Plan(now clock.Time, v *View) []Change {
+func (c *Clairvoyant) Plan(now clock.Time, v *View) []RoleChange {
 	c.forget(v)
 	prefill, decode := c.demand(now, v.Arrivals.UncachedShare)
 	if prefill+decode == 0 || len(c.planned) >= c.Away {
@@ -124,7 +124,7 @@
 }
 
 // move takes the engine of a role with the least work.
-func (c *Clairvoyant) move(v *View, from Role) []Change {
+func (c *Clairvoyant) move(v *View, from Role) []RoleChange {
 	best, lowest := -1, math.MaxInt
 	for i := range v.Engines {
 		e := &v.Engines[i]
@@ -143,5 +143,5 @@
 		to = Decode
 	}
 	c.planned = append(c.planned, pending{engine: best, to: to})
-	return []Change{{Engine: best, To: to}}
+	return []RoleChange{{Engine: best, To: to}}
 }
--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -59,11 +59,11 @@
 
 // RolePlanner moves engines between roles.
 type RolePlanner interface {
-	Plan(now clock.Time, v *View) []Change
+	Plan(now clock.Time, v *View) []RoleChange
 }
 
-// Change orders an engine to another role.
-type Change struct {
+// RoleChange orders an engine to another role.
+type RoleChange struct {
 	Engine int
 	To     Role
 }
--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -46,16 +46,16 @@
 
 func holder(i int) string { return fmt.Sprintf("control-%d", i) }
 
-func (p *plan) Plan(now clock.Time, v *loadtest.View) []loadtest.Change {
+func (p *plan) Plan(now clock.Time, v *loadtest.View) []loadtest.RoleChange {
 	p.planner.Observe(now, p.snapshot(now, v))
-	var out []loadtest.Change
+	var out []loadtest.RoleChange
 	for _, c := range p.planner.Plan(now) {
 		if p.log != nil {
 			p.log(now, c, p.planner.Hold())
 		}
 		var id int
 		_, _ = fmt.Sscanf(c.Engine, "runner-%d", &id)
-		out = append(out, loadtest.Change{Engine: id, To: loadtest.Role(c.To)})
+		out = append(out, loadtest.RoleChange{Engine: id, To: loadtest.Role(c.To)})
 	}
 	return out
 }
