--- a/internal/policy/loadtest/result.go
+++ b/internal/policy/loadtest/result.go
@@ -72,9 +72,9 @@
 	return float64(n) / r.length.Seconds()
 }
 
-// Work returns the goodput weighed by the engine time that each class costs,
+// WeightedGoodput returns the goodput weighed by the engine time that each class costs,
 // in engines: short and long answers count by what they take.
-func (r Result) Work(m EngineModel) float64 {
+func (r Result) WeightedGoodput(m EngineModel) float64 {
 	w := 0.0
 	for _, c := range r.Classes {
 		w += float64(c.OnTime) * m.cost(c.Class)
--- a/internal/policy/roles/measure_test.go
+++ b/internal/policy/roles/measure_test.go
@@ -44,7 +44,7 @@
 }
 
 func (r row) work() stat {
-	return newStat(r.results, func(x loadtest.Result) float64 { return x.Work(r.model) })
+	return newStat(r.results, func(x loadtest.Result) float64 { return x.WeightedGoodput(r.model) })
 }
 
 func (r row) changes() stat {
--- a/internal/policy/roles/swing_test.go
+++ b/internal/policy/roles/swing_test.go
@@ -50,7 +50,7 @@
 	static := loadtest.Run(cfg, plain(nil), 1)
 	moving := loadtest.Run(cfg, plain(planned(lakeshoreSheet(), nil)), 1)
 	t.Logf("static %.2f/s, %.2f engines; moving %.2f/s, %.2f engines, %d changes",
-		static.Goodput(), static.Work(cfg.Model), moving.Goodput(), moving.Work(cfg.Model), moving.RoleChanges)
+		static.Goodput(), static.WeightedGoodput(cfg.Model), moving.Goodput(), moving.WeightedGoodput(cfg.Model), moving.RoleChanges)
 	assert.Assert(t, moving.Goodput() > 1.3*static.Goodput())
 	assert.Assert(t, moving.RoleChanges <= 20)
 }
@@ -188,7 +188,7 @@
 	moving := loadtest.Run(cfg, entries("ours", morning, planned(lakeshoreSheet(), nil))(), 1)
 	fixed := loadtest.Run(cfg, entries("fixed roles", morning, nil)(), 1)
 	t.Logf("moving %.2f/s, %.2f engines; fixed %.2f/s, %.2f engines",
-		moving.Goodput(), moving.Work(cfg.Model), fixed.Goodput(), fixed.Work(cfg.Model))
+		moving.Goodput(), moving.WeightedGoodput(cfg.Model), fixed.Goodput(), fixed.WeightedGoodput(cfg.Model))
 	assert.Assert(t, moving.Goodput() > 0.97*fixed.Goodput())
-	assert.Assert(t, moving.Work(cfg.Model) > 1.05*fixed.Work(cfg.Model))
+	assert.Assert(t, moving.WeightedGoodput(cfg.Model) > 1.05*fixed.WeightedGoodput(cfg.Model))
 }
