--- a/internal/policy/loadtest/result.go
+++ b/internal/policy/loadtest/result.go
@@ -82,8 +82,8 @@
 	return w / r.length.Seconds()
 }
 
-// Count sums one number over the classes.
-func (r Result) Count(of func(ClassResult) int) int {
+// Sum sums one number over the classes.
+func (r Result) Sum(of func(ClassResult) int) int {
 	n := 0
 	for _, c := range r.Classes {
 		n += of(c)
--- a/internal/policy/roles/measure_test.go
+++ b/internal/policy/roles/measure_test.go
@@ -164,8 +164,8 @@
 func (r row) lost() string {
 	of := func(count func(loadtest.ClassResult) int) float64 {
 		return newStat(r.results, func(x loadtest.Result) float64 {
-			offered := x.Count(func(c loadtest.ClassResult) int { return c.Offered })
-			return 100 * float64(x.Count(count)) / float64(offered)
+			offered := x.Sum(func(c loadtest.ClassResult) int { return c.Offered })
+			return 100 * float64(x.Sum(count)) / float64(offered)
 		}).median
 	}
 	late := of(func(c loadtest.ClassResult) int { return c.Late + c.Slow })
