--- a/internal/policy/loadtest/config.go
+++ b/internal/policy/loadtest/config.go
@@ -24,7 +24,7 @@
 type Reports struct {
 	Every          time.Duration
 	MinLag, MaxLag time.Duration
-	Missing        float64 // share that never arrives
+	LossRate        float64 // share that never arrives
 }
 
 // Fault is trouble from At on for For. Engines lists whom it meets.
@@ -82,7 +82,7 @@
 		Every:   500 * time.Millisecond,
 		MinLag:  500 * time.Millisecond,
 		MaxLag:  2 * time.Second,
-		Missing: 0.05,
+		LossRate: 0.05,
 	}
 }
 
--- a/internal/policy/loadtest/run.go
+++ b/internal/policy/loadtest/run.go
@@ -112,7 +112,7 @@
 		CachedPrefixes:        slices.Clone(e.cache.held),
 	}
 	r.views(e.id, func(v *EngineView) {
-		if r.rng.Float64() < r.cfg.Reports.Missing {
+		if r.rng.Float64() < r.cfg.Reports.LossRate {
 			return
 		}
 		lag := r.cfg.Reports.MinLag
--- a/internal/policy/roles/measure_test.go
+++ b/internal/policy/roles/measure_test.go
@@ -314,7 +314,7 @@
 		with("reports 10 s late", func(c *loadtest.Config) {
 			c.Reports.MinLag, c.Reports.MaxLag = 8*time.Second, 10*time.Second
 		}),
-		with("half of the reports missing", func(c *loadtest.Config) { c.Reports.Missing = 0.5 }),
+		with("half of the reports missing", func(c *loadtest.Config) { c.Reports.LossRate = 0.5 }),
 		with("no reports for 2 min", fault(loadtest.Fault{Kind: loadtest.NoReports, At: at, For: 2 * time.Minute, Engines: all})),
 		with("a third of the engines lost", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, For: time.Hour, Engines: third})),
 		with("a zone gone for 1 min", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, For: time.Minute, Engines: zone})),
