--- a/internal/policy/loadtest/config.go
+++ b/internal/policy/loadtest/config.go
@@ -22,7 +22,7 @@
 
 // Reports says how load reports travel.
 type Reports struct {
-	Every          time.Duration
+	Interval          time.Duration
 	MinLag, MaxLag time.Duration
 	LossRate        float64 // share that never arrives
 }
@@ -79,7 +79,7 @@
 // lost.
 func DefaultReports() Reports {
 	return Reports{
-		Every:   500 * time.Millisecond,
+		Interval:   500 * time.Millisecond,
 		MinLag:  500 * time.Millisecond,
 		MaxLag:  2 * time.Second,
 		LossRate: 0.05,
--- a/internal/policy/loadtest/run.go
+++ b/internal/policy/loadtest/run.go
@@ -56,10 +56,10 @@
 	for i, role := range p.Split(r.cfg.Engines) {
 		e := &engine{id: i, zone: i % r.cfg.Zones, role: role, model: r.cfg.Model, slow: 1, run: r}
 		r.engines = append(r.engines, e)
-		phase := time.Duration(r.rng.Int64N(int64(r.cfg.Reports.Every)))
+		phase := time.Duration(r.rng.Int64N(int64(r.cfg.Reports.Interval)))
 		r.loop.After(phase, func() {
 			r.report(e)
-			r.loop.Every(r.cfg.Reports.Every, func() { r.report(e) })
+			r.loop.Every(r.cfg.Reports.Interval, func() { r.report(e) })
 		})
 	}
 	for i := range r.cfg.Entries {
--- a/internal/policy/roles/reports_test.go
+++ b/internal/policy/roles/reports_test.go
@@ -16,7 +16,7 @@
 			for _, every := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
 				cfg := d.cfg
 				cfg.Workload.Length = 10 * time.Minute
-				cfg.Reports.Every = every
+				cfg.Reports.Interval = every
 				r := measure(cfg, entries("ours", morning, planned(d.sheet, nil)))
 				r[0].name = fmt.Sprintf("reports each %s", every)
 				rows = append(rows, r...)
