--- a/internal/policy/loadtest/config.go
+++ b/internal/policy/loadtest/config.go
@@ -16,8 +16,8 @@
 	// Retries bounds the attempts after the first that a request gets when its
 	// engine failed under it.
 	Retries int
-	// PlanEvery is the time between two looks of a planner at its view.
-	PlanEvery time.Duration
+	// PlanInterval is the time between two looks of a planner at its view.
+	PlanInterval time.Duration
 }
 
 // Reports says how load reports travel.
@@ -101,7 +101,7 @@
 		Planners:  1,
 		Reports:   DefaultReports(),
 		Retries:   2,
-		PlanEvery: time.Second,
+		PlanInterval: time.Second,
 		Workload: Workload{
 			Short: Class{
 				Name: "question", Prompt: 600, Output: 250, Priority: 1,
--- a/internal/policy/loadtest/run.go
+++ b/internal/policy/loadtest/run.go
@@ -47,7 +47,7 @@
 		r.loop.At(clock.Time(f.At+f.For), func() { r.fault(f, false) })
 	}
 	r.loop.Every(time.Second, r.measure)
-	r.loop.Every(cfg.PlanEvery, r.plan)
+	r.loop.Every(cfg.PlanInterval, r.plan)
 	r.loop.Run(clock.Time(cfg.Workload.Length + tail))
 	return r.result
 }
