--- a/internal/policy/loadtest/config.go
+++ b/internal/policy/loadtest/config.go
@@ -71,7 +71,7 @@
 		CachePieces:   60,
 		KVRate:        80_000,
 		KVDelay:       5 * time.Millisecond,
-		ChangeTime:    8 * time.Second,
+		RoleChangeTime:    8 * time.Second,
 	}
 }
 
--- a/internal/policy/loadtest/engine.go
+++ b/internal/policy/loadtest/engine.go
@@ -49,7 +49,7 @@
 	CachePieces   int
 	KVRate        float64 // tokens a second moved to another engine
 	KVDelay       time.Duration
-	ChangeTime    time.Duration // away for a role change, after draining
+	RoleChangeTime    time.Duration // away for a role change, after draining
 }
 
 // DecodeRate returns the tokens a second of a full batch.
--- a/internal/policy/loadtest/run.go
+++ b/internal/policy/loadtest/run.go
@@ -171,7 +171,7 @@
 	e.state = Changing
 	r.told(e)
 	epoch := e.epoch
-	r.loop.After(e.model.ChangeTime, func() {
+	r.loop.After(e.model.RoleChangeTime, func() {
 		if epoch != e.epoch {
 			return
 		}
--- a/internal/policy/roles/swing_test.go
+++ b/internal/policy/roles/swing_test.go
@@ -89,8 +89,8 @@
 	on, a := run(roles.Guards{})
 	off, b := run(roles.Guards{NoSettle: true})
 	t.Logf("on: %d changes, %.2f/s; off: %d changes, %.2f/s", a.RoleChanges, a.Goodput(), b.RoleChanges, b.Goodput())
-	assert.Equal(t, on.within(cfg.Model.ChangeTime), 0)
-	assert.Assert(t, off.within(cfg.Model.ChangeTime) > 0, "guard off")
+	assert.Equal(t, on.within(cfg.Model.RoleChangeTime), 0)
+	assert.Assert(t, off.within(cfg.Model.RoleChangeTime) > 0, "guard off")
 }
 
 // Every load report is lost for a minute in the middle of a swing. The planner
