--- a/internal/policy/loadtest/config.go
+++ b/internal/policy/loadtest/config.go
@@ -30,7 +30,7 @@
 // Fault is trouble from At on for For. Engines lists whom it meets.
 type Fault struct {
 	Kind    FaultKind
-	At, For time.Duration
+	At, Duration time.Duration
 	Engines []int
 	Factor  float64 // of Slow: how many times longer each step takes
 }
--- a/internal/policy/loadtest/loadtest_test.go
+++ b/internal/policy/loadtest/loadtest_test.go
@@ -18,8 +18,8 @@
 func TestEveryRequestEndsOnce(t *testing.T) {
 	cfg := short()
 	cfg.Faults = []loadtest.Fault{
-		{Kind: loadtest.Crash, At: 30 * time.Second, For: 20 * time.Second, Engines: []int{0, 7}},
-		{Kind: loadtest.FailFast, At: 60 * time.Second, For: 10 * time.Second, Engines: []int{3}},
+		{Kind: loadtest.Crash, At: 30 * time.Second, Duration: 20 * time.Second, Engines: []int{0, 7}},
+		{Kind: loadtest.FailFast, At: 60 * time.Second, Duration: 10 * time.Second, Engines: []int{3}},
 	}
 	r := loadtest.Run(cfg, loadtest.LeastLoaded(loadtest.SplitShare(0.5)), 7)
 	for _, c := range r.Classes {
--- a/internal/policy/loadtest/run.go
+++ b/internal/policy/loadtest/run.go
@@ -44,7 +44,7 @@
 	}
 	for _, f := range cfg.Faults {
 		r.loop.At(clock.Time(f.At), func() { r.fault(f, true) })
-		r.loop.At(clock.Time(f.At+f.For), func() { r.fault(f, false) })
+		r.loop.At(clock.Time(f.At+f.Duration), func() { r.fault(f, false) })
 	}
 	r.loop.Every(time.Second, r.measure)
 	r.loop.Every(cfg.PlanInterval, r.plan)
--- a/internal/policy/policytest/compare_test.go
+++ b/internal/policy/policytest/compare_test.go
@@ -142,7 +142,7 @@
 		{"a zone gone and back", loadtest.Crash, []int{1, 4, 7, 10}, 0, 0.86},
 	} {
 		c := steady(loadtest.Lakeshore(), 0.8)
-		c.Faults = []loadtest.Fault{{Kind: x.kind, At: 20 * time.Second, For: 40 * time.Second, Engines: x.at, Factor: x.factor}}
+		c.Faults = []loadtest.Fault{{Kind: x.kind, At: 20 * time.Second, Duration: 40 * time.Second, Engines: x.at, Factor: x.factor}}
 		t.Log(x.name)
 		o := play(t, c, full)
 		least := play(t, c, func() loadtest.Policy { return loadtest.LeastLoaded(half()) })
@@ -157,7 +157,7 @@
 // first token. Ejection and the measured slowness take it out.
 func TestSlowEngineWithoutEjection(t *testing.T) {
 	c := steady(loadtest.Lakeshore(), 0.8)
-	c.Faults = []loadtest.Fault{{Kind: loadtest.Slow, At: 20 * time.Second, For: 40 * time.Second, Engines: []int{1}, Factor: 10}}
+	c.Faults = []loadtest.Fault{{Kind: loadtest.Slow, At: 20 * time.Second, Duration: 40 * time.Second, Engines: []int{1}, Factor: 10}}
 	on := play(t, c, full)
 	off := play(t, c, without("ejection", nil, func(g *route.Guards) { g.NoEjection, g.NoCalibration = true, true }))
 	lost := func(o outcome) int { return o.offered[0] - o.onTime[0] }
--- a/internal/policy/roles/measure_test.go
+++ b/internal/policy/roles/measure_test.go
@@ -315,10 +315,10 @@
 			c.Reports.MinLag, c.Reports.MaxLag = 8*time.Second, 10*time.Second
 		}),
 		with("half of the reports missing", func(c *loadtest.Config) { c.Reports.LossRate = 0.5 }),
-		with("no reports for 2 min", fault(loadtest.Fault{Kind: loadtest.NoReports, At: at, For: 2 * time.Minute, Engines: all})),
-		with("a third of the engines lost", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, For: time.Hour, Engines: third})),
-		with("a zone gone for 1 min", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, For: time.Minute, Engines: zone})),
-		with("one engine 10x slow", fault(loadtest.Fault{Kind: loadtest.Slow, At: at, For: time.Hour, Engines: []int{1}, Factor: 10})),
+		with("no reports for 2 min", fault(loadtest.Fault{Kind: loadtest.NoReports, At: at, Duration: 2 * time.Minute, Engines: all})),
+		with("a third of the engines lost", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, Duration: time.Hour, Engines: third})),
+		with("a zone gone for 1 min", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, Duration: time.Minute, Engines: zone})),
+		with("one engine 10x slow", fault(loadtest.Fault{Kind: loadtest.Slow, At: at, Duration: time.Hour, Engines: []int{1}, Factor: 10})),
 		with("a hot caller, half of all", func(c *loadtest.Config) { c.Workload.HotCaller = 0.5 }),
 	}
 }
--- a/internal/policy/roles/swing_test.go
+++ b/internal/policy/roles/swing_test.go
@@ -102,7 +102,7 @@
 	for i := range all {
 		all[i] = i
 	}
-	cfg.Faults = []loadtest.Fault{{Kind: loadtest.NoReports, At: from, For: d, Engines: all}}
+	cfg.Faults = []loadtest.Fault{{Kind: loadtest.NoReports, At: from, Duration: d, Engines: all}}
 	var o orders
 	loadtest.Run(cfg, plain(planned(lakeshoreSheet(), o.log)), 1)
 	for _, at := range o.at {
@@ -120,7 +120,7 @@
 	cfg.Workload.Load = 0.5
 	cfg.Workload.Swing = loadtest.Swing{Low: 0.3, High: 0.3, Hold: time.Minute, Ramp: time.Minute}
 	from := 4 * time.Minute
-	cfg.Faults = []loadtest.Fault{{Kind: loadtest.Crash, At: from, For: time.Minute, Engines: []int{0, 3, 6, 9}}}
+	cfg.Faults = []loadtest.Fault{{Kind: loadtest.Crash, At: from, Duration: time.Minute, Engines: []int{0, 3, 6, 9}}}
 	var o orders
 	moving := loadtest.Run(cfg, plain(planned(lakeshoreSheet(), o.log)), 1)
 	static := loadtest.Run(cfg, plain(nil), 1)
@@ -140,7 +140,7 @@
 	cfg.Workload.Length = 5 * time.Minute
 	cfg.Workload.Load = 0.6
 	cfg.Workload.Swing = loadtest.Swing{Low: 0.4}
-	cfg.Faults = []loadtest.Fault{{Kind: loadtest.Crash, At: 3 * time.Minute, For: 20 * time.Second, Engines: []int{0, 1, 2, 3}}}
+	cfg.Faults = []loadtest.Fault{{Kind: loadtest.Crash, At: 3 * time.Minute, Duration: 20 * time.Second, Engines: []int{0, 1, 2, 3}}}
 	run := func(g roles.Guards) loadtest.Result {
 		sheet := lakeshoreSheet()
 		sheet.MaxAwayShare = 0.5
