--- a/internal/policy/loadtest/workload.go
+++ b/internal/policy/loadtest/workload.go
@@ -75,7 +75,7 @@
 
 // Burst multiplies the arrivals by Factor from At on for For.
 type Burst struct {
-	At, For time.Duration
+	At, Duration time.Duration
 	Factor  float64
 }
 
@@ -102,7 +102,7 @@
 func (w Workload) rates(m EngineModel, engines int, t time.Duration) [2]float64 {
 	work := w.Load * float64(engines)
 	for _, b := range w.Bursts {
-		if t >= b.At && t < b.At+b.For {
+		if t >= b.At && t < b.At+b.Duration {
 			work *= b.Factor
 		}
 	}
--- a/internal/policy/policytest/compare_test.go
+++ b/internal/policy/policytest/compare_test.go
@@ -168,7 +168,7 @@
 // the end, so that callers of the next minute wait behind answers nobody wants.
 func TestBurst(t *testing.T) {
 	c := steady(loadtest.Lakeshore(), 0.7)
-	c.Workload.Bursts = []loadtest.Burst{{At: 20 * time.Second, For: 10 * time.Second, Factor: 10 / 0.7}}
+	c.Workload.Bursts = []loadtest.Burst{{At: 20 * time.Second, Duration: 10 * time.Second, Factor: 10 / 0.7}}
 	on := play(t, c, full)
 	off := play(t, c, without("feasibility, shedding", func(g *admit.Guards) { g.NoFeasibility, g.NoShedding = true, true }, nil))
 	assert.Assert(t, on.spoiled[0]+on.spoiled[1] < (off.spoiled[0]+off.spoiled[1])/5)
--- a/internal/policy/roles/measure_test.go
+++ b/internal/policy/roles/measure_test.go
@@ -309,7 +309,7 @@
 	return []trouble{
 		with("none", func(*loadtest.Config) {}),
 		with("burst 10x for 5 s", func(c *loadtest.Config) {
-			c.Workload.Bursts = []loadtest.Burst{{At: at, For: 5 * time.Second, Factor: 10}}
+			c.Workload.Bursts = []loadtest.Burst{{At: at, Duration: 5 * time.Second, Factor: 10}}
 		}),
 		with("reports 10 s late", func(c *loadtest.Config) {
 			c.Reports.MinLag, c.Reports.MaxLag = 8*time.Second, 10*time.Second
--- a/internal/policy/roles/swing_test.go
+++ b/internal/policy/roles/swing_test.go
@@ -171,7 +171,7 @@
 	cfg.Workload.Length = 4 * time.Minute
 	cfg.Workload.Load = 0.6
 	cfg.Workload.Swing = loadtest.Swing{Low: 0.35}
-	cfg.Workload.Bursts = []loadtest.Burst{{At: 2 * time.Minute, For: 5 * time.Second, Factor: 10}}
+	cfg.Workload.Bursts = []loadtest.Burst{{At: 2 * time.Minute, Duration: 5 * time.Second, Factor: 10}}
 	r := loadtest.Run(cfg, entries("ours", morning, planned(cevallosSheet(), nil))(), 1)
 	t.Logf("burst: %d changes", r.RoleChanges)
 	assert.Assert(t, r.RoleChanges <= 1)
