--- a/internal/policy/loadtest/workload.go
+++ b/internal/policy/loadtest/workload.go
@@ -89,7 +89,7 @@
 	Swing     Swing
 	Bursts    []Burst
 	Callers   int
-	HotCaller float64 // share of the requests that caller 0 sends
+	HotCallerShare float64 // share of the requests that caller 0 sends
 	Keys      int
 	HotKey    float64 // share of the requests on key 0
 	Length    time.Duration
@@ -160,7 +160,7 @@
 	}
 	r.Prompt = class.Prefix + logNormal(rng, class.Prompt-class.Prefix)
 	r.Output = logNormal(rng, class.Output)
-	if rng.Float64() < w.HotCaller {
+	if rng.Float64() < w.HotCallerShare {
 		r.Caller = 0
 	}
 	if rng.Float64() < w.HotKey {
--- a/internal/policy/policytest/compare_test.go
+++ b/internal/policy/policytest/compare_test.go
@@ -197,7 +197,7 @@
 // windows of the busy entry grow by the waits that it measures.
 func TestOneEntryCarriesMost(t *testing.T) {
 	c := steady(loadtest.Lakeshore(), 0.8)
-	c.Workload.HotCaller = 0.6
+	c.Workload.HotCallerShare = 0.6
 	o := play(t, c, full)
 	assert.Assert(t, float64(o.onTime[0]+o.onTime[1]) >= 0.97*float64(o.offered[0]+o.offered[1]))
 }
--- a/internal/policy/roles/measure_test.go
+++ b/internal/policy/roles/measure_test.go
@@ -319,6 +319,6 @@
 		with("a third of the engines lost", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, Duration: time.Hour, Engines: third})),
 		with("a zone gone for 1 min", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, Duration: time.Minute, Engines: zone})),
 		with("one engine 10x slow", fault(loadtest.Fault{Kind: loadtest.Slow, At: at, Duration: time.Hour, Engines: []int{1}, Factor: 10})),
-		with("a hot caller, half of all", func(c *loadtest.Config) { c.Workload.HotCaller = 0.5 }),
+		with("a hot caller, half of all", func(c *loadtest.Config) { c.Workload.HotCallerShare = 0.5 }),
 	}
 }
