--- a/internal/policy/loadtest/workload.go
+++ b/internal/policy/loadtest/workload.go
@@ -91,7 +91,7 @@
 	Callers   int
 	HotCallerShare float64 // share of the requests that caller 0 sends
 	Keys      int
-	HotKey    float64 // share of the requests on key 0
+	HotKeyShare    float64 // share of the requests on key 0
 	Length    time.Duration
 }
 
@@ -163,7 +163,7 @@
 	if rng.Float64() < w.HotCallerShare {
 		r.Caller = 0
 	}
-	if rng.Float64() < w.HotKey {
+	if rng.Float64() < w.HotKeyShare {
 		r.Key = 0
 	}
 	return r
