--- a/internal/policy/loadtest/engine.go
+++ b/internal/policy/loadtest/engine.go
@@ -263,7 +263,7 @@
 // CachedPrefix is one prefix in an engine's cache.
 type CachedPrefix struct {
 	Key    uint64
-	Pieces int
+	Blocks int
 }
 
 func (c *prefixCache) pieces(key uint64) int {
@@ -271,7 +271,7 @@
 	if i < 0 {
 		return 0
 	}
-	return c.held[i].Pieces
+	return c.held[i].Blocks
 }
 
 func (c *prefixCache) put(key uint64, pieces, limit int) {
@@ -279,10 +279,10 @@
 		return
 	}
 	c.held = slices.DeleteFunc(c.held, func(h CachedPrefix) bool { return h.Key == key })
-	c.held = append(c.held, CachedPrefix{Key: key, Pieces: pieces})
+	c.held = append(c.held, CachedPrefix{Key: key, Blocks: pieces})
 	used := 0
 	for i := len(c.held) - 1; i >= 0; i-- {
-		used += c.held[i].Pieces
+		used += c.held[i].Blocks
 		if used > limit {
 			c.held = slices.Delete(c.held, 0, i+1)
 			return
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -183,8 +183,8 @@
 	var out []route.CacheEvent
 	now := make(map[uint64]int, len(cached))
 	for _, c := range cached {
-		now[c.Key] = c.Pieces
-		for i := s.cached[c.Key]; i < c.Pieces; i++ {
+		now[c.Key] = c.Blocks
+		for i := s.cached[c.Key]; i < c.Blocks; i++ {
 			s.seq++
 			out = append(out, route.CacheEvent{Seq: s.seq, Piece: piece(c.Key, i)})
 		}
--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -93,7 +93,7 @@
 		e.ReportAge = now.Sub(v.Report.MeasuredAt)
 	}
 	for _, c := range v.Report.CachedPrefixes {
-		e.CachedPieces += c.Pieces
+		e.CachedPieces += c.Blocks
 	}
 	switch v.State {
 	case loadtest.Draining, loadtest.Changing:
