--- a/internal/policy/loadtest/engine.go
+++ b/internal/policy/loadtest/engine.go
@@ -32,8 +32,8 @@
 
 func (s State) String() string { return [...]string{"ready", "draining", "changing", "down"}[s] }
 
-// PieceTokens is the size of one piece of the engines' prefix cache.
-const PieceTokens = 2000
+// BlockTokens is the size of one piece of the engines' prefix cache.
+const BlockTokens = 2000
 
 // EngineModel holds the speeds of one engine. A step takes
 // StepBase + StepPerStream*streams for decoding, plus chunk/PrefillRate for the
@@ -112,7 +112,7 @@
 
 // prefill queues a job behind those of the same or a higher priority.
 func (e *engine) prefill(j *job) {
-	hit := min(e.cache.pieces(j.req.Key)*PieceTokens, j.req.Prefix)
+	hit := min(e.cache.pieces(j.req.Key)*BlockTokens, j.req.Prefix)
 	j.left = max(j.req.Prompt-hit, 1)
 	e.run.counted(j.req.Prompt, j.left)
 	i, _ := slices.BinarySearchFunc(e.waiting, j, func(a, b *job) int {
@@ -213,7 +213,7 @@
 			continue
 		}
 		e.forget(j)
-		e.cache.put(j.req.Key, j.req.Prefix/PieceTokens, e.model.CachePieces)
+		e.cache.put(j.req.Key, j.req.Prefix/BlockTokens, e.model.CachePieces)
 		j.tokens = 1
 		j.first = e.run.loop.Now()
 		e.run.prefilled(e, j)
--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -139,7 +139,7 @@
 func (v *EngineView) CachedTokens(r *Request) int {
 	for _, c := range v.Report.CachedPrefixes {
 		if c.Key == r.Key {
-			return min(c.Blocks*PieceTokens, r.Prefix)
+			return min(c.Blocks*BlockTokens, r.Prefix)
 		}
 	}
 	return 0
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -219,7 +219,7 @@
 		Value:     q,
 	}}
 	r.route = route.Request{Pool: pool, Prompt: q.Prompt, Urgent: c.Priority > 0}
-	for i := range q.Prefix / loadtest.PieceTokens {
+	for i := range q.Prefix / loadtest.BlockTokens {
 		r.route.Pieces = append(r.route.Pieces, piece(q.Key, i))
 	}
 	q.Priority = c.Priority
