--- a/internal/policy/loadtest/config.go
+++ b/internal/policy/loadtest/config.go
@@ -68,7 +68,7 @@
 		MaxBatch:      48,
 		PrefillChunk:  2048,
 		MixedChunk:    512,
-		CachePieces:   60,
+		CacheBlocks:   60,
 		KVRate:        80_000,
 		KVDelay:       5 * time.Millisecond,
 		RoleChangeTime:    8 * time.Second,
--- a/internal/policy/loadtest/engine.go
+++ b/internal/policy/loadtest/engine.go
@@ -46,7 +46,7 @@
 	MaxBatch      int
 	PrefillChunk  int // prompt tokens in one step of a prefill engine
 	MixedChunk    int // prompt tokens in one step of a mixed engine
-	CachePieces   int
+	CacheBlocks   int
 	KVRate        float64 // tokens a second moved to another engine
 	KVDelay       time.Duration
 	RoleChangeTime    time.Duration // away for a role change, after draining
@@ -213,7 +213,7 @@
 			continue
 		}
 		e.forget(j)
-		e.cache.put(j.req.Key, j.req.Prefix/BlockTokens, e.model.CachePieces)
+		e.cache.put(j.req.Key, j.req.Prefix/BlockTokens, e.model.CacheBlocks)
 		j.tokens = 1
 		j.first = e.run.loop.Now()
 		e.run.prefilled(e, j)
