--- a/internal/policy/loadtest/config.go
+++ b/internal/policy/loadtest/config.go
@@ -69,7 +69,7 @@
 		PrefillChunk:  2048,
 		MixedChunk:    512,
 		CacheBlocks:   60,
-		KVRate:        80_000,
+		KVTransferRate:        80_000,
 		KVDelay:       5 * time.Millisecond,
 		RoleChangeTime:    8 * time.Second,
 	}
--- a/internal/policy/loadtest/engine.go
+++ b/internal/policy/loadtest/engine.go
@@ -47,7 +47,7 @@
 	PrefillChunk  int // prompt tokens in one step of a prefill engine
 	MixedChunk    int // prompt tokens in one step of a mixed engine
 	CacheBlocks   int
-	KVRate        float64 // tokens a second moved to another engine
+	KVTransferRate        float64 // tokens a second moved to another engine
 	KVDelay       time.Duration
 	RoleChangeTime    time.Duration // away for a role change, after draining
 }
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -77,7 +77,7 @@
 		StrictRoles:   true,
 		BetweenTokens: s.Config.Workload.Short.BetweenToken,
 		KVBytes:       1,
-		KVBandwidth:   m.KVRate,
+		KVBandwidth:   m.KVTransferRate,
 		KVSetup:       m.KVDelay,
 	}
 	if mixed {
