--- a/internal/policy/loadtest/config.go
+++ b/internal/policy/loadtest/config.go
@@ -70,7 +70,7 @@
 		MixedChunk:    512,
 		CacheBlocks:   60,
 		KVTransferRate:        80_000,
-		KVDelay:       5 * time.Millisecond,
+		KVTransferSetup:       5 * time.Millisecond,
 		RoleChangeTime:    8 * time.Second,
 	}
 }
--- a/internal/policy/loadtest/engine.go
+++ b/internal/policy/loadtest/engine.go
@@ -48,7 +48,7 @@
 	MixedChunk    int // prompt tokens in one step of a mixed engine
 	CacheBlocks   int
 	KVTransferRate        float64 // tokens a second moved to another engine
-	KVDelay       time.Duration
+	KVTransferSetup       time.Duration
 	RoleChangeTime    time.Duration // away for a role change, after draining
 }
 
--- a/internal/policy/loadtest/entry.go
+++ b/internal/policy/loadtest/entry.go
@@ -113,7 +113,7 @@
 	j.entry.view.Engines[j.at].ended(j.req)
 	j.at = to
 	j.entry.view.Engines[to].dispatched(r.loop.Now(), j.req)
-	d := r.cfg.Model.KVDelay + seconds(float64(j.req.Prompt)/r.cfg.Model.KVTransferRate)
+	d := r.cfg.Model.KVTransferSetup + seconds(float64(j.req.Prompt)/r.cfg.Model.KVTransferRate)
 	r.loop.After(d, func() { r.receive(j, from) })
 }
 
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -78,7 +78,7 @@
 		BetweenTokens: s.Config.Workload.Short.BetweenToken,
 		KVBytes:       1,
 		KVBandwidth:   m.KVTransferRate,
-		KVSetup:       m.KVDelay,
+		KVSetup:       m.KVTransferSetup,
 	}
 	if mixed {
 		// The loop tells the first token of a mixed engine only with the end.
