--- a/internal/policy/loadtest/baseline.go
+++ b/internal/policy/loadtest/baseline.go
@@ -58,7 +58,7 @@
 }
 
 // Next implements Admission.
-func (f *FIFO) Next(clock.Time, *View) (*Request, []Refused) {
+func (f *FIFO) Next(clock.Time, *View) (*Request, []Refusal) {
 	if len(f.queue) == 0 {
 		return nil, nil
 	}
--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -27,8 +27,8 @@
 	Requests []*Request
 }
 
-// Refused is a request that will not be served.
-type Refused struct {
+// Refusal is a request that will not be served.
+type Refusal struct {
 	Request *Request
 	Code    code.Code
 }
@@ -39,7 +39,7 @@
 	Arrive(now clock.Time, r *Request, v *View) code.Code
 	// Next takes the request to dispatch next, nil if none may be dispatched
 	// now, and those given up.
-	Next(now clock.Time, v *View) (*Request, []Refused)
+	Next(now clock.Time, v *View) (*Request, []Refusal)
 	// Requeue puts back a request that no engine could take or that an engine
 	// gave back without having begun.
 	Requeue(now clock.Time, r *Request)
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -232,7 +232,7 @@
 	return code.OK
 }
 
-func (a admission) Next(now clock.Time, v *loadtest.View) (*loadtest.Request, []loadtest.Refused) {
+func (a admission) Next(now clock.Time, v *loadtest.View) (*loadtest.Request, []loadtest.Refusal) {
 	if a.queue.Len() == 0 && a.slots > 0 {
 		return nil, nil
 	}
@@ -244,10 +244,10 @@
 		dropped = a.queue.SetCapacity(now, c.Slots)
 	}
 	r, late := a.queue.Next(now, admit.Room{Normal: c.Normal, Urgent: c.Urgent})
-	var refused []loadtest.Refused
+	var refused []loadtest.Refusal
 	for _, d := range append(dropped, late...) {
 		q := d.Request.Value.(*loadtest.Request)
-		refused = append(refused, loadtest.Refused{Request: q, Code: d.Err.Code})
+		refused = append(refused, loadtest.Refusal{Request: q, Code: d.Err.Code})
 		delete(a.reqs, q.ID)
 	}
 	if r == nil {
