--- a/internal/policy/loadtest/baseline.go
+++ b/internal/policy/loadtest/baseline.go
@@ -105,14 +105,14 @@
 // Pick implements Routing.
 func (LeastLoad) Pick(_ clock.Time, _ *Request, v *View) (int, bool) {
 	return least(v, Prefill, func(e *EngineView) int {
-		return e.Report.WaitingPrefillTokens + e.OwnSince.PromptTokens
+		return e.Report.WaitingPrefillTokens + e.SentSinceReport.PromptTokens
 	})
 }
 
 // PickDecode implements Routing.
 func (LeastLoad) PickDecode(_ clock.Time, _ *Request, _ int, v *View) (int, bool) {
 	return least(v, Decode, func(e *EngineView) int {
-		return e.Report.Running + e.Report.WaitingDecode + e.OwnSince.Requests
+		return e.Report.Running + e.Report.WaitingDecode + e.SentSinceReport.Requests
 	})
 }
 
--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -91,9 +91,9 @@
 	Role   Role
 	State  State
 	Report Report
-	// Own counts this entry's attempts that the engine holds now, OwnSince
+	// Own counts this entry's attempts that the engine holds now, SentSinceReport
 	// those sent there after the report was measured.
-	Own, OwnSince Load
+	Own, SentSinceReport Load
 
 	sent []sent
 }
@@ -148,8 +148,8 @@
 func (v *EngineView) dispatched(now clock.Time, r *Request) {
 	v.Own.Requests++
 	v.Own.PromptTokens += r.Prompt
-	v.OwnSince.Requests++
-	v.OwnSince.PromptTokens += r.Prompt
+	v.SentSinceReport.Requests++
+	v.SentSinceReport.PromptTokens += r.Prompt
 	v.sent = append(v.sent, sent{at: now, prompt: r.Prompt})
 }
 
@@ -165,15 +165,15 @@
 	v.Report = r
 	v.Role = r.Role
 	v.State = r.State
-	v.OwnSince = Load{}
+	v.SentSinceReport = Load{}
 	kept := v.sent[:0]
 	for _, s := range v.sent {
 		if s.at <= r.MeasuredAt {
 			continue
 		}
 		kept = append(kept, s)
-		v.OwnSince.Requests++
-		v.OwnSince.PromptTokens += s.prompt
+		v.SentSinceReport.Requests++
+		v.SentSinceReport.PromptTokens += s.prompt
 	}
 	v.sent = kept
 }
