--- a/internal/policy/loadtest/policy.go
+++ b/internal/policy/loadtest/policy.go
@@ -91,9 +91,9 @@
 	Role   Role
 	State  State
 	Report Report
-	// Own counts this entry's attempts that the engine holds now, SentSinceReport
+	// Outstanding counts this entry's attempts that the engine holds now, SentSinceReport
 	// those sent there after the report was measured.
-	Own, SentSinceReport Load
+	Outstanding, SentSinceReport Load
 
 	sent []sent
 }
@@ -146,16 +146,16 @@
 }
 
 func (v *EngineView) dispatched(now clock.Time, r *Request) {
-	v.Own.Requests++
-	v.Own.PromptTokens += r.Prompt
+	v.Outstanding.Requests++
+	v.Outstanding.PromptTokens += r.Prompt
 	v.SentSinceReport.Requests++
 	v.SentSinceReport.PromptTokens += r.Prompt
 	v.sent = append(v.sent, sent{at: now, prompt: r.Prompt})
 }
 
 func (v *EngineView) ended(r *Request) {
-	v.Own.Requests--
-	v.Own.PromptTokens -= r.Prompt
+	v.Outstanding.Requests--
+	v.Outstanding.PromptTokens -= r.Prompt
 }
 
 func (v *EngineView) received(r Report) {
