--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -11,26 +11,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBuffer holds a response's header and the usual event in one read.
-const readBuffer = 4 << 10
+// readBufferBytes is enough for a response header and a typical event in one read.
+const readBufferBytes = 4 << 10
 
 // conn is one connection to an endpoint. It carries one exchange at a time.
 type conn struct {
 	net.Conn
-	br       *bufio.Reader
-	fresh    bool      // carries its first exchange
-	idleAt   time.Time // when it was put into the pool
-	idleLife time.Duration
+	br          *bufio.Reader
+	firstUse    bool      // carries its first exchange
+	idleAt      time.Time // when it was returned to the pool
+	idleTimeout time.Duration
 }
 
 func newConn(c net.Conn) *conn {
-	return &conn{Conn: c, br: bufio.NewReaderSize(c, readBuffer), fresh: true}
+	return &conn{Conn: c, br: bufio.NewReaderSize(c, readBufferBytes), firstUse: true}
 }
 
-// quiet tells whether nothing has arrived on an idle connection. A closed
-// connection, or bytes that no request asked for, make it useless: the bytes
-// would be read as the start of the next answer.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection can carry another request: the endpoint hasn't
+// closed it and has sent nothing on it. Unsolicited bytes would be read as the start of the next
+// response.
+func (c *conn) reusable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -52,7 +52,7 @@
 	return err == nil && empty
 }
 
-// countingWriter counts what has been handed to the kernel.
+// countingWriter counts the bytes that the kernel has accepted.
 type countingWriter struct {
 	w io.Writer
 	n int64
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,11 +1,13 @@
-// Package exchange does single HTTP/1.1 exchanges with endpoints over kept
-// connections. It never sends a request twice, never asks for an encoding and
-// passes target, header and body on as they are: whether a request may be
-// repeated is the caller's decision, and depends on how far it got.
+// Package exchange is an HTTP/1.1 client that sends requests to endpoints over a pool of
+// persistent connections and never retries.
 //
-// net/http's Transport does neither: it sends a request again when a kept
-// connection turns out to be dead, and drops bytes that follow an answer, so
-// that a late answer of another request can't be told from noise.
+// It sends each request at most once, doesn't add an Accept-Encoding header, and sends target,
+// header and body unchanged. Errors say whether any byte of the request was sent, so that the
+// calling package can decide whether a retry is safe.
+//
+// net/http's Transport isn't used for two reasons: it resends a request by itself when a pooled
+// connection turns out to be closed, and it silently drops bytes that follow a response, which
+// hides a late response to an earlier request.
 package exchange
 
 import (
@@ -25,58 +27,59 @@
 )
 
 const (
-	// dialTimeout bounds a connect. Round trips within a region are under
-	// 10 ms, and the first repeat of a lost opening packet comes after 1 s,
-	// when it is too late for most callers' hopes.
+	// dialTimeout bounds a TCP connect. Round trips within a region take less than 10 ms. The
+	// kernel retransmits a lost SYN only after 1 s, which is too late for most callers.
 	dialTimeout = 250 * time.Millisecond
-	// defaultIdleLife is how long a kept connection is used again where the
-	// endpoint states no timeout.
-	defaultIdleLife = 4 * time.Second
-	// idleMargin is left of the stated timeout, as the endpoint may close
-	// while a request is under way to it.
-	idleMargin = time.Second
-	// maxIdle bounds the kept connections to one endpoint.
-	maxIdle = 16
-	// keepAlive probes find a peer that vanished without closing.
-	keepAlive = 2 * time.Second
-	// userTimeoutMs ends a connection whose sent bytes stay unacknowledged.
+	// defaultIdleTimeout is how long an idle connection may be reused if the endpoint announces
+	// no timeout in a Keep-Alive header.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutMargin is subtracted from the announced timeout, as the endpoint could
+	// otherwise close the connection while a request is in transit.
+	idleTimeoutMargin = time.Second
+	// maxIdlePerAddr bounds the idle connections to one endpoint.
+	maxIdlePerAddr = 16
+	// keepAlivePeriod is the idle time before, and the interval between, TCP keep-alive probes,
+	// which detect a peer that disappeared without closing the connection.
+	keepAlivePeriod = 2 * time.Second
+	// userTimeoutMs is TCP_USER_TIMEOUT: the kernel closes a connection whose sent data stays
+	// unacknowledged for that long.
 	userTimeoutMs = 3000
-	// maxInterim bounds the 1xx responses before the final one.
-	maxInterim = 8
+	// maxInterimResponses bounds the responses read for one request, 1xx responses included.
+	maxInterimResponses = 8
 )
 
-// ErrSurplus means that bytes came which belong to no request.
+// ErrSurplus means that an endpoint sent bytes that belong to no request.
 var ErrSurplus = errors.New("bytes that belong to no request")
 
-// Request is one request as it goes over the wire.
+// Request is one request as it is sent over the wire.
 type Request struct {
 	Method string
 	Target string // path and query, byte for byte
 	Host   string
 	Header http.Header // without Host, Content-Length and hop-by-hop fields
 	Body   []byte
-	// NoRetry makes the exchange use only connections on which it is unlikely
-	// that the endpoint has just closed: after such a loss nobody knows
-	// whether the request ran, and it may not be sent again.
+	// NoRetry marks a request that must not be retried after a lost connection, since it may
+	// have run. It is sent only on new or recently used connections, which the endpoint is
+	// unlikely to be closing at the same moment.
 	NoRetry bool
 }
 
-// Response is an endpoint's final response. It must be closed.
+// Response is an endpoint's final (not 1xx) response. It must be closed.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Length of the body, -1 if it isn't stated.
+	// Length is the body's length, -1 if unknown.
 	Length int64
 
 	body *body
 }
 
-// Close ends the exchange. Before the body's end it closes the connection, which
-// tells the endpoint to stop.
+// Close ends the exchange. If the body hasn't been read to its end, Close closes the connection,
+// so that the endpoint cancels the request.
 func (r *Response) Close() { r.body.close() }
 
-// Pool keeps connections to endpoints by address. It is safe for concurrent use.
+// Pool holds idle connections by endpoint address. It is safe for concurrent use.
 type Pool struct {
 	dialer net.Dialer
 
@@ -86,7 +89,8 @@
 	closing bool
 }
 
-// Stats counts what the pool did.
+// Stats counts dialed connections, reuses of idle connections, and connections on which bytes
+// that belong to no request arrived (Surplus).
 type Stats struct {
 	Dials, Reused, Surplus int64
 }
@@ -96,7 +100,7 @@
 	p := &Pool{idle: map[string][]*conn{}}
 	p.dialer = net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAlive, Interval: keepAlive, Count: 2},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAlivePeriod, Interval: keepAlivePeriod, Count: 2},
 		Control:         setUserTimeout,
 	}
 	return p
@@ -109,41 +113,41 @@
 	return p.stats
 }
 
-// Do sends r to addr and returns the final response's header. The end of ctx
-// closes the connection, also while the body is read.
+// Do sends r to addr and returns once the final response's header has been read. When ctx ends,
+// the connection is closed, also while the body is being read.
 //
-// Errors are driver.ErrNotSent if no byte of r left this process, else
-// driver.ErrCut: r may have run.
+// The error wraps driver.ErrNotSent if no byte of r was sent, otherwise driver.ErrCut: then r may
+// have run.
 func (p *Pool) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
-	c, err := p.get(ctx, addr, r.NoRetry)
+	c, err := p.acquire(ctx, addr, r.NoRetry)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", driver.ErrNotSent, err)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	x := &running{pool: p, addr: addr, c: c, stop: stop, written: make(chan struct{})}
+	detach := context.AfterFunc(ctx, func() { _ = c.Close() })
+	x := &activeExchange{pool: p, addr: addr, c: c, detach: detach, writeDone: make(chan struct{})}
 	go x.write(r)
 	resp, err := x.readHeader(r.Method)
 	if err == nil {
 		return resp, nil
 	}
-	stop()
+	detach()
 	_ = c.Close()
-	<-x.written
+	<-x.writeDone
 	if x.sent.n == 0 {
 		return nil, fmt.Errorf("%w: %w", driver.ErrNotSent, err)
 	}
 	return nil, fmt.Errorf("%w: %w", driver.ErrCut, err)
 }
 
-// get returns a kept connection that is still quiet, or dials.
-func (p *Pool) get(ctx context.Context, addr string, once bool) (*conn, error) {
+// acquire returns an idle connection that is still reusable, or dials a new one.
+func (p *Pool) acquire(ctx context.Context, addr string, noRetry bool) (*conn, error) {
 	for {
-		c := p.take(addr, once)
+		c := p.takeIdle(addr, noRetry)
 		if c == nil {
 			return p.dial(ctx, addr)
 		}
-		if c.quiet() {
-			c.fresh = false
+		if c.reusable() {
+			c.firstUse = false
 			return c, nil
 		}
 		if c.br.Buffered() > 0 {
@@ -153,11 +157,13 @@
 	}
 }
 
-// onceIdle is the idle time up to which a request that may not be repeated uses
-// a kept connection: endpoints close idle ones after seconds.
-const onceIdle = time.Second
+// maxIdleNoRetry is the maximum idle time of a connection that carries a request with NoRetry:
+// endpoints close idle connections after a few seconds.
+const maxIdleNoRetry = time.Second
 
-func (p *Pool) take(addr string, once bool) *conn {
+// takeIdle removes the most recently used idle connection to addr from the pool and returns it.
+// It returns nil if there is none that may be used.
+func (p *Pool) takeIdle(addr string, noRetry bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
@@ -166,12 +172,12 @@
 	}
 	c := list[len(list)-1]
 	idle := time.Since(c.idleAt)
-	if once && idle > onceIdle {
+	if noRetry && idle > maxIdleNoRetry {
 		return nil
 	}
-	if idle > c.idleLife {
-		for _, old := range list {
-			_ = old.Close()
+	if idle > c.idleTimeout {
+		for _, expired := range list {
+			_ = expired.Close()
 		}
 		delete(p.idle, addr)
 		return nil
@@ -196,11 +202,11 @@
 	f(&p.stats)
 }
 
-// put keeps c for the next exchange.
-func (p *Pool) put(addr string, c *conn) {
+// putIdle returns c to the pool, or closes it if the pool is full or closing.
+func (p *Pool) putIdle(addr string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closing || len(p.idle[addr]) >= maxIdle {
+	if p.closing || len(p.idle[addr]) >= maxIdlePerAddr {
 		_ = c.Close()
 		return
 	}
@@ -208,29 +214,29 @@
 	p.idle[addr] = append(p.idle[addr], c)
 }
 
-// Sweep closes connections that have been idle for longer than they live, and
-// those to addresses that keep doesn't name.
+// Sweep closes idle connections whose idle timeout has passed, and those to addresses that aren't
+// in keep.
 func (p *Pool) Sweep(keep map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
-		rest := list[:0]
+		kept := list[:0]
 		for _, c := range list {
-			if keep[addr] && time.Since(c.idleAt) <= c.idleLife {
-				rest = append(rest, c)
+			if keep[addr] && time.Since(c.idleAt) <= c.idleTimeout {
+				kept = append(kept, c)
 				continue
 			}
 			_ = c.Close()
 		}
-		if len(rest) == 0 {
+		if len(kept) == 0 {
 			delete(p.idle, addr)
 			continue
 		}
-		p.idle[addr] = rest
+		p.idle[addr] = kept
 	}
 }
 
-// Close closes the idle connections; those in use close when they end.
+// Close closes the idle connections. Connections in use are closed when their exchange ends.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -244,24 +250,24 @@
 	return nil
 }
 
-// idleLifeOf returns how long a connection may be kept after h.
-func idleLifeOf(h http.Header) time.Duration {
+// idleTimeoutFrom returns how long a connection may stay idle after a response with header h.
+func idleTimeoutFrom(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if secs, err := strconv.Atoi(value); err == nil && secs >= 0 {
-			return max(time.Duration(min(secs, maxIdleSeconds))*time.Second-idleMargin, 0)
+			return max(time.Duration(min(secs, maxIdleTimeoutSeconds))*time.Second-idleTimeoutMargin, 0)
 		}
 	}
-	return defaultIdleLife
+	return defaultIdleTimeout
 }
 
-// maxIdleSeconds bounds what an endpoint may ask for.
-const maxIdleSeconds = 60
+// maxIdleTimeoutSeconds bounds the timeout that an endpoint may announce.
+const maxIdleTimeoutSeconds = 60
 
-// encode writes r as bytes.
+// encode returns r in wire format.
 func (r *Request) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(len(r.Body) + 1<<10)
@@ -269,7 +275,7 @@
 	if len(r.Body) > 0 || (r.Method != http.MethodGet && r.Method != http.MethodDelete && r.Method != http.MethodHead) {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
-	_ = r.Header.Write(&b) // a bytes.Buffer takes every write
+	_ = r.Header.Write(&b) // writing to a bytes.Buffer never fails
 	b.WriteString("\r\n")
 	b.Write(r.Body)
 	return b.Bytes()
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -18,15 +18,15 @@
 	"fescuestand/internal/driver"
 )
 
-// endpoint is a listener whose connections a test handles byte by byte.
+// endpoint is a test server that handles raw TCP connections and counts connections and requests.
 type endpoint struct {
 	addr     string
 	accepted atomic.Int32
 	requests atomic.Int32
 }
 
-// listen serves each connection with handle, which gets the number of the
-// connection, from 1.
+// listen starts an endpoint that serves each connection with handle, which gets the number n of
+// the connection, counted from 1.
 func listen(t *testing.T, handle func(e *endpoint, n int, c net.Conn, br *bufio.Reader)) *endpoint {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 	return e
 }
 
-// read takes one request off a connection.
+// read reads one request; it returns nil if that fails.
 func (e *endpoint) read(br *bufio.Reader) *http.Request {
 	r, err := http.ReadRequest(br)
 	if err != nil {
@@ -66,7 +66,7 @@
 
 func get(target string) *Request { return &Request{Method: "GET", Target: target, Host: "h"} }
 
-// do does an exchange and reads its body.
+// do sends r and returns the response body.
 func do(t *testing.T, p *Pool, addr string, r *Request) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -80,7 +80,7 @@
 	return string(b), err
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	e := listen(t, func(e *endpoint, _ int, c net.Conn, br *bufio.Reader) {
 		for e.read(br) != nil {
 			answer(c, ok)
@@ -96,9 +96,9 @@
 	assert.Equal(t, p.Stats().Reused, int64(1))
 }
 
-// keepOne does exchanges until the pool keeps a connection to addr. One whose
-// request is still being written off when its answer has come isn't kept, which
-// happens where the writer gets no processor for a while.
+// keepOne sends requests until the pool holds an idle connection to addr. A connection isn't
+// pooled if its write goroutine hasn't returned yet when the response has been read, which
+// happens when that goroutine isn't scheduled for a while.
 func keepOne(t *testing.T, p *Pool, addr string) {
 	t.Helper()
 	for range 50 {
@@ -111,10 +111,10 @@
 			return
 		}
 	}
-	t.Fatal("no connection is kept")
+	t.Fatal("the pool holds no idle connection")
 }
 
-func TestTheRequestArrivesByteForByte(t *testing.T) {
+func TestRequestIsSentUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	e := listen(t, func(_ *endpoint, _ int, c net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
@@ -135,10 +135,9 @@
 	assert.DeepEqual(t, r.Header, http.Header{"X-Own": {"1", "2"}, "Content-Length": {"3"}, "Got-Body": {"abc"}})
 }
 
-// An endpoint closes a kept connection while the next request is on its way. The
-// request may have run: sent again by itself it could run twice, which a caller
-// of a payment would pay for.
-func TestARequestIsNeverSentAgainByItself(t *testing.T) {
+// Guards against a retry inside the pool: an endpoint closes a reused connection after it has read
+// the request. The request may have run, so that a retry could run it twice, for example a payment.
+func TestRequestIsNotRetried(t *testing.T) {
 	e := listen(t, func(e *endpoint, n int, c net.Conn, br *bufio.Reader) {
 		e.read(br)
 		if n > 1 {
@@ -146,7 +145,7 @@
 			return
 		}
 		answer(c, ok)
-		e.read(br) // the second request is read, and then the connection ends
+		e.read(br) // reads the second request and closes the connection without a response
 	})
 	p := NewPool()
 	_, err := do(t, p, e.addr, get("/"))
@@ -156,9 +155,9 @@
 	assert.Equal(t, e.requests.Load(), int32(2))
 }
 
-// An endpoint has closed an idle connection. A request that used it would be
-// lost, though the endpoint is well.
-func TestAClosedKeptConnectionIsNotUsed(t *testing.T) {
+// Guards against reusing an idle connection that the endpoint has closed: the request would fail
+// although the endpoint is healthy.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	e := listen(t, func(e *endpoint, _ int, c net.Conn, br *bufio.Reader) {
 		e.read(br)
 		answer(c, ok)
@@ -167,14 +166,14 @@
 	for range 3 {
 		_, err := do(t, p, e.addr, get("/"))
 		assert.NilError(t, err)
-		time.Sleep(20 * time.Millisecond) // the close arrives
+		time.Sleep(20 * time.Millisecond) // until the endpoint's FIN arrives
 	}
 	assert.Equal(t, e.accepted.Load(), int32(3))
 }
 
-// A faulty endpoint sends a second answer after the first. Read as the answer of
-// the next request, a caller would get what belongs to another.
-func TestSurplusBytesEndTheConnection(t *testing.T) {
+// Guards against delivering a response to the wrong caller: a faulty endpoint sends a second
+// response after the first, which would be read as the response to the next request.
+func TestSurplusBytesCloseTheConnection(t *testing.T) {
 	const other = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 	for name, late := range map[string]bool{"at once": false, "late": true} {
 		t.Run(name, func(t *testing.T) {
@@ -205,15 +204,16 @@
 					close(ended)
 					late = false
 				}
-				<-sent // on loopback what was written has arrived
+				<-sent // on loopback, written data has then arrived
 			}
 		})
 	}
 }
 
-// An endpoint rejects a long body before it has read it, and keeps the
-// connection. The next request's bytes would be taken for the body's rest.
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
+// Guards against reusing a connection with an unfinished request: an endpoint rejects a long body
+// before it has read it and keeps the connection open. It would read the next request as the rest
+// of that body.
+func TestEarlyResponseClosesTheConnection(t *testing.T) {
 	e := listen(t, func(e *endpoint, n int, c net.Conn, br *bufio.Reader) {
 		if n == 1 {
 			_, _ = br.ReadString('\n')
@@ -233,7 +233,7 @@
 	assert.Equal(t, e.accepted.Load(), int32(2))
 }
 
-func TestErrorsTellWhetherTheRequestLeft(t *testing.T) {
+func TestErrorsDistinguishNotSentFromCut(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := ln.Addr().String()
@@ -246,9 +246,9 @@
 	assert.ErrorIs(t, err, driver.ErrCut)
 }
 
-// An answer without a length ends with its connection. Cut off by a reset it
-// must not look whole.
-func TestAnAnswerWithoutLengthThatIsResetIsNotWhole(t *testing.T) {
+// A response without Content-Length or chunked encoding ends when the connection closes. Guards
+// against treating one that was truncated by a reset as complete.
+func TestResetOfResponseWithoutLengthIsAnError(t *testing.T) {
 	e := listen(t, func(e *endpoint, n int, c net.Conn, br *bufio.Reader) {
 		e.read(br)
 		answer(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart")
@@ -265,7 +265,7 @@
 	assert.Assert(t, err != nil)
 }
 
-func TestATruncatedBodyIsAnError(t *testing.T) {
+func TestTruncatedBodyIsAnError(t *testing.T) {
 	e := listen(t, func(e *endpoint, _ int, c net.Conn, br *bufio.Reader) {
 		e.read(br)
 		answer(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort")
@@ -274,7 +274,7 @@
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-func TestInterimResponsesArePassedOver(t *testing.T) {
+func TestInterimResponsesAreSkipped(t *testing.T) {
 	e := listen(t, func(e *endpoint, _ int, c net.Conn, br *bufio.Reader) {
 		e.read(br)
 		answer(c, "HTTP/1.1 103 Early Hints\r\n\r\n"+ok)
@@ -284,9 +284,9 @@
 	assert.Equal(t, body, "ok")
 }
 
-// A caller leaves. The endpoint must notice within half a second, also while it
-// has not answered, or it goes on working for nobody.
-func TestTheEndOfTheContextClosesTheConnection(t *testing.T) {
+// Guards against wasted work after the caller disconnects: the end of the context must close the
+// connection within half a second, also before the endpoint has responded.
+func TestContextCancellationClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	e := listen(t, func(e *endpoint, _ int, c net.Conn, br *bufio.Reader) {
 		e.read(br)
@@ -315,20 +315,20 @@
 	<-closed
 }
 
-func TestIdleLifeFollowsTheEndpoint(t *testing.T) {
+func TestIdleTimeoutFromKeepAliveHeader(t *testing.T) {
 	for value, want := range map[string]time.Duration{
-		"":                   defaultIdleLife,
+		"":                   defaultIdleTimeout,
 		"timeout=5":          4 * time.Second,
 		"max=3, timeout=9":   8 * time.Second,
 		"timeout=1":          0,
-		"timeout=x":          defaultIdleLife,
-		"timeout=9999999999": maxIdleSeconds*time.Second - idleMargin,
+		"timeout=x":          defaultIdleTimeout,
+		"timeout=9999999999": maxIdleTimeoutSeconds*time.Second - idleTimeoutMargin,
 	} {
-		assert.Equal(t, idleLifeOf(http.Header{"Keep-Alive": {value}}), want, value)
+		assert.Equal(t, idleTimeoutFrom(http.Header{"Keep-Alive": {value}}), want, value)
 	}
 }
 
-func TestSweepClosesConnectionsToAddressesThatAreGone(t *testing.T) {
+func TestSweepClosesConnectionsToRemovedAddresses(t *testing.T) {
 	closed := make(chan struct{}, 64)
 	e := listen(t, func(e *endpoint, _ int, c net.Conn, br *bufio.Reader) {
 		e.read(br)
@@ -359,9 +359,9 @@
 	assert.DeepEqual(t, resp.Header.Values("X-A"), []string{"1", "2"})
 }
 
-// A request that may not be repeated must not be put on a connection that the
-// endpoint is likely to close at this moment.
-func TestRequestsThatRunOnceUseYoungConnections(t *testing.T) {
+// Guards against sending a request with NoRetry on a connection that has been idle so long that
+// the endpoint is likely to close it at that moment.
+func TestNoRetryRequestAvoidsLongIdleConnections(t *testing.T) {
 	e := listen(t, func(e *endpoint, _ int, c net.Conn, br *bufio.Reader) {
 		for e.read(br) != nil {
 			answer(c, ok)
@@ -371,7 +371,7 @@
 	keepOne(t, p, e.addr)
 	before := e.accepted.Load()
 	p.mu.Lock()
-	p.idle[e.addr][0].idleAt = time.Now().Add(-2 * onceIdle)
+	p.idle[e.addr][0].idleAt = time.Now().Add(-2 * maxIdleNoRetry)
 	p.mu.Unlock()
 	_, err := do(t, p, e.addr, &Request{Method: "POST", Target: "/", Host: "h", NoRetry: true})
 	assert.NilError(t, err)
@@ -383,7 +383,7 @@
 	})
 }
 
-func TestAnswersThatAreNoHTTPAreErrors(t *testing.T) {
+func TestNonHTTPResponseIsAnError(t *testing.T) {
 	e := listen(t, func(e *endpoint, _ int, c net.Conn, br *bufio.Reader) {
 		e.read(br)
 		answer(c, strings.Repeat("garbage ", 10)+"\r\n\r\n")
--- a/internal/exchange/running.go
+++ b/internal/exchange/running.go
@@ -11,29 +11,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// running is one exchange on its connection.
-type running struct {
-	pool    *Pool
-	addr    string
-	c       *conn
-	stop    func() bool // detaches the connection from the context
-	sent    countingWriter
-	written chan struct{} // closed when write has returned
-	failed  bool          // write's outcome, valid after written
+// activeExchange is one request and its response on a connection.
+type activeExchange struct {
+	pool        *Pool
+	addr        string
+	c           *conn
+	detach      func() bool // stops the end of the context from closing the connection
+	sent        countingWriter
+	writeDone   chan struct{} // closed when write has returned
+	writeFailed bool          // valid once writeDone is closed
 }
 
-// write sends r. It runs beside the reading, since an endpoint may answer a
-// long body before it has taken it whole.
-func (x *running) write(r *Request) {
-	defer close(x.written)
+// write sends r. It runs concurrently with readHeader, since an endpoint may respond to a long
+// body before it has read all of it.
+func (x *activeExchange) write(r *Request) {
+	defer close(x.writeDone)
 	x.sent.w = x.c.Conn
 	_, err := x.sent.Write(r.encode())
-	x.failed = err != nil
+	x.writeFailed = err != nil
 }
 
-// readHeader reads up to the final response's header.
-func (x *running) readHeader(method string) (*Response, error) {
-	for range maxInterim {
+// readHeader skips interim responses and returns the final response once its header is read.
+func (x *activeExchange) readHeader(method string) (*Response, error) {
+	for range maxInterimResponses {
 		resp, err := http.ReadResponse(x.c.br, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
@@ -41,45 +41,45 @@
 		if resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		b := &body{x: x, rc: resp.Body, keep: keeps(resp)}
-		x.c.idleLife = idleLifeOf(resp.Header)
+		b := &body{x: x, rc: resp.Body, keepAlive: keepsAlive(resp)}
+		x.c.idleTimeout = idleTimeoutFrom(resp.Header)
 		return &Response{Status: resp.StatusCode, Header: resp.Header, Body: b, Length: resp.ContentLength, body: b}, nil
 	}
 	return nil, errors.New("too many interim responses")
 }
 
-// keeps tells whether the connection can carry another exchange after resp.
-func keeps(resp *http.Response) bool {
+// keepsAlive reports whether the connection can carry another exchange after resp.
+func keepsAlive(resp *http.Response) bool {
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	return framed && !resp.Close && !strings.EqualFold(resp.Header.Get("Connection"), "close")
 }
 
-// body reads a response's body and returns the connection at its end.
+// body reads a response's body. Closing it returns the connection to the pool or closes it.
 type body struct {
-	x    *running
-	rc   io.ReadCloser
-	keep bool
-	once sync.Once
-	end  bool
+	x         *activeExchange
+	rc        io.ReadCloser
+	keepAlive bool // the endpoint allows another exchange on the connection
+	once      sync.Once
+	sawEOF    bool
 }
 
 // Read implements io.Reader.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.rc.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.end = true
+		b.sawEOF = true
 	}
 	return n, err
 }
 
-func (b *body) close() { b.once.Do(b.release) }
+func (b *body) close() { b.once.Do(b.finish) }
 
-// release keeps the connection if the exchange ended cleanly on both sides and
-// nothing follows it.
-func (b *body) release() {
+// finish returns the connection to the pool if the request was written and the response read in
+// full and no bytes follow the response; otherwise it closes the connection.
+func (b *body) finish() {
 	x := b.x
-	detached := x.stop()
-	clean := b.end && b.keep && detached && x.wroteAll()
+	detached := x.detach()
+	clean := b.sawEOF && b.keepAlive && detached && x.requestWritten()
 	if clean && x.c.br.Buffered() > 0 {
 		x.pool.count(func(s *Stats) { s.Surplus++ })
 		clean = false
@@ -88,24 +88,25 @@
 		_ = x.c.Close()
 		return
 	}
-	x.pool.put(x.addr, x.c)
+	x.pool.putIdle(x.addr, x.c)
 }
 
-// wroteAll tells whether the request has left whole, without waiting: an
-// endpoint that answered before it took the body whole would read what follows
-// as the rest of it.
-func (x *running) wroteAll() bool {
+// requestWritten reports, without waiting, whether the whole request has been written. If an
+// endpoint responded before it had read the whole body, it would read the next request on the
+// connection as the rest of that body.
+func (x *activeExchange) requestWritten() bool {
 	select {
-	case <-x.written:
-		return !x.failed
+	case <-x.writeDone:
+		return !x.writeFailed
 	default:
 		return false
 	}
 }
 
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// A kernel without the option only finds dead peers more slowly.
+		// Without this socket option dead peers are only detected later.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMs)
 	})
 }
