--- a/internal/policy/loadtest/baseline.go
+++ b/internal/policy/loadtest/baseline.go
@@ -7,7 +7,7 @@
 	"fescuestand/internal/code"
 )
 
-// FIFORoundRobin sends each request on at once, to the ready engines in turn.
+// FIFORoundRobin dispatches each request immediately, to the ready engines in round robin.
 func FIFORoundRobin(split func(int) []Role) Policy {
 	return Policy{
 		Name:      "fifo + round robin + static",
@@ -17,19 +17,19 @@
 	}
 }
 
-// LeastLoaded sends each request on at once, to the ready engine with the least
-// work by the last report and the entry's own counts since.
+// LeastLoaded dispatches each request immediately, to the ready engine with the least work
+// according to its latest report and what the entry has sent since.
 func LeastLoaded(split func(int) []Role) Policy {
 	return Policy{
 		Name:      "fifo + least loaded + static",
 		Admission: func(Setup) Admission { return &FIFO{} },
-		Routing:   func(Setup) Routing { return LeastLoad{} },
+		Routing:   func(Setup) Routing { return LeastLoadedRouting{} },
 		Split:     split,
 	}
 }
 
-// SplitShare gives the first share of the engines to prefill, at least one to
-// each role.
+// SplitShare returns a split that assigns the given share of the engines to prefill, the others to
+// decode, and at least one engine to each role.
 func SplitShare(prefill float64) func(int) []Role {
 	return func(engines int) []Role {
 		n := int(math.Round(prefill * float64(engines)))
@@ -45,10 +45,10 @@
 	}
 }
 
-// AllMixed leaves every engine to prefill and decode.
+// AllMixed is a split in which every engine does prefill and decode.
 func AllMixed(engines int) []Role { return make([]Role, engines) }
 
-// FIFO is an unbounded queue that refuses nothing.
+// FIFO is an unbounded queue that refuses no request.
 type FIFO struct{ queue []*Request }
 
 // Arrive implements Admission.
@@ -78,14 +78,15 @@
 type roundRobin struct{ next int }
 
 func (r *roundRobin) Pick(_ clock.Time, _ *Request, v *View) (int, bool) {
-	return r.turn(v, Prefill)
+	return r.nextEngine(v, Prefill)
 }
 
 func (r *roundRobin) PickDecode(_ clock.Time, _ *Request, _ int, v *View) (int, bool) {
-	return r.turn(v, Decode)
+	return r.nextEngine(v, Decode)
 }
 
-func (r *roundRobin) turn(v *View, role Role) (int, bool) {
+// nextEngine returns the next ready engine that can do the work of role.
+func (r *roundRobin) nextEngine(v *View, role Role) (int, bool) {
 	for range v.Engines {
 		r.next++
 		e := &v.Engines[r.next%len(v.Engines)]
@@ -98,28 +99,28 @@
 
 func (r *roundRobin) Done(clock.Time, Outcome) {}
 
-// LeastLoad picks the engine with the least reported work plus what this entry
-// has sent there since the report.
-type LeastLoad struct{}
+// LeastLoadedRouting picks the engine with the least reported work plus the work that this entry
+// has sent to it since the report.
+type LeastLoadedRouting struct{}
 
 // Pick implements Routing.
-func (LeastLoad) Pick(_ clock.Time, _ *Request, v *View) (int, bool) {
-	return least(v, Prefill, func(e *EngineView) int {
+func (LeastLoadedRouting) Pick(_ clock.Time, _ *Request, v *View) (int, bool) {
+	return leastLoaded(v, Prefill, func(e *EngineView) int {
 		return e.Report.WaitingPrefillTokens + e.SentSinceReport.PromptTokens
 	})
 }
 
 // PickDecode implements Routing.
-func (LeastLoad) PickDecode(_ clock.Time, _ *Request, _ int, v *View) (int, bool) {
-	return least(v, Decode, func(e *EngineView) int {
+func (LeastLoadedRouting) PickDecode(_ clock.Time, _ *Request, _ int, v *View) (int, bool) {
+	return leastLoaded(v, Decode, func(e *EngineView) int {
 		return e.Report.Running + e.Report.WaitingDecode + e.SentSinceReport.Requests
 	})
 }
 
 // Done implements Routing.
-func (LeastLoad) Done(clock.Time, Outcome) {}
+func (LeastLoadedRouting) Done(clock.Time, Outcome) {}
 
-func least(v *View, role Role, load func(*EngineView) int) (int, bool) {
+func leastLoaded(v *View, role Role, load func(*EngineView) int) (int, bool) {
 	best, lowest := -1, math.MaxInt
 	for i := range v.Engines {
 		e := &v.Engines[i]
--- a/internal/policy/loadtest/clairvoyant.go
+++ b/internal/policy/loadtest/clairvoyant.go
@@ -7,102 +7,105 @@
 	"fescuestand/internal/clock"
 )
 
-// Clairvoyant is a role plan that reads the coming arrivals: lengths of answers
-// and turns of the mix included. It pays for its changes as every plan does,
-// but knows neither a price nor a ceiling. It is an upper bound in spirit, not
-// by proof, since it splits greedily; compare against the best of several.
+// Clairvoyant is a role planner that reads the future arrivals, including the lengths of answers
+// and the changes of the mix. Its role changes take as long as those of any planner, but it
+// considers no cost of a change and has no limit on the number of changes. It approximates an
+// upper bound but isn't a proven one, since it splits greedily; compare against the best of
+// several variants.
 type Clairvoyant struct {
-	// Window is the time ahead over which demand is averaged, Band the
-	// distance in engines from the best split at which it moves one.
+	// Window is how far ahead demand is averaged.
 	Window time.Duration
-	Band   float64
-	// Lean weighs the demand on decode against that on prefill.
-	Lean float64
-	// Away bounds the engines that change at once.
-	Away int
+	// Deadband is the distance from the best split, in engines, above which an engine is
+	// reassigned.
+	Deadband float64
+	// DecodeWeight is the weight of the decode demand relative to the prefill demand.
+	DecodeWeight float64
+	// MaxChanging is the maximum number of engines that change their role at once.
+	MaxChanging int
 
-	model   EngineModel
-	prompt  []float64 // tokens by second
-	output  []float64
-	planned []pending
+	model          EngineModel
+	promptTokens   []float64 // arrivals by second
+	outputTokens   []float64 // arrivals by second
+	pendingChanges []pendingChange
 }
 
-type pending struct {
+type pendingChange struct {
 	engine int
 	to     Role
 }
 
-// Clairvoyants are the plans from which a comparison takes the best.
+// Clairvoyants returns the variants of which a comparison takes the best.
 func Clairvoyants() []Clairvoyant {
 	return []Clairvoyant{
-		{Window: 20 * time.Second, Band: 0.75, Away: 2, Lean: 1},
-		{Window: 60 * time.Second, Band: 1.25, Away: 1, Lean: 1},
-		{Window: 20 * time.Second, Band: 0.75, Away: 2, Lean: 1.2},
-		{Window: 40 * time.Second, Band: 1.25, Away: 1, Lean: 1.2},
-		{Window: 60 * time.Second, Band: 1.75, Away: 1, Lean: 1.2},
-		{Window: 30 * time.Second, Band: 1, Away: 1, Lean: 1.4},
+		{Window: 20 * time.Second, Deadband: 0.75, MaxChanging: 2, DecodeWeight: 1},
+		{Window: 60 * time.Second, Deadband: 1.25, MaxChanging: 1, DecodeWeight: 1},
+		{Window: 20 * time.Second, Deadband: 0.75, MaxChanging: 2, DecodeWeight: 1.2},
+		{Window: 40 * time.Second, Deadband: 1.25, MaxChanging: 1, DecodeWeight: 1.2},
+		{Window: 60 * time.Second, Deadband: 1.75, MaxChanging: 1, DecodeWeight: 1.2},
+		{Window: 30 * time.Second, Deadband: 1, MaxChanging: 1, DecodeWeight: 1.4},
 	}
 }
 
-// New returns the plan for one run.
+// New returns the planner for one run.
 func (c Clairvoyant) New(s Setup) RolePlanner {
-	n := int((s.Config.Workload.Length+tail)/time.Second) + 1
+	runSeconds := int((s.Config.Workload.Length+drainTime)/time.Second) + 1
 	c.model = s.Config.Model
-	c.prompt = make([]float64, n)
-	c.output = make([]float64, n)
+	c.promptTokens = make([]float64, runSeconds)
+	c.outputTokens = make([]float64, runSeconds)
 	for _, r := range s.Requests {
-		at := int(time.Duration(r.Arrive) / time.Second)
-		c.prompt[at] += float64(r.Prompt)
-		c.output[at] += float64(r.Output)
+		second := int(time.Duration(r.Arrive) / time.Second)
+		c.promptTokens[second] += float64(r.Prompt)
+		c.outputTokens[second] += float64(r.Output)
 	}
 	return &c
 }
 
 // Plan implements RolePlan.
 func (c *Clairvoyant) Plan(now clock.Time, v *View) []RoleChange {
-	c.forget(v)
+	c.dropCompleted(v)
 	prefill, decode := c.demand(now, v.Arrivals.UncachedShare)
-	if prefill+decode == 0 || len(c.planned) >= c.Away {
+	if prefill+decode == 0 || len(c.pendingChanges) >= c.MaxChanging {
 		return nil
 	}
-	have, all := 0.0, 0.0
+	currentPrefill, engines := 0.0, 0.0
 	for i := range v.Engines {
 		e := &v.Engines[i]
 		if e.State == Down || e.Role == Mixed {
 			continue
 		}
-		all++
-		if c.role(e) == Prefill {
-			have++
+		engines++
+		if c.plannedRole(e) == Prefill {
+			currentPrefill++
 		}
 	}
-	best := all * prefill / (prefill + decode)
-	best = min(max(best, 1), all-1)
+	targetPrefill := engines * prefill / (prefill + decode)
+	targetPrefill = min(max(targetPrefill, 1), engines-1)
 	switch {
-	case best-have > c.Band:
-		return c.move(v, Decode)
-	case have-best > c.Band:
-		return c.move(v, Prefill)
+	case targetPrefill-currentPrefill > c.Deadband:
+		return c.reassign(v, Decode)
+	case currentPrefill-targetPrefill > c.Deadband:
+		return c.reassign(v, Prefill)
 	}
 	return nil
 }
 
-// demand returns the engines' worth of work that arrives in the window.
-func (c *Clairvoyant) demand(now clock.Time, computed float64) (prefill, decode float64) {
-	if computed == 0 {
-		computed = 1
+// demand returns the prefill and decode work that arrives in the window, in engine seconds.
+func (c *Clairvoyant) demand(now clock.Time, uncachedShare float64) (prefill, decode float64) {
+	if uncachedShare == 0 {
+		uncachedShare = 1
 	}
 	from := int(time.Duration(now) / time.Second)
-	to := min(from+int(c.Window/time.Second), len(c.prompt))
+	to := min(from+int(c.Window/time.Second), len(c.promptTokens))
 	for i := from; i < to; i++ {
-		prefill += c.prompt[i] * computed / c.model.PrefillRate
-		decode += c.output[i] / c.model.DecodeRate()
+		prefill += c.promptTokens[i] * uncachedShare / c.model.PrefillRate
+		decode += c.outputTokens[i] / c.model.DecodeRate()
 	}
-	return prefill, decode * c.Lean
+	return prefill, decode * c.DecodeWeight
 }
 
-func (c *Clairvoyant) role(e *EngineView) Role {
-	for _, p := range c.planned {
+// plannedRole returns the role of e after its pending change, if any.
+func (c *Clairvoyant) plannedRole(e *EngineView) Role {
+	for _, p := range c.pendingChanges {
 		if p.engine == e.ID {
 			return p.to
 		}
@@ -110,25 +113,25 @@
 	return e.Role
 }
 
-// forget ends the changes that are through.
-func (c *Clairvoyant) forget(v *View) {
-	kept := c.planned[:0]
-	for _, p := range c.planned {
+// dropCompleted removes the pending changes that are complete or whose engine has crashed.
+func (c *Clairvoyant) dropCompleted(v *View) {
+	kept := c.pendingChanges[:0]
+	for _, p := range c.pendingChanges {
 		e := &v.Engines[p.engine]
 		if e.State == Down || e.State == Ready && e.Role == p.to {
 			continue
 		}
 		kept = append(kept, p)
 	}
-	c.planned = kept
+	c.pendingChanges = kept
 }
 
-// move takes the engine of a role with the least work.
-func (c *Clairvoyant) move(v *View, from Role) []RoleChange {
+// reassign changes the role of the least loaded engine of role from.
+func (c *Clairvoyant) reassign(v *View, from Role) []RoleChange {
 	best, lowest := -1, math.MaxInt
 	for i := range v.Engines {
 		e := &v.Engines[i]
-		if e.State != Ready || c.role(e) != from {
+		if e.State != Ready || c.plannedRole(e) != from {
 			continue
 		}
 		if n := e.Report.Running + e.Report.WaitingPrefill; n < lowest {
@@ -142,6 +145,6 @@
 	if from == Prefill {
 		to = Decode
 	}
-	c.planned = append(c.planned, pending{engine: best, to: to})
+	c.pendingChanges = append(c.pendingChanges, pendingChange{engine: best, to: to})
 	return []RoleChange{{Engine: best, To: to}}
 }
--- a/internal/policy/loadtest/config.go
+++ b/internal/policy/loadtest/config.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Config is one run apart from the policy and the seed.
+// Config describes a run, except for its policy and seed.
 type Config struct {
 	Name     string
 	Model    EngineModel
@@ -13,94 +13,93 @@
 	Workload Workload
 	Reports  Reports
 	Faults   []Fault
-	// Retries bounds the attempts after the first that a request gets when its
-	// engine failed under it.
+	// Retries is the maximum number of retries of a request after engine failures.
 	Retries int
-	// PlanInterval is the time between two looks of a planner at its view.
+	// PlanInterval is the time between two runs of a role planner.
 	PlanInterval time.Duration
 }
 
-// Reports says how load reports travel.
+// Reports describes how load reports reach entries and planners.
 type Reports struct {
-	Interval          time.Duration
+	Interval       time.Duration
 	MinLag, MaxLag time.Duration
-	LossRate        float64 // share that never arrives
+	LossRate       float64 // share of the reports that are lost
 }
 
-// Fault is trouble from At on for For. Engines lists whom it meets.
+// Fault is a fault of the listed engines that starts at At and lasts for Duration.
 type Fault struct {
-	Kind    FaultKind
+	Kind         FaultKind
 	At, Duration time.Duration
-	Engines []int
-	Factor  float64 // of Slow: how many times longer each step takes
+	Engines      []int
+	Factor       float64 // for Slow: how many times longer each step takes
 }
 
-// FaultKind says what goes wrong.
+// FaultKind is a kind of fault.
 type FaultKind int
 
 // The kinds of fault.
 const (
-	Crash     FaultKind = iota // back empty at the end
+	Crash     FaultKind = iota // loses its jobs and cache; restarts empty at the end of the fault
 	Slow                       // each step takes Factor times longer
-	FailFast                   // each dispatch is answered by an error at once
-	NoReports                  // load reports stop
+	FailFast                   // each dispatched request fails immediately
+	NoReports                  // the engine sends no load reports
 )
 
-// netDelay is one way between an entry and an engine, zones mixed.
-const netDelay = 1500 * time.Microsecond
+// oneWayDelay is the network delay in one direction between an entry and an engine, the same
+// within a zone and between zones.
+const oneWayDelay = 1500 * time.Microsecond
 
-// orderDelay is how long entries take to learn of a change of role or state
-// that a control process ordered.
-const orderDelay = 200 * time.Millisecond
+// stateChangeDelay is how long an ordered change of an engine's role or state takes to reach
+// entries and planners.
+const stateChangeDelay = 200 * time.Millisecond
 
-// detectDelay is how long control processes take to find that an engine has
-// crashed. Entries find it by their own requests.
-const detectDelay = 2 * time.Second
+// crashDetectionDelay is how long planners take to detect that an engine has crashed. Entries
+// detect it by their own failed requests.
+const crashDetectionDelay = 2 * time.Second
 
-// DefaultModel is a plain engine: a stream of a full batch gets a token each
-// 35 ms, 1,380 tokens a second in all, and a prompt of 8,000 tokens takes a
-// second.
+// DefaultModel returns an engine that, with a full batch, generates a token per stream every
+// 35 ms, 1,380 tokens a second in total, and prefills a prompt of 8,000 tokens in one second.
 func DefaultModel() EngineModel {
 	return EngineModel{
-		PrefillRate:   8000,
-		StepBase:      18 * time.Millisecond,
-		StepPerStream: 350 * time.Microsecond,
-		MaxBatch:      48,
-		PrefillChunk:  2048,
-		MixedChunk:    512,
-		CacheBlocks:   60,
-		KVTransferRate:        80_000,
-		KVTransferSetup:       5 * time.Millisecond,
-		RoleChangeTime:    8 * time.Second,
+		PrefillRate:     8000,
+		StepBase:        18 * time.Millisecond,
+		StepPerStream:   350 * time.Microsecond,
+		MaxBatch:        48,
+		PrefillChunk:    2048,
+		MixedChunk:      512,
+		CacheBlocks:     60,
+		KVTransferRate:  80_000,
+		KVTransferSetup: 5 * time.Millisecond,
+		RoleChangeTime:  8 * time.Second,
 	}
 }
 
-// DefaultReports come twice a second with 0.5 to 2 s of lag; one in twenty is
-// lost.
+// DefaultReports returns reports that are sent twice a second and arrive 0.5 to 2 s later; one in
+// twenty is lost.
 func DefaultReports() Reports {
 	return Reports{
-		Interval:   500 * time.Millisecond,
-		MinLag:  500 * time.Millisecond,
-		MaxLag:  2 * time.Second,
+		Interval: 500 * time.Millisecond,
+		MinLag:   500 * time.Millisecond,
+		MaxLag:   2 * time.Second,
 		LossRate: 0.05,
 	}
 }
 
-// betweenToken is the users' objective for the gap between tokens.
+// betweenToken is the users' objective for the time between tokens.
 const betweenToken = 39 * time.Millisecond
 
-// Lakeshore is 12 label-drafting runners in 3 availability zones before 7
-// entries.
+// Lakeshore returns a deployment of 12 engines in 3 availability zones behind 7 entries. It serves
+// short questions and long drafts.
 func Lakeshore() Config {
 	return Config{
-		Name:      "lakeshore",
-		Model:     DefaultModel(),
-		Engines:   12,
-		Zones:     3,
-		Entries:   7,
-		Planners:  1,
-		Reports:   DefaultReports(),
-		Retries:   2,
+		Name:         "lakeshore",
+		Model:        DefaultModel(),
+		Engines:      12,
+		Zones:        3,
+		Entries:      7,
+		Planners:     1,
+		Reports:      DefaultReports(),
+		Retries:      2,
 		PlanInterval: time.Second,
 		Workload: Workload{
 			Short: Class{
@@ -120,8 +119,8 @@
 	}
 }
 
-// Cevallos is the agent language service: 10 runners in 4 availability zones
-// before 8 entries, and shorter histories than Lakeshore's manifests.
+// Cevallos returns a deployment of 10 engines in 4 availability zones behind 8 entries. Its long
+// prompts are shorter than those of Lakeshore.
 func Cevallos() Config {
 	c := Lakeshore()
 	c.Name = "cevallos"
--- a/internal/policy/loadtest/demand.go
+++ b/internal/policy/loadtest/demand.go
@@ -2,44 +2,44 @@
 
 import "fescuestand/internal/clock"
 
-// demandGain is the weight of the newest sample in the estimates of output
-// length and of the computed share of prompts.
-const demandGain = 0.02
+// smoothingFactor is the weight of the newest sample in the moving averages of the output length
+// and of the uncached share of prompts.
+const smoothingFactor = 0.02
 
-// demand measures arrivals as the entries do together.
+// demand measures the arrivals at all entries.
 type demand struct {
-	output   []float64 // mean output tokens of each class
-	computed float64
-	sum      Arrivals
+	meanOutput    []float64 // estimated mean output tokens of each class
+	uncachedShare float64   // estimated share of prompt tokens without a cache hit
+	current       Arrivals  // sums of the current second
 }
 
 func newDemand(cfg Config) demand {
-	d := demand{computed: 1}
+	d := demand{uncachedShare: 1}
 	for _, c := range cfg.Workload.Classes() {
-		d.output = append(d.output, float64(c.Output))
+		d.meanOutput = append(d.meanOutput, float64(c.Output))
 	}
 	return d
 }
 
-func (d *demand) arrived(q *Request) {
-	d.sum.Requests++
-	d.sum.PromptTokens += float64(q.Prompt)
-	d.sum.OutputTokens += d.output[q.Class]
+func (d *demand) recordArrival(q *Request) {
+	d.current.Requests++
+	d.current.PromptTokens += float64(q.Prompt)
+	d.current.OutputTokens += d.meanOutput[q.Class]
 }
 
-func (d *demand) finished(q *Request) {
-	d.output[q.Class] += demandGain * (float64(q.Output) - d.output[q.Class])
+func (d *demand) recordOutput(q *Request) {
+	d.meanOutput[q.Class] += smoothingFactor * (float64(q.Output) - d.meanOutput[q.Class])
 }
 
-func (d *demand) prefilled(prompt, computed int) {
-	d.computed += demandGain * (float64(computed)/float64(prompt) - d.computed)
+func (d *demand) recordPrefill(prompt, uncached int) {
+	d.uncachedShare += smoothingFactor * (float64(uncached)/float64(prompt) - d.uncachedShare)
 }
 
-// close returns the sums of the last second.
-func (d *demand) close(now clock.Time) Arrivals {
-	a := d.sum
+// closeSecond returns the sums of the last second and resets them.
+func (d *demand) closeSecond(now clock.Time) Arrivals {
+	a := d.current
 	a.At = now
-	a.UncachedShare = d.computed
-	d.sum = Arrivals{}
+	a.UncachedShare = d.uncachedShare
+	d.current = Arrivals{}
 	return a
 }
--- a/internal/policy/loadtest/loadtest_test.go
+++ b/internal/policy/loadtest/loadtest_test.go
@@ -9,14 +9,14 @@
 	"fescuestand/internal/policy/loadtest"
 )
 
-func short() loadtest.Config {
+func shortConfig() loadtest.Config {
 	c := loadtest.Lakeshore()
 	c.Workload.Length = 2 * time.Minute
 	return c
 }
 
 func TestEveryRequestEndsOnce(t *testing.T) {
-	cfg := short()
+	cfg := shortConfig()
 	cfg.Faults = []loadtest.Fault{
 		{Kind: loadtest.Crash, At: 30 * time.Second, Duration: 20 * time.Second, Engines: []int{0, 7}},
 		{Kind: loadtest.FailFast, At: 60 * time.Second, Duration: 10 * time.Second, Engines: []int{3}},
@@ -31,15 +31,15 @@
 
 func TestSameSeedSameRun(t *testing.T) {
 	p := loadtest.FIFORoundRobin(loadtest.SplitShare(0.5))
-	a := loadtest.Run(short(), p, 3)
-	b := loadtest.Run(short(), p, 3)
+	a := loadtest.Run(shortConfig(), p, 3)
+	b := loadtest.Run(shortConfig(), p, 3)
 	for i := range a.Classes {
 		assert.Equal(t, a.Classes[i].String(), b.Classes[i].String())
 	}
 }
 
 func TestHalfLoadIsServedOnTime(t *testing.T) {
-	cfg := short()
+	cfg := shortConfig()
 	cfg.Workload.Load = 0.5
 	cfg.Workload.Swing = loadtest.Swing{} // short questions only
 	r := loadtest.Run(cfg, loadtest.LeastLoaded(loadtest.SplitShare(0.5)), 1)
--- a/internal/policy/loadtest/loop.go
+++ b/internal/policy/loadtest/loop.go
@@ -7,8 +7,8 @@
 	"fescuestand/internal/clock"
 )
 
-// Loop runs events in time order; events of one instant run in the order in
-// which they were scheduled.
+// Loop is a discrete-event loop with a simulated clock. It runs events in order of time, and those
+// with equal times in the order in which they were scheduled.
 type Loop struct {
 	now    clock.Time
 	seq    uint64
@@ -18,16 +18,16 @@
 // Now implements clock.Clock.
 func (l *Loop) Now() clock.Time { return l.now }
 
-// At schedules fn; a time in the past means now.
+// At schedules fn for time t, or for now if t is in the past.
 func (l *Loop) At(t clock.Time, fn func()) {
 	l.seq++
 	heap.Push(&l.events, event{at: max(t, l.now), seq: l.seq, fn: fn})
 }
 
-// After schedules fn in d.
+// After schedules fn to run once d has passed.
 func (l *Loop) After(d time.Duration, fn func()) { l.At(l.now.Add(d), fn) }
 
-// Every schedules fn each d, first after one d, until the loop ends.
+// Every schedules fn at intervals of d, first after d, until the loop ends.
 func (l *Loop) Every(d time.Duration, fn func()) {
 	l.After(d, func() {
 		fn()
@@ -35,7 +35,7 @@
 	})
 }
 
-// Run executes events up to and including end.
+// Run runs all events up to and including end.
 func (l *Loop) Run(end clock.Time) {
 	for len(l.events) > 0 && l.events[0].at <= end {
 		e := heap.Pop(&l.events).(event)
--- a/internal/policy/loadtest/result.go
+++ b/internal/policy/loadtest/result.go
@@ -12,7 +12,7 @@
 	"fescuestand/internal/code"
 )
 
-// Result is what the callers of one run received.
+// Result summarizes what the callers of one run received.
 type Result struct {
 	Policy      string
 	Seed        uint64
@@ -22,32 +22,32 @@
 	length time.Duration
 }
 
-// ClassResult counts the requests of one class by their end.
+// ClassResult counts the requests of one class by their outcome.
 type ClassResult struct {
 	Class   Class
 	Offered int
-	// OnTime answers came whole by their deadline and kept the objectives for
-	// the first token and between tokens.
+	// OnTime counts answers that were complete by their deadline and met the objectives for the
+	// first token and the time between tokens.
 	OnTime int
-	// Slow answers came whole by their deadline but missed an objective.
+	// Slow counts answers that were complete by their deadline but missed an objective.
 	Slow    int
-	Late    int // not whole by the deadline: the caller hung up
-	Refused []Refusals
+	Late    int // not complete by the deadline, when the caller disconnects
+	Refused []RefusalCount
 
 	first, gap, total *hdrhistogram.Histogram // milliseconds
 }
 
-// Refusals counts one code.
-type Refusals struct {
+// RefusalCount is the number of requests refused with one code.
+type RefusalCount struct {
 	Code  code.Code
 	Count int
 }
 
-// Waits are percentiles of one class's waits.
-type Waits struct{ P50, P95, P99 time.Duration }
+// Percentiles are percentiles of a latency.
+type Percentiles struct{ P50, P95, P99 time.Duration }
 
-// maxWaitMillis bounds the histograms: no request outlives its deadline of less
-// than ten minutes.
+// maxWaitMillis is the maximum of the histograms: every request ends by its deadline, which is
+// less than ten minutes.
 const maxWaitMillis = 600_000
 
 func newResult(cfg Config, policy string, seed uint64) Result {
@@ -63,7 +63,7 @@
 	return r
 }
 
-// Goodput returns the complete, on-time answers a second.
+// Goodput returns the on-time answers per second.
 func (r Result) Goodput() float64 {
 	n := 0
 	for _, c := range r.Classes {
@@ -72,26 +72,26 @@
 	return float64(n) / r.length.Seconds()
 }
 
-// WeightedGoodput returns the goodput weighed by the engine time that each class costs,
-// in engines: short and long answers count by what they take.
+// WeightedGoodput returns the goodput weighted by the mean engine time of each class: the number
+// of engines that were kept busy with on-time answers.
 func (r Result) WeightedGoodput(m EngineModel) float64 {
 	w := 0.0
 	for _, c := range r.Classes {
-		w += float64(c.OnTime) * m.cost(c.Class)
+		w += float64(c.OnTime) * m.engineSeconds(c.Class)
 	}
 	return w / r.length.Seconds()
 }
 
-// Sum sums one number over the classes.
-func (r Result) Sum(of func(ClassResult) int) int {
+// Sum returns the sum of one figure over the classes.
+func (r Result) Sum(figure func(ClassResult) int) int {
 	n := 0
 	for _, c := range r.Classes {
-		n += of(c)
+		n += figure(c)
 	}
 	return n
 }
 
-// RefusedTotal counts the refusals of every code.
+// RefusedTotal returns the number of refused requests over all codes.
 func (c ClassResult) RefusedTotal() int {
 	n := 0
 	for _, x := range c.Refused {
@@ -100,35 +100,35 @@
 	return n
 }
 
-// FirstToken returns the waits of complete answers for the first token.
-func (c ClassResult) FirstToken() Waits { return waits(c.first) }
+// FirstToken returns the times to first token of complete answers.
+func (c ClassResult) FirstToken() Percentiles { return percentiles(c.first) }
 
-// BetweenTokens returns the mean gaps between tokens of complete answers.
-func (c ClassResult) BetweenTokens() Waits { return waits(c.gap) }
+// BetweenTokens returns the times between tokens of complete answers, averaged over each answer.
+func (c ClassResult) BetweenTokens() Percentiles { return percentiles(c.gap) }
 
-// Whole returns the waits of complete answers for the last token.
-func (c ClassResult) Whole() Waits { return waits(c.total) }
+// Completion returns the times to the last token of complete answers.
+func (c ClassResult) Completion() Percentiles { return percentiles(c.total) }
 
-func waits(h *hdrhistogram.Histogram) Waits {
+func percentiles(h *hdrhistogram.Histogram) Percentiles {
 	at := func(q float64) time.Duration {
 		return time.Duration(h.ValueAtQuantile(q)) * time.Millisecond
 	}
-	return Waits{P50: at(50), P95: at(95), P99: at(99)}
+	return Percentiles{P50: at(50), P95: at(95), P99: at(99)}
 }
 
-// String returns one line for a class.
+// String returns a one-line summary.
 func (c ClassResult) String() string {
 	f, g := c.FirstToken(), c.BetweenTokens()
 	return fmt.Sprintf("%s: offered=%d on-time=%d slow=%d late=%d refused=%v first=%v/%v/%v gap=%v/%v/%v",
 		c.Class.Name, c.Offered, c.OnTime, c.Slow, c.Late, c.Refused, f.P50, f.P95, f.P99, g.P50, g.P95, g.P99)
 }
 
-func (r *Result) complete(j *job, now clock.Time) {
+func (r *Result) recordComplete(j *job, now clock.Time) {
 	q := j.req
 	q.ended = true
 	c := &r.Classes[q.Class]
-	first := j.first.Sub(q.Arrive)
-	gap := now.Sub(j.first) / time.Duration(max(q.Output-1, 1))
+	first := j.firstTokenAt.Sub(q.Arrive)
+	gap := now.Sub(j.firstTokenAt) / time.Duration(max(q.Output-1, 1))
 	record(c.first, first)
 	record(c.gap, gap)
 	record(c.total, now.Sub(q.Arrive))
@@ -143,22 +143,22 @@
 	_ = h.RecordValue(min(max(d.Milliseconds(), 1), maxWaitMillis))
 }
 
-func (r *Result) late(q *Request) {
+func (r *Result) recordLate(q *Request) {
 	q.ended = true
 	r.Classes[q.Class].Late++
 }
 
-func (r *Result) refused(q *Request, by code.Code) {
+func (r *Result) recordRefused(q *Request, by code.Code) {
 	if q.ended {
 		return
 	}
 	q.ended = true
 	c := &r.Classes[q.Class]
-	i, found := slices.BinarySearchFunc(c.Refused, by, func(x Refusals, k code.Code) int {
+	i, found := slices.BinarySearchFunc(c.Refused, by, func(x RefusalCount, k code.Code) int {
 		return cmp.Compare(x.Code, k)
 	})
 	if !found {
-		c.Refused = slices.Insert(c.Refused, i, Refusals{Code: by})
+		c.Refused = slices.Insert(c.Refused, i, RefusalCount{Code: by})
 	}
 	c.Refused[i].Count++
 }
--- a/internal/policy/loadtest/run.go
+++ b/internal/policy/loadtest/run.go
@@ -8,53 +8,52 @@
 	"fescuestand/internal/clock"
 )
 
-// tick is how often an entry looks at its queue when nothing happens.
-const tick = 50 * time.Millisecond
+// pumpInterval is how often an entry checks its queue in the absence of other events.
+const pumpInterval = 50 * time.Millisecond
 
-// tail is how long a run goes on after the last arrival, so that every request
-// ends.
-const tail = 2 * time.Minute
+// drainTime is how long a run continues after the last arrival, so that every request ends.
+const drainTime = 2 * time.Minute
 
 type run struct {
-	cfg     Config
-	loop    Loop
-	rng     *rand.Rand
-	engines []*engine
-	entries []*entry
-	plans   []*planner
-	result  Result
-	demand  demand
-	silent  []bool // whose reports are lost
+	cfg        Config
+	loop       Loop
+	rng        *rand.Rand
+	engines    []*engine
+	entries    []*entry
+	planners   []*planner
+	result     Result
+	demand     demand
+	reportsOff []bool // by engine: a NoReports fault is active
 }
 
 type planner struct {
-	plan RolePlanner
-	view View
+	planner RolePlanner
+	view    View
 }
 
-// Run plays the workload of one seed against the policy.
+// Run simulates the workload of one seed under policy p.
 func Run(cfg Config, p Policy, seed uint64) Result {
 	requests := cfg.Workload.Generate(seed, cfg.Model, cfg.Engines)
-	r := &run{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 2)), silent: make([]bool, cfg.Engines)}
+	r := &run{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 2)), reportsOff: make([]bool, cfg.Engines)}
 	r.result = newResult(cfg, p.Name, seed)
 	r.demand = newDemand(cfg)
-	r.start(p, seed, requests)
+	r.setUp(p, seed, requests)
 	for _, q := range requests {
 		r.loop.At(q.Arrive, func() { r.arrive(q) })
 	}
 	for _, f := range cfg.Faults {
-		r.loop.At(clock.Time(f.At), func() { r.fault(f, true) })
-		r.loop.At(clock.Time(f.At+f.Duration), func() { r.fault(f, false) })
+		r.loop.At(clock.Time(f.At), func() { r.setFault(f, true) })
+		r.loop.At(clock.Time(f.At+f.Duration), func() { r.setFault(f, false) })
 	}
-	r.loop.Every(time.Second, r.measure)
-	r.loop.Every(cfg.PlanInterval, r.plan)
-	r.loop.Run(clock.Time(cfg.Workload.Length + tail))
+	r.loop.Every(time.Second, r.publishArrivals)
+	r.loop.Every(cfg.PlanInterval, r.runPlanners)
+	r.loop.Run(clock.Time(cfg.Workload.Length + drainTime))
 	return r.result
 }
 
-func (r *run) start(p Policy, seed uint64, requests []*Request) {
+func (r *run) setUp(p Policy, seed uint64, requests []*Request) {
 	for i, role := range p.Split(r.cfg.Engines) {
-		e := &engine{id: i, zone: i % r.cfg.Zones, role: role, model: r.cfg.Model, slow: 1, run: r}
+		e := &engine{id: i, zone: i % r.cfg.Zones, role: role, model: r.cfg.Model, slowdown: 1, run: r}
 		r.engines = append(r.engines, e)
 		phase := time.Duration(r.rng.Int64N(int64(r.cfg.Reports.Interval)))
 		r.loop.After(phase, func() {
@@ -66,14 +65,14 @@
 		s := Setup{Config: r.cfg, Index: i, Seed: seed, Requests: requests}
 		n := &entry{run: r, view: r.newView(), admission: p.Admission(s), routing: p.Routing(s)}
 		r.entries = append(r.entries, n)
-		r.loop.Every(tick, n.pump)
+		r.loop.Every(pumpInterval, n.dispatchQueued)
 	}
 	if p.Roles == nil {
 		return
 	}
 	for i := range r.cfg.Planners {
 		s := Setup{Config: r.cfg, Index: i, Seed: seed, Requests: requests}
-		r.plans = append(r.plans, &planner{plan: p.Roles(s), view: r.newView()})
+		r.planners = append(r.planners, &planner{planner: p.Roles(s), view: r.newView()})
 	}
 }
 
@@ -85,132 +84,136 @@
 	return v
 }
 
-// views calls fn on every process's view of engine e.
-func (r *run) views(e int, fn func(*EngineView)) {
+// eachView calls fn on the view that each process has of engine e.
+func (r *run) eachView(e int, fn func(*EngineView)) {
 	for _, n := range r.entries {
 		fn(&n.view.Engines[e])
 	}
-	for _, p := range r.plans {
+	for _, p := range r.planners {
 		fn(&p.view.Engines[e])
 	}
 }
 
-// report sends an engine's load to every process, each with a lag of its own.
+// report sends an engine's load report to every process. For each of them it is delayed by a
+// random lag, or lost.
 func (r *run) report(e *engine) {
-	if e.state == Down || r.silent[e.id] {
+	if e.state == Down || r.reportsOff[e.id] {
 		return
 	}
-	rep := Report{
-		MeasuredAt:    r.loop.Now(),
-		Role:          e.role,
-		State:         e.state,
-		Running:       len(e.running),
-		WaitingDecode:         len(e.ready),
-		WaitingPrefill:       len(e.waiting),
+	report := Report{
+		MeasuredAt:           r.loop.Now(),
+		Role:                 e.role,
+		State:                e.state,
+		Running:              len(e.running),
+		WaitingDecode:        len(e.decodeQueue),
+		WaitingPrefill:       len(e.prefillQueue),
 		WaitingPrefillTokens: e.waitingTokens(),
-		StepTime:      e.stepTime,
-		CachedPrefixes:        slices.Clone(e.cache.held),
+		StepTime:             e.stepTime,
+		CachedPrefixes:       slices.Clone(e.cache.entries),
 	}
-	r.views(e.id, func(v *EngineView) {
+	r.eachView(e.id, func(v *EngineView) {
 		if r.rng.Float64() < r.cfg.Reports.LossRate {
 			return
 		}
-		lag := r.cfg.Reports.MinLag
-		if spread := r.cfg.Reports.MaxLag - lag; spread > 0 {
-			lag += time.Duration(r.rng.Int64N(int64(spread)))
+		delay := r.cfg.Reports.MinLag
+		if spread := r.cfg.Reports.MaxLag - delay; spread > 0 {
+			delay += time.Duration(r.rng.Int64N(int64(spread)))
 		}
-		r.loop.After(lag, func() { v.received(rep) })
+		r.loop.After(delay, func() { v.applyReport(report) })
 	})
 }
 
-// told spreads an engine's ordered role and state.
-func (r *run) told(e *engine) {
+// announceState sends an engine's ordered role and state to every process.
+func (r *run) announceState(e *engine) {
 	role, state := e.role, e.state
-	r.loop.After(orderDelay, func() {
-		r.views(e.id, func(v *EngineView) { v.Role, v.State = role, state })
+	r.loop.After(stateChangeDelay, func() {
+		r.eachView(e.id, func(v *EngineView) { v.Role, v.State = role, state })
 	})
 }
 
 func (r *run) arrive(q *Request) {
-	r.demand.arrived(q)
+	r.demand.recordArrival(q)
 	r.result.Classes[q.Class].Offered++
 	r.entries[q.Caller%len(r.entries)].arrive(q)
 }
 
-// plan lets each planner act. An engine takes one order at a time.
-func (r *run) plan() {
+// runPlanners carries out the role changes that the planners order.
+func (r *run) runPlanners() {
 	if r.loop.Now() > clock.Time(r.cfg.Workload.Length) {
 		return
 	}
-	for _, p := range r.plans {
-		for _, c := range p.plan.Plan(r.loop.Now(), &p.view) {
-			r.change(r.engines[c.Engine], c.To)
+	for _, p := range r.planners {
+		for _, c := range p.planner.Plan(r.loop.Now(), &p.view) {
+			r.startRoleChange(r.engines[c.Engine], c.To)
 		}
 	}
 }
 
-func (r *run) change(e *engine, to Role) {
+// startRoleChange drains e for a role change. An engine that is already changing its role ignores
+// the order.
+func (r *run) startRoleChange(e *engine, to Role) {
 	if e.state != Ready || e.role == to {
 		return
 	}
 	r.result.RoleChanges++
 	e.state = Draining
-	e.to = to
-	r.told(e)
-	for _, j := range e.takeWaiting() {
-		r.giveBack(j)
+	e.nextRole = to
+	r.announceState(e)
+	for _, j := range e.removeUnstarted() {
+		r.returnToEntry(j)
 	}
-	e.step()
+	e.startStep()
 }
 
-// drained begins the change itself once a draining engine has no work left.
-func (r *run) drained(e *engine) {
-	if e.state != Draining || len(e.waiting) > 0 {
+// engineIdle is called when e has no work to start. If e is draining, its role change begins.
+func (r *run) engineIdle(e *engine) {
+	if e.state != Draining || len(e.prefillQueue) > 0 {
 		return
 	}
 	e.state = Changing
-	r.told(e)
+	r.announceState(e)
 	epoch := e.epoch
 	r.loop.After(e.model.RoleChangeTime, func() {
 		if epoch != e.epoch {
 			return
 		}
-		e.role = e.to
+		e.role = e.nextRole
 		e.state = Ready
 		e.cache = prefixCache{}
-		r.told(e)
+		r.announceState(e)
 	})
 }
 
-func (r *run) fault(f Fault, on bool) {
+func (r *run) setFault(f Fault, on bool) {
 	for _, id := range f.Engines {
 		e := r.engines[id]
 		switch f.Kind {
 		case Crash:
-			r.crash(e, on)
+			r.setCrashed(e, on)
 		case Slow:
-			e.slow = 1
+			e.slowdown = 1
 			if on {
-				e.slow = f.Factor
+				e.slowdown = f.Factor
 			}
 		case FailFast:
-			e.fails = on
+			e.failFast = on
 		case NoReports:
-			r.silent[id] = on
+			r.reportsOff[id] = on
 		}
 	}
 }
 
-func (r *run) crash(e *engine, on bool) {
+// setCrashed starts or ends a crash of e. The entries get errors for the lost jobs.
+func (r *run) setCrashed(e *engine, on bool) {
 	if !on {
 		e.state = Ready
 		return
 	}
 	for _, j := range e.crash() {
-		r.loop.After(netDelay, func() { r.failed(j) })
+		r.loop.After(oneWayDelay, func() { r.attemptFailed(j) })
 	}
-	r.loop.After(detectDelay, func() {
-		for _, p := range r.plans {
+	r.loop.After(crashDetectionDelay, func() {
+		for _, p := range r.planners {
 			if e.state == Down {
 				p.view.Engines[e.id].State = Down
 			}
@@ -218,18 +221,18 @@
 	})
 }
 
-// measure closes one second of the arrival counts and tells the planners a
-// second later.
-func (r *run) measure() {
-	a := r.demand.close(r.loop.Now())
+// publishArrivals takes the arrivals of the last second and delivers them to the entries and
+// planners one second later.
+func (r *run) publishArrivals() {
+	a := r.demand.closeSecond(r.loop.Now())
 	r.loop.After(time.Second, func() {
 		for _, n := range r.entries {
 			n.view.Arrivals = a
 		}
-		for _, p := range r.plans {
+		for _, p := range r.planners {
 			p.view.Arrivals = a
 		}
 	})
 }
 
-func (r *run) counted(prompt, computed int) { r.demand.prefilled(prompt, computed) }
+func (r *run) recordPrefill(prompt, uncached int) { r.demand.recordPrefill(prompt, uncached) }
