--- a/internal/policy/policytest/doc.go
+++ b/internal/policy/policytest/doc.go
@@ -1,6 +1,5 @@
-// Package policytest joins the admission and routing policies to the load
-// test's event loop, as an entry joins them to callers and endpoints.
+// Package policytest connects the admission and routing policies to the simulation of package
+// loadtest, as an entry connects them to callers and endpoints.
 //
-// It is test support: measurements and failure tests of several packages run
-// the same joint.
+// It is test support: measurements and fault tests of several packages share this adapter.
 package policytest
--- a/internal/policy/policytest/entry.go
+++ b/internal/policy/policytest/entry.go
@@ -14,19 +14,19 @@
 
 const (
 	pool = "drafts"
-	// sweepEvery is the interval of the control goroutine's health check.
-	sweepEvery = 250 * time.Millisecond
+	// sweepInterval is the interval at which the router checks the health of its endpoints.
+	sweepInterval = 250 * time.Millisecond
 )
 
-// Options changes the configurations that the policies get; nil leaves them.
+// Options names a policy and changes its configurations. A nil function changes nothing.
 type Options struct {
 	Name  string
 	Admit func(*admit.Config)
 	Route func(*route.Config)
 }
 
-// Policy returns admission and routing as an entry wires them. It serves one
-// run only.
+// Policy returns admission and routing connected as in an entry, with the roles that split
+// assigns. Each run needs a new Policy.
 func Policy(o Options, split func(int) []loadtest.Role) loadtest.Policy {
 	entries := map[int]*entry{}
 	return loadtest.Policy{
@@ -40,25 +40,26 @@
 	}
 }
 
-// entry holds one entry's policies and what they need to know of its requests.
+// entry holds the policies of one entry and the state of its requests.
 type entry struct {
-	cfg     loadtest.Config
-	rcfg    route.Config
-	router  *route.Router
-	queue   *admit.Queue
-	reqs    map[int]*request
-	seen    []engineSeen
-	swept   clock.Time
-	started bool
-	slots   int
+	cfg         loadtest.Config
+	routeConfig route.Config
+	router      *route.Router
+	queue       *admit.Queue
+	requests    map[int]*request // by request ID
+	engines     []engineState
+	lastSweep   clock.Time
+	published   bool // the router has a table
+	slots       int  // capacity last set in the queue
 }
 
-type engineSeen struct {
-	role   loadtest.Role
-	state  loadtest.State
-	report clock.Time
-	cached map[uint64]int
-	seq    uint64
+// engineState is the state of one engine that the router has been given.
+type engineState struct {
+	role         loadtest.Role
+	state        loadtest.State
+	reportedAt   clock.Time     // when the latest report was measured
+	cachedBlocks map[uint64]int // number by key
+	eventSeq     uint64         // of the latest cache event
 }
 
 type request struct {
@@ -66,12 +67,12 @@
 	route    route.Request
 	dispatch route.Dispatch
 	sentAt   clock.Time // first dispatch
-	decoding bool       // has been prefilled and handed over
+	decoding bool       // prefilled, and a decode engine has been picked before
 }
 
 func newEntry(o Options, s loadtest.Setup, mixed bool) *entry {
 	m := s.Config.Model
-	rc := route.Config{
+	routeCfg := route.Config{
 		Zone:          fmt.Sprint("zone-", s.Index%s.Config.Zones),
 		Entries:       s.Config.Entries,
 		StrictRoles:   true,
@@ -81,13 +82,13 @@
 		KVSetup:       m.KVTransferSetup,
 	}
 	if mixed {
-		// The loop tells the first token of a mixed engine only with the end.
-		rc.Stuck = time.Minute
+		// The simulation reports the first token of a mixed engine only when the answer ends.
+		routeCfg.Stuck = time.Minute
 	}
 	if o.Route != nil {
-		o.Route(&rc)
+		o.Route(&routeCfg)
 	}
-	ac := admit.Config{
+	admitCfg := admit.Config{
 		Rates: admit.Rates{
 			Base:            5 * time.Millisecond,
 			PrefillPerToken: perToken(m.PrefillRate),
@@ -96,18 +97,18 @@
 		},
 	}
 	for _, c := range s.Config.Workload.Classes() {
-		ac.Classes = append(ac.Classes, admit.Class{Name: c.Name, Output: c.Output, Weight: 1, Urgent: c.Priority > 0})
+		admitCfg.Classes = append(admitCfg.Classes, admit.Class{Name: c.Name, Output: c.Output, Weight: 1, Urgent: c.Priority > 0})
 	}
 	if o.Admit != nil {
-		o.Admit(&ac)
+		o.Admit(&admitCfg)
 	}
 	return &entry{
-		cfg:    s.Config,
-		rcfg:   rc,
-		router: route.NewRouter(rc, s.Seed<<8|uint64(s.Index)),
-		queue:  admit.NewQueue(ac),
-		reqs:   map[int]*request{},
-		seen:   make([]engineSeen, s.Config.Engines),
+		cfg:         s.Config,
+		routeConfig: routeCfg,
+		router:      route.NewRouter(routeCfg, s.Seed<<8|uint64(s.Index)),
+		queue:       admit.NewQueue(admitCfg),
+		requests:    map[int]*request{},
+		engines:     make([]engineState, s.Config.Engines),
 	}
 }
 
@@ -115,99 +116,102 @@
 
 func engineName(id int) string { return fmt.Sprintf("engine-%03d", id) }
 
-// sync brings what the view has learned to the policies.
-func (e *entry) sync(now clock.Time, v *loadtest.View) {
-	e.publish(now, v)
+// syncView passes changes of the view to the router.
+func (e *entry) syncView(now clock.Time, v *loadtest.View) {
+	e.publishTable(now, v)
 	for i := range v.Engines {
-		e.report(&v.Engines[i])
+		e.applyReport(&v.Engines[i])
 	}
-	if now.Sub(e.swept) >= sweepEvery {
-		e.swept = now
+	if now.Sub(e.lastSweep) >= sweepInterval {
+		e.lastSweep = now
 		e.router.Sweep(now)
 	}
 }
 
-func (e *entry) publish(now clock.Time, v *loadtest.View) {
-	changed := !e.started
+// publishTable publishes a new table if an engine's role or state has changed.
+func (e *entry) publishTable(now clock.Time, v *loadtest.View) {
+	changed := !e.published
 	for i := range v.Engines {
-		g, s := &v.Engines[i], &e.seen[i]
-		if g.Role != s.role || g.State != s.state {
-			s.role, s.state, changed = g.Role, g.State, true
+		view, s := &v.Engines[i], &e.engines[i]
+		if view.Role != s.role || view.State != s.state {
+			s.role, s.state, changed = view.Role, view.State, true
 		}
 	}
 	if !changed {
 		return
 	}
-	e.started = true
-	eps := make([]route.Endpoint, len(v.Engines))
+	e.published = true
+	endpoints := make([]route.Endpoint, len(v.Engines))
 	for i := range v.Engines {
-		eps[i] = e.endpoint(&v.Engines[i])
+		endpoints[i] = e.endpoint(&v.Engines[i])
 	}
-	e.router.Publish(now, route.NewTable(e.rcfg, eps))
+	e.router.Publish(now, route.NewTable(e.routeConfig, endpoints))
 }
 
-func (e *entry) endpoint(g *loadtest.EngineView) route.Endpoint {
+func (e *entry) endpoint(view *loadtest.EngineView) route.Endpoint {
 	m := e.cfg.Model
 	states := [...]route.State{route.Open, route.Draining, route.Away, route.Away}
 	roles := [...]route.Role{route.Mixed, route.Prefill, route.Decode}
 	return route.Endpoint{
-		Name:            engineName(g.ID),
+		Name:            engineName(view.ID),
 		Pool:            pool,
-		Zone:            fmt.Sprint("zone-", g.Zone),
-		Role:            roles[g.Role],
-		State:           states[g.State],
+		Zone:            fmt.Sprint("zone-", view.Zone),
+		Role:            roles[view.Role],
+		State:           states[view.State],
 		Slots:           m.MaxBatch,
 		PrefillPerToken: perToken(m.PrefillRate),
 		DecodePerToken:  m.StepBase,
 	}
 }
 
-func (e *entry) report(g *loadtest.EngineView) {
-	s := &e.seen[g.ID]
-	if g.Report.MeasuredAt == s.report {
+// applyReport passes an engine's load report and cache changes to the router, once each.
+func (e *entry) applyReport(view *loadtest.EngineView) {
+	s := &e.engines[view.ID]
+	if view.Report.MeasuredAt == s.reportedAt {
 		return
 	}
-	s.report = g.Report.MeasuredAt
-	e.router.Report(engineName(g.ID), route.Report{
-		TakenAt:       g.Report.MeasuredAt,
-		Running:       g.Report.Running + g.Report.WaitingDecode,
-		Waiting:       g.Report.WaitingPrefill,
-		PrefillTokens: g.Report.WaitingPrefillTokens,
-		Step:          g.Report.StepTime,
+	s.reportedAt = view.Report.MeasuredAt
+	e.router.Report(engineName(view.ID), route.Report{
+		TakenAt:       view.Report.MeasuredAt,
+		Running:       view.Report.Running + view.Report.WaitingDecode,
+		Waiting:       view.Report.WaitingPrefill,
+		PrefillTokens: view.Report.WaitingPrefillTokens,
+		Step:          view.Report.StepTime,
 	})
-	e.router.CacheEvents(engineName(g.ID), s.events(g.Report.CachedPrefixes))
+	e.router.CacheEvents(engineName(view.ID), s.cacheEvents(view.Report.CachedPrefixes))
 }
 
-// events turns the difference between two lists of cached prefixes to events.
-func (s *engineSeen) events(cached []loadtest.CachedPrefix) []route.CacheEvent {
+// cacheEvents returns the difference between the previous and the current cached prefixes as
+// events.
+func (s *engineState) cacheEvents(cached []loadtest.CachedPrefix) []route.CacheEvent {
 	var out []route.CacheEvent
-	now := make(map[uint64]int, len(cached))
+	current := make(map[uint64]int, len(cached))
 	for _, c := range cached {
-		now[c.Key] = c.Blocks
-		for i := s.cached[c.Key]; i < c.Blocks; i++ {
-			s.seq++
-			out = append(out, route.CacheEvent{Seq: s.seq, Piece: piece(c.Key, i)})
+		current[c.Key] = c.Blocks
+		for i := s.cachedBlocks[c.Key]; i < c.Blocks; i++ {
+			s.eventSeq++
+			out = append(out, route.CacheEvent{Seq: s.eventSeq, Piece: blockHash(c.Key, i)})
 		}
 	}
-	for key, n := range s.cached {
-		for i := now[key]; i < n; i++ {
-			s.seq++
-			out = append(out, route.CacheEvent{Seq: s.seq, Piece: piece(key, i), Evicted: true})
+	for key, n := range s.cachedBlocks {
+		for i := current[key]; i < n; i++ {
+			s.eventSeq++
+			out = append(out, route.CacheEvent{Seq: s.eventSeq, Piece: blockHash(key, i), Evicted: true})
 		}
 	}
-	s.cached = now
+	s.cachedBlocks = current
 	return out
 }
 
-// piece is a stand-in for the hash of one piece of a key's prefix.
-func piece(key uint64, i int) uint64 {
+// blockHash returns a value that replaces the hash of block i of a key's prefix.
+func blockHash(key uint64, i int) uint64 {
 	return (key+1)*0x9e3779b97f4a7c15 + uint64(i)*0xbf58476d1ce4e5b9
 }
 
 type admission struct{ *entry }
 
 func (a admission) Arrive(now clock.Time, q *loadtest.Request, v *loadtest.View) code.Code {
-	a.sync(now, v)
+	a.syncView(now, v)
 	c := a.cfg.Workload.Classes()[q.Class]
 	r := &request{admit: admit.Request{
 		Class:     c.Name,
@@ -220,13 +224,13 @@
 	}}
 	r.route = route.Request{Pool: pool, Prompt: q.Prompt, Urgent: c.Priority > 0}
 	for i := range q.Prefix / loadtest.BlockTokens {
-		r.route.Pieces = append(r.route.Pieces, piece(q.Key, i))
+		r.route.Pieces = append(r.route.Pieces, blockHash(q.Key, i))
 	}
 	q.Priority = c.Priority
-	a.reqs[q.ID] = r
+	a.requests[q.ID] = r
 	verdict := a.queue.Offer(now, &r.admit)
 	if verdict.Err != nil {
-		delete(a.reqs, q.ID)
+		delete(a.requests, q.ID)
 		return verdict.Err.Code
 	}
 	return code.OK
@@ -236,7 +240,7 @@
 	if a.queue.Len() == 0 && a.slots > 0 {
 		return nil, nil
 	}
-	a.sync(now, v)
+	a.syncView(now, v)
 	c := a.router.Capacity(now, pool, route.Artifact{}, "")
 	var dropped []admit.Refusal
 	if c.Slots != a.slots {
@@ -248,7 +252,7 @@
 	for _, d := range append(dropped, late...) {
 		q := d.Request.Value.(*loadtest.Request)
 		refused = append(refused, loadtest.Refusal{Request: q, Code: d.Err.Code})
-		delete(a.reqs, q.ID)
+		delete(a.requests, q.ID)
 	}
 	if r == nil {
 		return nil, refused
@@ -257,7 +261,7 @@
 }
 
 func (a admission) Requeue(now clock.Time, q *loadtest.Request) {
-	r := a.reqs[q.ID]
+	r := a.requests[q.ID]
 	if r == nil {
 		return
 	}
@@ -266,7 +270,7 @@
 }
 
 func (a admission) Done(now clock.Time, o loadtest.Outcome) {
-	r := a.reqs[o.Request.ID]
+	r := a.requests[o.Request.ID]
 	if r == nil {
 		return
 	}
@@ -279,6 +283,6 @@
 	if o.OK || now >= o.Request.Deadline {
 		a.queue.Done(now, &r.admit, m)
 		a.queue.Cancel(&r.admit)
-		delete(a.reqs, o.Request.ID)
+		delete(a.requests, o.Request.ID)
 	}
 }
--- a/internal/policy/policytest/routing.go
+++ b/internal/policy/policytest/routing.go
@@ -9,8 +9,8 @@
 type routing struct{ *entry }
 
 func (n routing) Pick(now clock.Time, q *loadtest.Request, v *loadtest.View) (int, bool) {
-	n.sync(now, v)
-	r := n.reqs[q.ID]
+	n.syncView(now, v)
+	r := n.requests[q.ID]
 	d, err := n.router.Pick(now, &r.route)
 	if err != nil {
 		return 0, false
@@ -20,39 +20,41 @@
 	if d.Prefill.Endpoint != nil {
 		first = d.Prefill
 	}
-	return n.send(now, r, first), true
+	return n.recordSend(now, r, first), true
 }
 
-// PickDecode ends the prefill and sends the rest on.
+// PickDecode ends the dispatch for prefill and picks a decode engine.
 func (n routing) PickDecode(now clock.Time, q *loadtest.Request, _ int, v *loadtest.View) (int, bool) {
-	n.sync(now, v)
-	r := n.reqs[q.ID]
-	// The loop asks again if the engine chosen before didn't take the KV cache.
-	last := route.Success
+	n.syncView(now, v)
+	r := n.requests[q.ID]
+	// If the decode engine picked before didn't accept the KV cache, the simulation calls
+	// PickDecode again.
+	previousOutcome := route.Success
 	if r.decoding {
-		last = route.Failed
+		previousOutcome = route.Failed
 	}
 	r.decoding = true
-	n.router.Done(now, &r.dispatch, last)
-	moved := r.route
-	moved.Prefilled = true
-	d, err := n.router.Pick(now, &moved)
+	n.router.Done(now, &r.dispatch, previousOutcome)
+	decodeRequest := r.route
+	decodeRequest.Prefilled = true
+	d, err := n.router.Pick(now, &decodeRequest)
 	if err != nil {
 		return 0, false
 	}
-	id := n.send(now, r, d.Dispatch)
-	// The loop doesn't tell the first token of this part.
+	id := n.recordSend(now, r, d.Dispatch)
+	// The simulation doesn't report the first token of the decode dispatch.
 	n.router.FirstToken(now.Add(d.Transfer), &r.dispatch)
 	return id, true
 }
 
-func (n routing) send(now clock.Time, r *request, d route.Dispatch) int {
+// recordSend records the dispatch of r and returns the engine's number.
+func (n routing) recordSend(now clock.Time, r *request, d route.Dispatch) int {
 	r.dispatch = d
 	if r.sentAt == 0 {
 		r.sentAt = now
 	}
 	n.router.Sent(now, &r.dispatch)
-	for i := range n.seen {
+	for i := range n.engines {
 		if engineName(i) == d.Endpoint.Name {
 			return i
 		}
@@ -61,7 +63,7 @@
 }
 
 func (n routing) Done(now clock.Time, o loadtest.Outcome) {
-	r := n.reqs[o.Request.ID]
+	r := n.requests[o.Request.ID]
 	if r == nil {
 		return
 	}
