--- a/internal/policy/roles/adapter_test.go
+++ b/internal/policy/roles/adapter_test.go
@@ -35,8 +35,8 @@
 	record  func(clock.Time, roles.Change, roles.HoldReason)
 }
 
-func rolePlanner(cfg roles.Config, record func(clock.Time, roles.Change, roles.HoldReason)) func(loadtest.Setup) loadtest.RolePlan {
-	return func(s loadtest.Setup) loadtest.RolePlan {
+func rolePlanner(cfg roles.Config, record func(clock.Time, roles.Change, roles.HoldReason)) func(loadtest.Setup) loadtest.RolePlanner {
+	return func(s loadtest.Setup) loadtest.RolePlanner {
 		if s.Config.Planners > 1 {
 			cfg.Self = processName(s.Index)
 		}
@@ -46,16 +46,16 @@
 
 func processName(i int) string { return fmt.Sprintf("control-%d", i) }
 
-func (p *planAdapter) Plan(now clock.Time, v *loadtest.View) []loadtest.Change {
+func (p *planAdapter) Plan(now clock.Time, v *loadtest.View) []loadtest.RoleChange {
 	p.planner.Observe(now, p.snapshot(now, v))
-	var out []loadtest.Change
+	var out []loadtest.RoleChange
 	for _, c := range p.planner.Plan(now) {
 		if p.record != nil {
 			p.record(now, c, p.planner.HoldReason())
 		}
 		var id int
 		_, _ = fmt.Sscanf(c.Engine, "runner-%d", &id)
-		out = append(out, loadtest.Change{Engine: id, To: loadtest.Role(c.To)})
+		out = append(out, loadtest.RoleChange{Engine: id, To: loadtest.Role(c.To)})
 	}
 	return out
 }
@@ -66,7 +66,7 @@
 	s := roles.Snapshot{
 		Pool: p.setup.Config.Name,
 		Arrivals: roles.Arrivals{
-			PromptTokensPerSec: a.PromptTokens * a.ComputedShare,
+			PromptTokensPerSec: a.PromptTokens * a.UncachedShare,
 			OutputTokensPerSec: a.OutputTokens,
 			Age:                now.Sub(a.At),
 		},
@@ -82,8 +82,8 @@
 	e := roles.Engine{
 		Name:      fmt.Sprintf("runner-%03d", v.ID),
 		Role:      roles.Role(v.Role),
-		Running:   v.Report.Running + v.Report.Ready,
-		Queued:    v.Report.Waiting,
+		Running:   v.Report.Running + v.Report.WaitingDecode,
+		Queued:    v.Report.WaitingPrefill,
 		ReportAge: -1,
 	}
 	if p.setup.Config.Planners > 1 {
@@ -92,8 +92,8 @@
 	if v.Report.MeasuredAt > 0 {
 		e.ReportAge = now.Sub(v.Report.MeasuredAt)
 	}
-	for _, c := range v.Report.Cached {
-		e.CachedBlocks += c.Pieces
+	for _, c := range v.Report.CachedPrefixes {
+		e.CachedBlocks += c.Blocks
 	}
 	switch v.State {
 	case loadtest.Draining, loadtest.Changing:
--- a/internal/policy/roles/measure_test.go
+++ b/internal/policy/roles/measure_test.go
@@ -23,7 +23,7 @@
 
 // entryPolicy returns a policy with the admission and routing of this project and
 // the given split and role plan.
-func entryPolicy(name string, split func(int) []loadtest.Role, plan func(loadtest.Setup) loadtest.RolePlan) func() loadtest.Policy {
+func entryPolicy(name string, split func(int) []loadtest.Role, plan func(loadtest.Setup) loadtest.RolePlanner) func() loadtest.Policy {
 	return func() loadtest.Policy {
 		p := policytest.Policy(policytest.Options{Name: name}, split)
 		p.Roles = plan
@@ -47,7 +47,7 @@
 }
 
 func (r row) work() stat {
-	return newStat(r.results, func(x loadtest.Result) float64 { return x.Work(r.model) })
+	return newStat(r.results, func(x loadtest.Result) float64 { return x.WeightedGoodput(r.model) })
 }
 
 func (r row) changes() stat {
@@ -168,8 +168,8 @@
 func (r row) lateAndRefused() string {
 	percent := func(count func(loadtest.ClassResult) int) float64 {
 		return newStat(r.results, func(x loadtest.Result) float64 {
-			offered := x.Count(func(c loadtest.ClassResult) int { return c.Offered })
-			return 100 * float64(x.Count(count)) / float64(offered)
+			offered := x.Sum(func(c loadtest.ClassResult) int { return c.Offered })
+			return 100 * float64(x.Sum(count)) / float64(offered)
 		}).median
 	}
 	late := percent(func(c loadtest.ClassResult) int { return c.Late + c.Slow })
@@ -314,16 +314,16 @@
 	return []faultScenario{
 		scenario("none", func(*loadtest.Config) {}),
 		scenario("burst 10x for 5 s", func(c *loadtest.Config) {
-			c.Workload.Bursts = []loadtest.Burst{{At: at, For: 5 * time.Second, Factor: 10}}
+			c.Workload.Bursts = []loadtest.Burst{{At: at, Duration: 5 * time.Second, Factor: 10}}
 		}),
 		scenario("reports 10 s late", func(c *loadtest.Config) {
 			c.Reports.MinLag, c.Reports.MaxLag = 8*time.Second, 10*time.Second
 		}),
-		scenario("half of the reports missing", func(c *loadtest.Config) { c.Reports.Missing = 0.5 }),
-		scenario("no reports for 2 min", fault(loadtest.Fault{Kind: loadtest.NoReports, At: at, For: 2 * time.Minute, Engines: all})),
-		scenario("a third of the engines lost", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, For: time.Hour, Engines: third})),
-		scenario("a zone gone for 1 min", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, For: time.Minute, Engines: zone})),
-		scenario("one engine 10x slow", fault(loadtest.Fault{Kind: loadtest.Slow, At: at, For: time.Hour, Engines: []int{1}, Factor: 10})),
-		scenario("a hot caller, half of all", func(c *loadtest.Config) { c.Workload.HotCaller = 0.5 }),
+		scenario("half of the reports missing", func(c *loadtest.Config) { c.Reports.LossRate = 0.5 }),
+		scenario("no reports for 2 min", fault(loadtest.Fault{Kind: loadtest.NoReports, At: at, Duration: 2 * time.Minute, Engines: all})),
+		scenario("a third of the engines lost", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, Duration: time.Hour, Engines: third})),
+		scenario("a zone gone for 1 min", fault(loadtest.Fault{Kind: loadtest.Crash, At: at, Duration: time.Minute, Engines: zone})),
+		scenario("one engine 10x slow", fault(loadtest.Fault{Kind: loadtest.Slow, At: at, Duration: time.Hour, Engines: []int{1}, Factor: 10})),
+		scenario("a hot caller, half of all", func(c *loadtest.Config) { c.Workload.HotCallerShare = 0.5 }),
 	}
 }
--- a/internal/policy/roles/reports_test.go
+++ b/internal/policy/roles/reports_test.go
@@ -16,7 +16,7 @@
 			for _, interval := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
 				cfg := d.cfg
 				cfg.Workload.Length = 10 * time.Minute
-				cfg.Reports.Every = interval
+				cfg.Reports.Interval = interval
 				r := runPolicies(cfg, entryPolicy("ours", initialSplit, rolePlanner(d.sheet, nil)))
 				r[0].name = fmt.Sprintf("reports each %s", interval)
 				rows = append(rows, r...)
--- a/internal/policy/roles/swing_test.go
+++ b/internal/policy/roles/swing_test.go
@@ -13,7 +13,7 @@
 
 // leastLoadedPolicy routes to the least loaded engine and refuses nothing, so that
 // only the role plan differs between runs.
-func leastLoadedPolicy(plan func(loadtest.Setup) loadtest.RolePlan) loadtest.Policy {
+func leastLoadedPolicy(plan func(loadtest.Setup) loadtest.RolePlanner) loadtest.Policy {
 	p := loadtest.LeastLoaded(loadtest.SplitShare(0.5))
 	p.Roles = plan
 	return p
@@ -54,7 +54,7 @@
 	static := loadtest.Run(cfg, leastLoadedPolicy(nil), 1)
 	moving := loadtest.Run(cfg, leastLoadedPolicy(rolePlanner(lakeshoreSheet(), nil)), 1)
 	t.Logf("static %.2f/s, %.2f engines; moving %.2f/s, %.2f engines, %d changes",
-		static.Goodput(), static.Work(cfg.Model), moving.Goodput(), moving.Work(cfg.Model), moving.RoleChanges)
+		static.Goodput(), static.WeightedGoodput(cfg.Model), moving.Goodput(), moving.WeightedGoodput(cfg.Model), moving.RoleChanges)
 	assert.Assert(t, moving.Goodput() > 1.3*static.Goodput())
 	assert.Assert(t, moving.RoleChanges <= 20)
 }
@@ -94,8 +94,8 @@
 	on, a := run(roles.Guards{})
 	off, b := run(roles.Guards{NoSettleTime: true})
 	t.Logf("on: %d changes, %.2f/s; off: %d changes, %.2f/s", a.RoleChanges, a.Goodput(), b.RoleChanges, b.Goodput())
-	assert.Equal(t, on.pairsWithin(cfg.Model.ChangeTime), 0)
-	assert.Assert(t, off.pairsWithin(cfg.Model.ChangeTime) > 0, "guard disabled")
+	assert.Equal(t, on.pairsWithin(cfg.Model.RoleChangeTime), 0)
+	assert.Assert(t, off.pairsWithin(cfg.Model.RoleChangeTime) > 0, "guard disabled")
 }
 
 // Guards against changes without data: every load report is lost for a minute in the
@@ -107,7 +107,7 @@
 	for i := range all {
 		all[i] = i
 	}
-	cfg.Faults = []loadtest.Fault{{Kind: loadtest.NoReports, At: from, For: d, Engines: all}}
+	cfg.Faults = []loadtest.Fault{{Kind: loadtest.NoReports, At: from, Duration: d, Engines: all}}
 	var o orderLog
 	loadtest.Run(cfg, leastLoadedPolicy(rolePlanner(lakeshoreSheet(), o.record)), 1)
 	for _, at := range o.at {
@@ -125,7 +125,7 @@
 	cfg.Workload.Load = 0.5
 	cfg.Workload.Swing = loadtest.Swing{Low: 0.3, High: 0.3, Hold: time.Minute, Ramp: time.Minute}
 	from := 4 * time.Minute
-	cfg.Faults = []loadtest.Fault{{Kind: loadtest.Crash, At: from, For: time.Minute, Engines: []int{0, 3, 6, 9}}}
+	cfg.Faults = []loadtest.Fault{{Kind: loadtest.Crash, At: from, Duration: time.Minute, Engines: []int{0, 3, 6, 9}}}
 	var o orderLog
 	moving := loadtest.Run(cfg, leastLoadedPolicy(rolePlanner(lakeshoreSheet(), o.record)), 1)
 	static := loadtest.Run(cfg, leastLoadedPolicy(nil), 1)
@@ -145,7 +145,7 @@
 	cfg.Workload.Length = 5 * time.Minute
 	cfg.Workload.Load = 0.6
 	cfg.Workload.Swing = loadtest.Swing{Low: 0.4}
-	cfg.Faults = []loadtest.Fault{{Kind: loadtest.Crash, At: 3 * time.Minute, For: 20 * time.Second, Engines: []int{0, 1, 2, 3}}}
+	cfg.Faults = []loadtest.Fault{{Kind: loadtest.Crash, At: 3 * time.Minute, Duration: 20 * time.Second, Engines: []int{0, 1, 2, 3}}}
 	run := func(g roles.Guards) loadtest.Result {
 		sheet := lakeshoreSheet()
 		sheet.MaxUnavailableShare = 0.5
@@ -176,7 +176,7 @@
 	cfg.Workload.Length = 4 * time.Minute
 	cfg.Workload.Load = 0.6
 	cfg.Workload.Swing = loadtest.Swing{Low: 0.35}
-	cfg.Workload.Bursts = []loadtest.Burst{{At: 2 * time.Minute, For: 5 * time.Second, Factor: 10}}
+	cfg.Workload.Bursts = []loadtest.Burst{{At: 2 * time.Minute, Duration: 5 * time.Second, Factor: 10}}
 	r := loadtest.Run(cfg, entryPolicy("ours", initialSplit, rolePlanner(cevallosSheet(), nil))(), 1)
 	t.Logf("burst: %d changes", r.RoleChanges)
 	assert.Assert(t, r.RoleChanges <= 1)
@@ -192,7 +192,7 @@
 	moving := loadtest.Run(cfg, entryPolicy("ours", initialSplit, rolePlanner(lakeshoreSheet(), nil))(), 1)
 	fixed := loadtest.Run(cfg, entryPolicy("fixed roles", initialSplit, nil)(), 1)
 	t.Logf("moving %.2f/s, %.2f engines; fixed %.2f/s, %.2f engines",
-		moving.Goodput(), moving.Work(cfg.Model), fixed.Goodput(), fixed.Work(cfg.Model))
+		moving.Goodput(), moving.WeightedGoodput(cfg.Model), fixed.Goodput(), fixed.WeightedGoodput(cfg.Model))
 	assert.Assert(t, moving.Goodput() > 0.97*fixed.Goodput())
-	assert.Assert(t, moving.Work(cfg.Model) > 1.05*fixed.Work(cfg.Model))
+	assert.Assert(t, moving.WeightedGoodput(cfg.Model) > 1.05*fixed.WeightedGoodput(cfg.Model))
 }
