--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -90,13 +90,13 @@
 		return
 	}
 	if s.beat.settled == 0 {
-		s.beat.settled = now.Add(s.opt.Renew)
+		s.beat.settled = now.Add(s.opt.RenewInterval)
 	}
 	if s.beat.flying {
 		return
 	}
 	s.beat.live = s.live(now)
-	every := s.opt.Renew
+	every := s.opt.RenewInterval
 	if !s.auth.Holds(s.opt.Incarnation) {
 		every = s.opt.Lease.IdleRenew(every)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -47,7 +47,7 @@
 	Incarnation string
 
 	Lease lease.Options
-	Renew time.Duration
+	RenewInterval time.Duration
 	Times reconcile.Times
 	// CheckpointEvery is the longest age of the stream's newest checkpoint.
 	CheckpointEvery time.Duration
@@ -84,7 +84,7 @@
 	o.Lease.TTL = cmp.Or(o.Lease.TTL, defaultTTL)
 	o.Lease.Margin = cmp.Or(o.Lease.Margin, defaultMargin)
 	o.Lease.MaxFlight = cmp.Or(o.Lease.MaxFlight, defaultMaxFlight)
-	o.Renew = cmp.Or(o.Renew, defaultRenew)
+	o.RenewInterval = cmp.Or(o.RenewInterval, defaultRenew)
 	o.CheckpointEvery = cmp.Or(o.CheckpointEvery, defaultCheckpoint)
 	if o.Times == (reconcile.Times{}) {
 		o.Times = reconcile.DefaultTimes()
