--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -48,7 +48,7 @@
 
 	Lease lease.Options
 	RenewInterval time.Duration
-	Times reconcile.Times
+	ChangeTimeouts reconcile.Times
 	// CheckpointEvery is the longest age of the stream's newest checkpoint.
 	CheckpointEvery time.Duration
 	// OpenEngine replaces the registry of engine drivers in tests.
@@ -86,10 +86,10 @@
 	o.Lease.MaxFlight = cmp.Or(o.Lease.MaxFlight, defaultMaxFlight)
 	o.RenewInterval = cmp.Or(o.RenewInterval, defaultRenew)
 	o.CheckpointEvery = cmp.Or(o.CheckpointEvery, defaultCheckpoint)
-	if o.Times == (reconcile.Times{}) {
-		o.Times = reconcile.DefaultTimes()
+	if o.ChangeTimeouts == (reconcile.Times{}) {
+		o.ChangeTimeouts = reconcile.DefaultTimes()
 	}
-	o.Times.MaxFlight = o.Lease.MaxFlight
+	o.ChangeTimeouts.MaxFlight = o.Lease.MaxFlight
 	if o.Clock == nil {
 		o.Clock = clock.Boot{}
 	}
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -248,7 +248,7 @@
 		in.MayLoad = s.mayLoad(now, load)
 	}
 	before := e.step
-	e.step = e.memory.Next(in, &s.opt.Times)
+	e.step = e.memory.Next(in, &s.opt.ChangeTimeouts)
 	if e.step.Phase != before.Phase {
 		s.count(p)
 	}
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -67,7 +67,7 @@
 		entry.Info("order")
 	}
 	if r.token == r.e.token {
-		r.e.memory.Sent(s.now(), certain, &s.opt.Times)
+		r.e.memory.Sent(s.now(), certain, &s.opt.ChangeTimeouts)
 	}
 }
 
