--- a/internal/control/checkpoint.go
+++ b/internal/control/checkpoint.go
@@ -40,7 +40,7 @@
 	if s.ckpt.writing {
 		return
 	}
-	if !p.Read || !logclient.CheckpointDue(s.auth.LastCheckpoint(), p, time.Now(), s.opt.CheckpointEvery) {
+	if !p.Read || !logclient.CheckpointDue(s.auth.LastCheckpoint(), p, time.Now(), s.opt.CheckpointInterval) {
 		s.ckpt.waiting = false
 		return
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -49,8 +49,8 @@
 	Lease lease.Options
 	RenewInterval time.Duration
 	ChangeTimeouts reconcile.Times
-	// CheckpointEvery is the longest age of the stream's newest checkpoint.
-	CheckpointEvery time.Duration
+	// CheckpointInterval is the longest age of the stream's newest checkpoint.
+	CheckpointInterval time.Duration
 	// OpenEngine replaces the registry of engine drivers in tests.
 	OpenEngine func(name string, t driver.Target) (driver.Engine, error)
 
@@ -85,7 +85,7 @@
 	o.Lease.Margin = cmp.Or(o.Lease.Margin, defaultMargin)
 	o.Lease.MaxFlight = cmp.Or(o.Lease.MaxFlight, defaultMaxFlight)
 	o.RenewInterval = cmp.Or(o.RenewInterval, defaultRenew)
-	o.CheckpointEvery = cmp.Or(o.CheckpointEvery, defaultCheckpoint)
+	o.CheckpointInterval = cmp.Or(o.CheckpointInterval, defaultCheckpoint)
 	if o.ChangeTimeouts == (reconcile.Times{}) {
 		o.ChangeTimeouts = reconcile.DefaultTimes()
 	}
