--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Times returns the times of planned changes.
-func (s *Settings) Times() reconcile.Times {
+// ChangeTimeouts returns the times of planned changes.
+func (s *Settings) ChangeTimeouts() reconcile.Times {
 	return reconcile.Times{
 		MaxFlight: s.Lease.MaxFlight.D(),
 		MoveAfter: s.Changes.MoveAfter.D(),
