--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -15,55 +15,55 @@
 type event interface{ apply(s *state) }
 
 // appended carries items of the control stream and when they were read.
-type appended struct {
-	items []logclient.Item
-	at    clock.Time
+type streamItems struct {
+	items  []logclient.Item
+	readAt clock.Time
 }
 
-func (e appended) apply(s *state) {
-	known := s.auth.Established()
-	touched := map[string]bool{}
+func (e streamItems) apply(s *state) {
+	established := s.authority.Established()
+	affected := map[string]bool{}
 	for i := range e.items {
 		it := &e.items[i]
-		s.auth.Apply(*it)
-		s.tracker.Read(e.at, it)
-		known = known && !it.Gap
-		s.touch(touched, it)
+		s.authority.Apply(*it)
+		s.tracker.Read(e.readAt, it)
+		established = established && !it.Gap
+		s.addAffectedScopes(affected, it)
 	}
-	if !known {
-		s.takeAuthority()
+	if !established {
+		s.updateAllLeases()
 		return
 	}
-	for name := range touched {
-		s.takeScope(name)
+	for name := range affected {
+		s.updateLease(name)
 	}
 }
 
 // touch notes the scopes whose lease an item may change here. Renewals of
 // others change none, so that their cost doesn't grow with the fleet.
-func (s *state) touch(touched map[string]bool, it *logclient.Item) {
+func (s *state) addAffectedScopes(affected map[string]bool, it *logclient.Item) {
 	for _, c := range it.Entry.GetClaim().GetScopes() {
-		touched[c.Scope] = true
+		affected[c.Scope] = true
 	}
 	for _, name := range it.Entry.GetRelease().GetScopes() {
-		touched[name] = true
+		affected[name] = true
 	}
 	if it.Writer == s.opt.Incarnation {
-		for _, name := range s.auth.HeldBy(it.Writer) {
-			touched[name] = true
+		for _, name := range s.authority.HeldBy(it.Writer) {
+			affected[name] = true
 		}
 	}
 }
 
 // beat is this process's renewal: one append carries the heartbeat with the
 // claims and releases of the moment.
-type beat struct {
-	last    clock.Time // when the newest append was begun
-	flying  bool
-	settled clock.Time // claims begin then: the other processes are known
-	live    []string   // VMs whose control processes can take engines
+type renewalState struct {
+	lastAppend     clock.Time // when the newest append was begun
+	appending      bool
+	claimNotBefore clock.Time // claims begin then: the other processes are known
+	liveVMs        []string   // VMs whose control processes can take engines
 	// prefers is since when another process is preferred for a pool.
-	prefers map[string]preference
+	preferences map[string]preference
 }
 
 type preference struct {
@@ -75,33 +75,33 @@
 	// stableAfter is how long another process must be preferred before a pool
 	// is handed over to it: a process that starts and fails at once must not
 	// move engines twice.
-	stableAfter = 5 * time.Second
+	minPreferenceAge = 5 * time.Second
 	// rankDelay is how long each less preferred process waits longer with its
 	// claim, so that usually one claims.
-	rankDelay = time.Second
+	claimDelayPerRank = time.Second
 )
 
 // renewLeases appends a heartbeat when it is time, or when there is something
 // to claim or to hand over.
 func (s *state) renewLeases() {
 	now := s.now()
-	if !s.auth.Established() || !s.opt.Log.Progress(s.opt.Stream).Read {
-		s.beat.settled = 0
+	if !s.authority.Established() || !s.opt.Log.Progress(s.opt.Stream).Read {
+		s.renewal.claimNotBefore = 0
 		return
 	}
-	if s.beat.settled == 0 {
-		s.beat.settled = now.Add(s.opt.RenewInterval)
+	if s.renewal.claimNotBefore == 0 {
+		s.renewal.claimNotBefore = now.Add(s.opt.RenewInterval)
 	}
-	if s.beat.flying {
+	if s.renewal.appending {
 		return
 	}
-	s.beat.live = s.live(now)
-	every := s.opt.RenewInterval
-	if !s.auth.Holds(s.opt.Incarnation) {
-		every = s.opt.Lease.IdleRenew(every)
+	s.renewal.liveVMs = s.liveVMs(now)
+	interval := s.opt.RenewInterval
+	if !s.authority.Holds(s.opt.Incarnation) {
+		interval = s.opt.Lease.IdleRenew(interval)
 	}
-	due := s.beat.last == 0 || now.Sub(s.beat.last) >= every
-	claims, releases := s.wantedClaims(now), s.wantedReleases(now)
+	due := s.renewal.lastAppend == 0 || now.Sub(s.renewal.lastAppend) >= interval
+	claims, releases := s.scopesToClaim(now), s.scopesToRelease(now)
 	if !due && len(claims)+len(releases) == 0 {
 		return
 	}
@@ -114,32 +114,32 @@
 	}
 	leaving := s.c.leaving.Load()
 	entries = append(entries, &wire.Entry{Kind: &wire.Entry_Heartbeat{Heartbeat: &wire.Heartbeat{Leaving: leaving}}})
-	s.beat.flying, s.beat.last = true, now
+	s.renewal.appending, s.renewal.lastAppend = true, now
 	s.c.wg.Go(func() {
 		r, err := s.opt.Log.Append(s.ctx, s.opt.Stream, entries...)
-		_ = s.c.postWait(s.ctx, beaten{at: now, seq: r.Seq, released: releases, err: err})
+		_ = s.c.postBlocking(s.ctx, renewalAppended{startedAt: now, seq: r.Seq, released: releases, err: err})
 	})
 }
 
 // beaten ends an append of the control stream.
-type beaten struct {
-	at       clock.Time
-	seq      uint64
-	released []string
-	err      error
+type renewalAppended struct {
+	startedAt clock.Time
+	seq       uint64
+	released  []string
+	err       error
 }
 
-func (e beaten) apply(s *state) {
-	s.beat.flying = false
+func (e renewalAppended) apply(s *state) {
+	s.renewal.appending = false
 	for _, name := range e.released {
-		if one := s.engines[name]; one != nil {
-			one.releaseSeq = &e.seq
+		if released := s.engines[name]; released != nil {
+			released.releaseSeq = &e.seq
 		}
 	}
 	if e.seq > 0 {
-		s.tracker.Sent(e.seq, e.at)
-		for _, name := range s.auth.HeldBy(s.opt.Incarnation) {
-			s.takeScope(name)
+		s.tracker.Sent(e.seq, e.startedAt)
+		for _, name := range s.authority.HeldBy(s.opt.Incarnation) {
+			s.updateLease(name)
 		}
 	}
 	if e.err != nil {
@@ -148,28 +148,30 @@
 }
 
 // takeAuthority brings every engine's lease in line with the stream.
-func (s *state) takeAuthority() {
+func (s *state) updateAllLeases() {
 	for name := range s.engines {
-		s.takeScope(name)
+		s.updateLease(name)
 	}
-	s.countHeld()
+	s.updateHeldCount()
 }
 
 // takeScope brings one engine's lease in line with the stream.
-func (s *state) takeScope(name string) {
+func (s *state) updateLease(name string) {
 	e := s.engines[name]
 	if e == nil {
 		return
 	}
-	h, _ := s.auth.Get(name)
+	h, _ := s.authority.Get(name)
 	until := s.tracker.Until(h)
-	if h.Writer != s.opt.Incarnation || h.Released || !s.auth.Established() {
+	if h.Writer != s.opt.Incarnation || h.Released || !s.authority.Established() {
 		until, h.Token = 0, 0
 	}
 	s.setLease(e, h.Token, until)
 }
 
-func (s *state) countHeld() { s.c.left.Store(int64(len(s.auth.HeldBy(s.opt.Incarnation)))) }
+func (s *state) updateHeldCount() {
+	s.c.heldScopes.Store(int64(len(s.authority.HeldBy(s.opt.Incarnation))))
+}
 
 // setLease notes an engine's token and the end of its lease. A new token is a
 // takeover: what was known of the engine before doesn't count any more.
@@ -179,49 +181,49 @@
 // the sending of a release on the engine counts as given up, until a later
 // renewal in the log proves that the release is dead.
 func (s *state) setLease(e *engine, token uint64, until clock.Time) {
-	if e.releasing != 0 && token == e.releasing {
+	if e.releasingToken != 0 && token == e.releasingToken {
 		if e.releaseSeq != nil && s.tracker.Overtaken(*e.releaseSeq) {
-			e.releasing = 0
+			e.releasingToken = 0
 		} else {
 			token, until = 0, 0
 		}
 	}
-	e.lease.Store(&leaseEnd{token: token, until: until})
+	e.lease.Store(&leaseState{token: token, until: until})
 	if token == e.token {
 		return
 	}
 	log.WithField("engine", e.name).WithField("token", token).WithField("was", e.token).Info("authority")
 	now := s.now()
-	e.takeover(now, token, now.Add(s.orderWait(e)))
+	e.resetForToken(now, token, now.Add(s.firstOrderDelay(e)))
 }
 
 // orderWait is how long the first order waits after a takeover. At an engine
 // that ignores tokens the claim has waited already. At one that checks them
 // the former holder's last order is refused only once a newer one came, so
 // the first order of the new holder must not cross it.
-func (s *state) orderWait(e *engine) time.Duration {
-	if !e.spec.ChecksFence && !e.returned {
+func (s *state) firstOrderDelay(e *engine) time.Duration {
+	if !e.spec.ChecksFence && !e.readded {
 		return 0
 	}
 	return s.opt.Lease.MaxFlight
 }
 
 // wantedClaims returns the scopes that this process should claim now.
-func (s *state) wantedClaims(now clock.Time) []*wire.ScopeClaim {
-	if s.c.leaving.Load() || now < s.beat.settled || s.beat.last == 0 {
+func (s *state) scopesToClaim(now clock.Time) []*wire.ScopeClaim {
+	if s.c.leaving.Load() || now < s.renewal.claimNotBefore || s.renewal.lastAppend == 0 {
 		return nil
 	}
 	var out []*wire.ScopeClaim
 	for name, e := range s.engines {
-		h, _ := s.auth.Get(name)
+		h, _ := s.authority.Get(name)
 		if h.Writer == s.opt.Incarnation && !h.Released || !s.tracker.Claimable(now, h, !e.spec.ChecksFence) {
-			e.claimable = 0
+			e.claimableSince = 0
 			continue
 		}
-		if e.claimable == 0 {
-			e.claimable = now
+		if e.claimableSince == 0 {
+			e.claimableSince = now
 		}
-		if rank := rankOf(s.opt.VM, e.pool, s.beat.live); now.Sub(e.claimable) >= time.Duration(rank)*rankDelay {
+		if rank := rankOf(s.opt.VM, e.pool, s.renewal.liveVMs); now.Sub(e.claimableSince) >= time.Duration(rank)*claimDelayPerRank {
 			out = append(out, &wire.ScopeClaim{Scope: name, SeenToken: h.Token, SeenRenewal: h.Renewal})
 		}
 	}
@@ -239,24 +241,24 @@
 // for. Only engines at rest are handed over, since whoever claims a released
 // engine doesn't wait; one that left the sheet counts as at rest once no order
 // can be on its way.
-func (s *state) wantedReleases(now clock.Time) []string {
+func (s *state) scopesToRelease(now clock.Time) []string {
 	var out []string
-	for _, name := range s.auth.HeldBy(s.opt.Incarnation) {
+	for _, name := range s.authority.HeldBy(s.opt.Incarnation) {
 		e := s.engines[name]
 		if e == nil {
-			if now.Sub(s.departed[name]) > s.opt.Lease.MaxFlight+orderTimeout {
+			if now.Sub(s.removedAt[name]) > s.opt.Lease.MaxFlight+orderTimeout {
 				out = append(out, name)
 			}
 			continue
 		}
-		h, _ := s.auth.Get(name)
-		if h.Token != e.releasing && e.memory.Idle() && !e.ordering && s.preferredElsewhere(now, e.pool) {
-			e.releasing, e.releaseSeq = h.Token, nil
+		h, _ := s.authority.Get(name)
+		if h.Token != e.releasingToken && e.reconciler.Idle() && !e.orderInFlight && s.shouldRelease(now, e.pool) {
+			e.releasingToken, e.releaseSeq = h.Token, nil
 			out = append(out, name)
 		}
 	}
 	for _, name := range out {
-		s.takeScope(name)
+		s.updateLease(name)
 	}
 	return out
 }
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -13,29 +13,29 @@
 )
 
 // owned is how many engines the measured process holds: 4,300 over 420 nodes.
-const owned = 10
+const benchHeldEngines = 10
 
 func benchState(b *testing.B, n int) *state {
 	b.Helper()
-	w := newWorld(&testing.T{}, n, true)
-	client := logclient.New(logclient.Options{Log: w.log, Writer: "self", VM: "vm"})
+	cl := newTestCluster(&testing.T{}, n, true)
+	client := logclient.New(logclient.Options{Log: cl.log, Writer: "self", VM: "vm"})
 	b.Cleanup(func() { _ = client.Close() })
 	c := New(Options{
-		Replica: w, Log: client, Peers: w, Clock: clock.Boot{}, Stream: "control", VM: "vm", Incarnation: "self",
+		Replica: cl, Log: client, Peers: cl, Clock: clock.Boot{}, Stream: "control", VM: "vm", Incarnation: "self",
 		OpenEngine: nil,
 	})
-	c.opt.OpenEngine = openFake(w)
+	c.opt.OpenEngine = openFake(cl)
 	ctx, cancel := context.WithCancel(b.Context())
 	b.Cleanup(cancel)
 	s := newState(ctx, c)
-	s.takeSheet()
+	s.applySheet()
 	for i := range n {
 		writer := "self"
-		if i >= owned {
-			writer = fmt.Sprintf("writer-%06d", i/owned)
+		if i >= benchHeldEngines {
+			writer = fmt.Sprintf("writer-%06d", i/benchHeldEngines)
 		}
 		claim := &wire.Claim{Scopes: []*wire.ScopeClaim{{Scope: fmt.Sprint("e", i)}}}
-		appended{[]logclient.Item{benchItem(uint64(i+1), writer, &wire.Entry{Kind: &wire.Entry_Claim{Claim: claim}})}, s.now()}.apply(s)
+		streamItems{[]logclient.Item{benchItem(uint64(i+1), writer, &wire.Entry{Kind: &wire.Entry_Claim{Claim: claim}})}, s.now()}.apply(s)
 	}
 	return s
 }
@@ -44,7 +44,7 @@
 	return fold.Item{Offset: offset, Seq: offset, Writer: writer, VM: "vm-" + writer, Entry: e}
 }
 
-func (s *state) drainEvents() {
+func (s *state) processEvents() {
 	for {
 		select {
 		case e := <-s.c.events:
@@ -70,7 +70,7 @@
 			for range b.N {
 				s.tick()
 				s.c.wg.Wait()
-				s.drainEvents()
+				s.processEvents()
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "heap-bytes/engine")
 		})
@@ -85,7 +85,7 @@
 			beat := &wire.Entry{Kind: &wire.Entry_Heartbeat{Heartbeat: &wire.Heartbeat{}}}
 			b.ResetTimer()
 			for i := range b.N {
-				appended{[]logclient.Item{benchItem(uint64(n+i+1), "writer-000001", beat)}, s.now()}.apply(s)
+				streamItems{[]logclient.Item{benchItem(uint64(n+i+1), "writer-000001", beat)}, s.now()}.apply(s)
 			}
 		})
 	}
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -16,17 +16,17 @@
 )
 
 // still is a copy of the shared state that never changes.
-type still struct{ view *replica.View }
+type staticReplica struct{ view *replica.View }
 
-func (s still) View() *replica.View           { return s.view }
-func (s still) Updated() <-chan struct{}      { return nil }
-func (s still) Contribute(func(*wire.Gossip)) {}
-func (s still) OnGossip(func(g *wire.Gossip)) {}
+func (s staticReplica) View() *replica.View           { return s.view }
+func (s staticReplica) Updated() <-chan struct{}      { return nil }
+func (s staticReplica) Contribute(func(*wire.Gossip)) {}
+func (s staticReplica) OnGossip(func(g *wire.Gossip)) {}
 
 // atRest returns the state of a process that holds a pool of n engines, all as
 // the sheet wants them, whose directives every one of the entries has
 // acknowledged.
-func atRest(n, entries int) *state {
+func newIdleState(n, entries int) *state {
 	view := &replica.View{Ready: true, Version: 1, Sheet: &sheet.Sheet{}}
 	pool := sheet.Pool{Name: "p", Model: "m", Version: "1", MaxAwayShare: 0.2}
 	for i := range n {
@@ -40,29 +40,29 @@
 			VM: driver.VM{Name: fmt.Sprintf("vm-%03d", i), Peer: "p"}, State: membership.Live, Incarnation: "1",
 		})
 	}
-	s := newState(context.Background(), New(Options{Replica: still{view}, VM: "vm-000", Incarnation: "1"}))
-	s.takeSheet()
+	s := newState(context.Background(), New(Options{Replica: staticReplica{view}, VM: "vm-000", Incarnation: "1"}))
+	s.applySheet()
 	claim := &wire.Claim{}
 	for _, name := range pool.Engines {
 		claim.Scopes = append(claim.Scopes, &wire.ScopeClaim{Scope: name})
 	}
-	s.auth.Apply(benchItem(1, "1", &wire.Entry{Kind: &wire.Entry_Claim{Claim: claim}}))
+	s.authority.Apply(benchItem(1, "1", &wire.Entry{Kind: &wire.Entry_Claim{Claim: claim}}))
 	for _, e := range s.engines {
-		s.holdAtRest(e, view.Members)
+		s.holdIdle(e, view.Members)
 	}
 	return s
 }
 
-func (s *state) holdAtRest(e *engine, members []membership.Member) {
-	e.token, e.known = 1, true
+func (s *state) holdIdle(e *engine, members []membership.Member) {
+	e.token, e.stateRead = 1, true
 	e.state = driver.EngineState{
 		Incarnation: "1", Role: driver.RoleMixed, Loaded: []driver.Loaded{{Model: "m", Version: "1"}},
 	}
-	e.readFrom, e.answered = s.now(), s.now()
-	s.renewDirective(e)
-	e.announced.whole = s.now()
+	e.readStart, e.readEnd = s.now(), s.now()
+	s.updateDirective(e)
+	e.announcement.allDrainedAt = s.now()
 	for i := range members {
-		e.announced.acks[members[i].Name] = ack{incarnation: members[i].Incarnation}
+		e.announcement.acks[members[i].Name] = ack{incarnation: members[i].Incarnation}
 	}
 }
 
@@ -72,13 +72,13 @@
 func BenchmarkTickAtRest(b *testing.B) {
 	for _, size := range []struct{ engines, entries int }{{12, 8}, {12, 40}, {36, 8}, {36, 40}, {120, 12}, {287, 420}} {
 		b.Run(fmt.Sprintf("engines=%d/entries=%d", size.engines, size.entries), func(b *testing.B) {
-			s := atRest(size.engines, size.entries)
+			s := newIdleState(size.engines, size.entries)
 			for b.Loop() {
 				s.reconcileAll()
-				s.announce()
+				s.sendDirectives()
 			}
-			b.ReportMetric(float64(b.Elapsed())/float64(b.N)*float64(time.Second/tickEvery)/float64(time.Second)*100, "%core")
-			assert.Equal(b, s.pools["p"].count.serving, size.engines)
+			b.ReportMetric(float64(b.Elapsed())/float64(b.N)*float64(time.Second/tickInterval)/float64(time.Second)*100, "%core")
+			assert.Equal(b, s.pools["p"].counts.serving, size.engines)
 		})
 	}
 }
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	chaosSeeds  = 10
-	chaosSteps  = 60
-	chaosFleet  = 5 // engines, every other one ignores tokens
-	chaosProcs  = 3
-	chaosSettle = 3 * time.Minute
+	chaosSeeds     = 10
+	chaosSteps     = 60
+	chaosEngines   = 5 // engines, every other one ignores tokens
+	chaosProcesses = 3
+	chaosSettle    = 3 * time.Minute
 	// maxUnguarded is how many seeds may pass before the test without its guard
 	// must have found a fault; the first ten usually do.
-	maxUnguarded = 60
+	maxUnguardedSeeds = 60
 )
 
 // Story: processes are killed and started again, cut off from the log, frozen
@@ -41,54 +41,54 @@
 }
 
 type chaos struct {
-	*world
-	rnd    *rand.Rand
+	*testCluster
+	rng    *rand.Rand
 	stalls []chan struct{}
 }
 
 func runChaos(t *testing.T, seed uint64) {
-	c := &chaos{world: newWorld(t, chaosFleet, true), rnd: rand.New(rand.NewPCG(seed, 7))}
-	c.change(func(s *sheet.Sheet) {
+	c := &chaos{testCluster: newTestCluster(t, chaosEngines, true), rng: rand.New(rand.NewPCG(seed, 7))}
+	c.changeSheet(func(s *sheet.Sheet) {
 		for i := range s.Engines {
 			s.Engines[i].ChecksFence = i%2 == 0
-			c.engines[s.Engines[i].Name].fences = i%2 == 0
+			c.engines[s.Engines[i].Name].checksFence = i%2 == 0
 		}
 	})
-	for i := range chaosProcs {
-		c.start(fmt.Sprint("vm", i))
+	for i := range chaosProcesses {
+		c.startProcess(fmt.Sprint("vm", i))
 	}
 	time.Sleep(10 * time.Second)
 	for range chaosSteps {
 		c.step()
-		time.Sleep(time.Duration(c.rnd.Int64N(int64(4 * time.Second))))
+		time.Sleep(time.Duration(c.rng.Int64N(int64(4 * time.Second))))
 	}
-	c.heal()
-	eventually(t, chaosSettle, "the fleet matches the sheet", c.matches)
+	c.clearFaults()
+	eventually(t, chaosSettle, "the fleet matches the sheet", c.matchesSheet)
 	c.close()
 }
 
 func (c *chaos) pickEngine() *fakeEngine {
-	return c.engines[fmt.Sprint("e", c.rnd.IntN(chaosFleet))]
+	return c.engines[fmt.Sprint("e", c.rng.IntN(chaosEngines))]
 }
 
-func (c *chaos) pickProc() (string, *proc) {
-	vm := fmt.Sprint("vm", c.rnd.IntN(chaosProcs))
-	return vm, c.controls[vm]
+func (c *chaos) pickProc() (string, *process) {
+	vm := fmt.Sprint("vm", c.rng.IntN(chaosProcesses))
+	return vm, c.processes[vm]
 }
 
 func (c *chaos) step() {
 	e := c.pickEngine()
 	vm, p := c.pickProc()
-	switch c.rnd.IntN(15) {
+	switch c.rng.IntN(15) {
 	case 0:
 		p.stop()
-		c.start(vm)
+		c.startProcess(vm)
 	case 1:
-		p.log.set(true)
+		p.log.setCut(true)
 	case 2:
-		p.log.set(false)
+		p.log.setCut(false)
 	case 3:
-		seq := c.rnd.Uint64()
+		seq := c.rng.Uint64()
 		c.log.SetFate(func(string, []byte) logtest.Fate {
 			seq = seq*6364136223846793005 + 1
 			return []logtest.Fate{logtest.Applied, logtest.Lost, logtest.Vanished, logtest.Postponed, logtest.Applied}[seq>>40%5]
@@ -98,67 +98,67 @@
 	case 5:
 		c.log.Release()
 	case 6:
-		e.with(func() { e.crashMid = true })
+		e.withLock(func() { e.crashDuringOrder = true })
 	case 7:
-		e.with(func() { e.lose = true })
+		e.withLock(func() { e.loseAnswer = true })
 	case 8:
 		stall := make(chan struct{})
-		e.with(func() { e.stall = stall })
+		e.withLock(func() { e.stallOrder = stall })
 		c.stalls = append(c.stalls, stall)
 	case 9:
-		c.wake()
+		c.resumeOrders()
 	case 10:
-		c.setDeaf(true)
+		c.setUnresponsive(true)
 	case 11:
-		c.setDeaf(false)
+		c.setUnresponsive(false)
 	case 12:
-		c.stream(e)
+		c.startStream(e)
 	case 13:
 		c.log.Expire("control", c.log.End("control"))
 	default:
-		role := []driver.Role{driver.RolePrefill, driver.RoleDecode, driver.RoleMixed}[c.rnd.IntN(3)]
-		c.change(fixRole(e.name, role))
+		role := []driver.Role{driver.RolePrefill, driver.RoleDecode, driver.RoleMixed}[c.rng.IntN(3)]
+		c.changeSheet(fixRole(e.name, role))
 	}
 }
 
 // stream starts a request of up to half a minute, if the entry thinks that the
 // engine takes work.
-func (c *chaos) stream(e *fakeEngine) {
+func (c *chaos) startStream(e *fakeEngine) {
 	if c.phase(e.name) != wire.Phase_PHASE_OPEN {
 		return
 	}
 	c.setInFlight(e.name, 1)
-	time.AfterFunc(time.Duration(c.rnd.Int64N(int64(30*time.Second))), func() { c.setInFlight(e.name, 0) })
+	time.AfterFunc(time.Duration(c.rng.Int64N(int64(30*time.Second))), func() { c.setInFlight(e.name, 0) })
 }
 
-func (w *world) setDeaf(deaf bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.deaf = deaf
+func (cl *testCluster) setUnresponsive(unresponsive bool) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.unresponsive = unresponsive
 }
 
 // wake lets the frozen orders go on.
-func (c *chaos) wake() {
+func (c *chaos) resumeOrders() {
 	for _, s := range c.stalls {
 		close(s)
 	}
 	c.stalls = nil
 }
 
-func (c *chaos) heal() {
-	for _, p := range c.controls {
-		p.log.set(false)
+func (c *chaos) clearFaults() {
+	for _, p := range c.processes {
+		p.log.setCut(false)
 	}
 	c.log.SetFate(nil)
 	c.log.Release()
-	c.wake()
-	c.setDeaf(false)
+	c.resumeOrders()
+	c.setUnresponsive(false)
 	for _, e := range c.engines {
-		e.with(func() { e.crashMid, e.lose, e.stall = false, false, nil })
+		e.withLock(func() { e.crashDuringOrder, e.loseAnswer, e.stallOrder = false, false, nil })
 	}
 }
 
-func (c *chaos) matches() bool {
+func (c *chaos) matchesSheet() bool {
 	for name, e := range c.engines {
 		want := c.View().Sheet.Pools[0].Roles.Fixed[name]
 		if want == "" {
@@ -175,29 +175,29 @@
 // The same faults with the permit off must be seen to break an engine: else
 // the test above shows nothing.
 func TestAnyFaultsTogetherNeedThePermit(t *testing.T) {
-	broken := 0
-	for seed := uint64(0); seed < maxUnguarded && broken == 0; seed++ {
+	violations := 0
+	for seed := uint64(0); seed < maxUnguardedSeeds && violations == 0; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			c := &chaos{world: newWorld(t, chaosFleet, false), rnd: rand.New(rand.NewPCG(seed, 7))}
-			off := func(o *Options) { o.noPermit = true }
-			for i := range chaosProcs {
-				c.start(fmt.Sprint("vm", i), off)
+			c := &chaos{testCluster: newTestCluster(t, chaosEngines, false), rng: rand.New(rand.NewPCG(seed, 7))}
+			unguarded := func(o *Options) { o.skipPermit = true }
+			for i := range chaosProcesses {
+				c.startProcess(fmt.Sprint("vm", i), unguarded)
 			}
 			time.Sleep(10 * time.Second)
 			for range chaosSteps {
 				c.step()
-				time.Sleep(time.Duration(c.rnd.Int64N(int64(4 * time.Second))))
+				time.Sleep(time.Duration(c.rng.Int64N(int64(4 * time.Second))))
 			}
-			c.heal()
+			c.clearFaults()
 			time.Sleep(time.Minute)
 			for _, e := range c.engines {
-				e.with(func() {
-					broken += len(e.bad)
-					e.bad = nil
+				e.withLock(func() {
+					violations += len(e.violations)
+					e.violations = nil
 				})
 			}
 			c.close()
 		})
 	}
-	assert.Assert(t, broken > 0)
+	assert.Assert(t, violations > 0)
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -46,48 +46,48 @@
 	VM          string
 	Incarnation string
 
-	Lease lease.Options
-	RenewInterval time.Duration
-	ChangeTimeouts reconcile.Times
+	Lease          lease.Options
+	RenewInterval  time.Duration
+	ChangeTimeouts reconcile.Timeouts
 	// CheckpointInterval is the longest age of the stream's newest checkpoint.
 	CheckpointInterval time.Duration
 	// OpenEngine replaces the registry of engine drivers in tests.
 	OpenEngine func(name string, t driver.Target) (driver.Engine, error)
 
-	noPermit bool // tests only: orders go out whatever the lease says
+	skipPermit bool // tests only: orders go out whatever the lease says
 }
 
 const (
-	defaultTTL       = 6 * time.Second
-	defaultMargin    = time.Second
-	defaultMaxFlight = 2 * time.Second
-	defaultRenew     = 2 * time.Second
+	defaultTTL           = 6 * time.Second
+	defaultMargin        = time.Second
+	defaultMaxFlight     = 2 * time.Second
+	defaultRenewInterval = 2 * time.Second
 	// defaultCheckpoint is far ahead of any retention that keeps a day's
 	// records.
-	defaultCheckpoint = 10 * time.Minute
+	defaultCheckpointInterval = 10 * time.Minute
 	// tickEvery paces the decisions. An engine's state is read at this pace
 	// while it changes, and every restTicks otherwise: ten engines read each
 	// second took 9.9 KB/s of the 6 KB/s that control may use.
-	tickEvery = 250 * time.Millisecond
-	restTicks = 10
+	tickInterval     = 250 * time.Millisecond
+	ticksPerIdleRead = 10
 	// idleTicks paces the role planner and the status report.
-	idleTicks = 4
+	ticksPerPlan = 4
 	// callTimeout bounds a read of an engine and a call to an entry.
 	callTimeout = time.Second
 	// orderTimeout bounds an order beside the driver's own bound.
 	orderTimeout = 3 * time.Second
 	// eventQueue holds the answers of a tick's reads and calls.
-	eventQueue = 1024
+	maxQueuedEvents = 1024
 )
 
 func (o *Options) defaults() {
 	o.Lease.TTL = cmp.Or(o.Lease.TTL, defaultTTL)
 	o.Lease.Margin = cmp.Or(o.Lease.Margin, defaultMargin)
 	o.Lease.MaxFlight = cmp.Or(o.Lease.MaxFlight, defaultMaxFlight)
-	o.RenewInterval = cmp.Or(o.RenewInterval, defaultRenew)
-	o.CheckpointInterval = cmp.Or(o.CheckpointInterval, defaultCheckpoint)
-	if o.ChangeTimeouts == (reconcile.Times{}) {
-		o.ChangeTimeouts = reconcile.DefaultTimes()
+	o.RenewInterval = cmp.Or(o.RenewInterval, defaultRenewInterval)
+	o.CheckpointInterval = cmp.Or(o.CheckpointInterval, defaultCheckpointInterval)
+	if o.ChangeTimeouts == (reconcile.Timeouts{}) {
+		o.ChangeTimeouts = reconcile.DefaultTimeouts()
 	}
 	o.ChangeTimeouts.MaxFlight = o.Lease.MaxFlight
 	if o.Clock == nil {
@@ -114,17 +114,17 @@
 	scopes     atomic.Pointer[[]status.Scope]
 	directives atomic.Pointer[[]*wire.Directive]
 	leaving    atomic.Bool
-	left       atomic.Int64 // scopes still held
+	heldScopes atomic.Int64 // scopes still held
 }
 
 // New returns the control of a process; it does nothing before Run.
 func New(opt Options) *Control {
 	opt.defaults()
-	c := &Control{opt: opt, events: make(chan event, eventQueue)}
+	c := &Control{opt: opt, events: make(chan event, maxQueuedEvents)}
 	c.scopes.Store(&[]status.Scope{})
 	c.directives.Store(&[]*wire.Directive{})
 	opt.Replica.Contribute(func(g *wire.Gossip) { g.Directives = append(g.Directives, *c.directives.Load()...) })
-	opt.Replica.OnGossip(c.hear)
+	opt.Replica.OnGossip(c.receiveLoad)
 	return c
 }
 
@@ -135,24 +135,24 @@
 func (c *Control) Scopes() []status.Scope { return *c.scopes.Load() }
 
 // Left implements kernel.Leftover.
-func (c *Control) Left() int { return int(c.left.Load()) }
+func (c *Control) Left() int { return int(c.heldScopes.Load()) }
 
 // Drain implements kernel.Drainer: it begins no change, finishes those that
 // have begun, and hands every engine over.
 func (c *Control) Drain(ctx context.Context) error {
 	c.leaving.Store(true)
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	quiet := 0
-	for quiet < idleTicks {
+	quietTicks := 0
+	for quietTicks < ticksPerPlan {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
 		}
-		quiet++
-		if c.left.Load() > 0 {
-			quiet = 0
+		quietTicks++
+		if c.heldScopes.Load() > 0 {
+			quietTicks = 0
 		}
 	}
 	return nil
@@ -162,24 +162,24 @@
 func (c *Control) Run(ctx context.Context) error {
 	defer c.wg.Wait()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return c.own(ctx) })
+	group.Go(func() error { return c.runOwner(ctx) })
 	group.Go(func() error {
 		return c.opt.Log.Tail(ctx, c.opt.Stream, 1, func(items []logclient.Item) error {
-			return c.postWait(ctx, appended{items, c.opt.Clock.Now()})
+			return c.postBlocking(ctx, streamItems{items, c.opt.Clock.Now()})
 		})
 	})
 	return group.Wait()
 }
 
 // own is the loop of the owner goroutine.
-func (c *Control) own(ctx context.Context) error {
+func (c *Control) runOwner(ctx context.Context) error {
 	s := newState(ctx, c)
 	defer s.closeEngines()
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		updated := c.opt.Replica.Updated()
-		s.takeSheet()
+		s.applySheet()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -194,7 +194,7 @@
 
 // post hands over an event that comes again; it is dropped if the owner is
 // far behind.
-func (c *Control) post(e event) {
+func (c *Control) tryPost(e event) {
 	select {
 	case c.events <- e:
 	default:
@@ -202,7 +202,7 @@
 }
 
 // postWait hands over an event that must not be lost.
-func (c *Control) postWait(ctx context.Context, e event) error {
+func (c *Control) postBlocking(ctx context.Context, e event) error {
 	select {
 	case c.events <- e:
 		return nil
@@ -213,31 +213,31 @@
 
 // state is what the owner goroutine holds.
 type state struct {
-	ctx     context.Context
-	c       *Control
-	opt     *Options
-	auth    *fold.Authority
-	tracker *lease.Tracker
-	sheet   uint64 // version of the sheet that engines and pools follow
-	engines map[string]*engine
-	pools   map[string]*pool
+	ctx          context.Context
+	c            *Control
+	opt          *Options
+	authority    *fold.Authority
+	tracker      *lease.Tracker
+	sheetVersion uint64 // version of the sheet that engines and pools follow
+	engines      map[string]*engine
+	pools        map[string]*pool
 	// departed is when engines that are still held left the sheet.
-	departed map[string]clock.Time
-	beat     beat
-	ckpt     checkpointer
-	loads    map[string]poolLoads // entry VM to what it measured
-	pacer    reconcile.LoadPacer
-	weights  weightStore
-	ticks    int
+	removedAt map[string]clock.Time
+	renewal   renewalState
+	ckpt      checkpointState
+	loads     map[string]entryTotals // entry VM to what it measured
+	loadPacer reconcile.LoadPacer
+	weights   weightStoreState
+	ticks     int
 }
 
 func newState(ctx context.Context, c *Control) *state {
 	now := c.opt.Clock.Now()
 	return &state{
-		ctx: ctx, c: c, opt: &c.opt, auth: fold.NewAuthority(1),
+		ctx: ctx, c: c, opt: &c.opt, authority: fold.NewAuthority(1),
 		tracker: lease.NewTracker(c.opt.Lease, c.opt.Incarnation, now),
-		engines: map[string]*engine{}, pools: map[string]*pool{}, loads: map[string]poolLoads{},
-		departed: map[string]clock.Time{}, beat: beat{prefers: map[string]preference{}},
+		engines: map[string]*engine{}, pools: map[string]*pool{}, loads: map[string]entryTotals{},
+		removedAt: map[string]clock.Time{}, renewal: renewalState{preferences: map[string]preference{}},
 	}
 }
 
@@ -247,13 +247,13 @@
 func (s *state) tick() {
 	s.ticks++
 	s.renewLeases()
-	s.plan()
+	s.planPools()
 	s.reconcileAll()
 	s.readEngines()
-	s.announce()
+	s.sendDirectives()
 	s.checkpoint()
-	s.countHeld()
-	if s.ticks%idleTicks == 0 {
-		s.publish()
+	s.updateHeldCount()
+	if s.ticks%ticksPerPlan == 0 {
+		s.publishStatus()
 	}
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-func (w *world) role(engine string) driver.Role {
-	st, _ := w.engines[engine].State(w.t.Context())
+func (cl *testCluster) role(engine string) driver.Role {
+	st, _ := cl.engines[engine].State(cl.t.Context())
 	if st.Changing {
 		return ""
 	}
@@ -48,22 +48,22 @@
 
 func TestOneProcessTakesThePoolAndFollowsTheSheet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, true)
-		defer w.close()
+		cl := newTestCluster(t, 4, true)
+		defer cl.close()
 		for i := range 3 {
-			w.start(fmt.Sprint("vm", i))
+			cl.startProcess(fmt.Sprint("vm", i))
 		}
-		p := w.controls["vm0"]
+		p := cl.processes["vm0"]
 		eventually(t, 10*time.Second, "one holder", func() bool {
 			h := p.holders()
 			return len(h) == 1 && h[""] == 0
 		})
-		w.change(fixRole("e1", driver.RolePrefill))
-		eventually(t, 10*time.Second, "role", func() bool { return w.role("e1") == driver.RolePrefill })
-		eventually(t, 5*time.Second, "open", func() bool { return w.phase("e1") == wire.Phase_PHASE_OPEN })
-		w.change(func(s *sheet.Sheet) { s.Pools[0].Version = "2" })
+		cl.changeSheet(fixRole("e1", driver.RolePrefill))
+		eventually(t, 10*time.Second, "role", func() bool { return cl.role("e1") == driver.RolePrefill })
+		eventually(t, 5*time.Second, "open", func() bool { return cl.phase("e1") == wire.Phase_PHASE_OPEN })
+		cl.changeSheet(func(s *sheet.Sheet) { s.Pools[0].Version = "2" })
 		eventually(t, time.Minute, "version 2 everywhere", func() bool {
-			for _, e := range w.engines {
+			for _, e := range cl.engines {
 				st, _ := e.State(t.Context())
 				if len(st.Loaded) != 1 || st.Loaded[0].Version != "2" {
 					return false
@@ -71,7 +71,7 @@
 			}
 			return true
 		})
-		assert.Equal(t, w.maxAway, 1, "max_away_share of four engines")
+		assert.Equal(t, cl.maxUnavailable, 1, "max_away_share of four engines")
 	})
 }
 
@@ -80,18 +80,18 @@
 // order goes; if they don't end in time the change is put off.
 func TestPlannedChangeCutsNoStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 2, true)
-		defer w.close()
-		w.start("vm0")
-		w.setInFlight("e0", 3)
+		cl := newTestCluster(t, 2, true)
+		defer cl.close()
+		cl.startProcess("vm0")
+		cl.setInFlight("e0", 3)
 		time.Sleep(10 * time.Second)
-		w.change(fixRole("e0", driver.RoleDecode))
-		eventually(t, 5*time.Second, "drain", func() bool { return w.phase("e0") == wire.Phase_PHASE_DRAIN })
-		eventually(t, 15*time.Second, "move", func() bool { return w.phase("e0") == wire.Phase_PHASE_MOVE })
-		eventually(t, 3*time.Minute, "put off", func() bool { return w.phase("e0") == wire.Phase_PHASE_OPEN })
-		assert.Equal(t, len(w.engines["e0"].ordersTaken()), 0)
-		w.setInFlight("e0", 0)
-		eventually(t, time.Minute, "role", func() bool { return w.role("e0") == driver.RoleDecode })
+		cl.changeSheet(fixRole("e0", driver.RoleDecode))
+		eventually(t, 5*time.Second, "drain", func() bool { return cl.phase("e0") == wire.Phase_PHASE_DRAIN })
+		eventually(t, 15*time.Second, "move", func() bool { return cl.phase("e0") == wire.Phase_PHASE_MOVE })
+		eventually(t, 3*time.Minute, "put off", func() bool { return cl.phase("e0") == wire.Phase_PHASE_OPEN })
+		assert.Equal(t, len(cl.engines["e0"].acceptedOrders()), 0)
+		cl.setInFlight("e0", 0)
+		eventually(t, time.Minute, "role", func() bool { return cl.role("e0") == driver.RoleDecode })
 	})
 }
 
@@ -99,29 +99,29 @@
 // over, reads what the engine does, and finishes the change without a second
 // order of the same.
 func TestHolderDiesInMidChange(t *testing.T) {
-	for _, fences := range []bool{true, false} {
-		t.Run(fmt.Sprint("fences=", fences), func(t *testing.T) {
+	for _, checksFence := range []bool{true, false} {
+		t.Run(fmt.Sprint("fences=", checksFence), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 1, fences)
-				defer w.close()
-				a, b := w.start("vm0"), w.start("vm1")
+				cl := newTestCluster(t, 1, checksFence)
+				defer cl.close()
+				a, b := cl.startProcess("vm0"), cl.startProcess("vm1")
 				time.Sleep(15 * time.Second)
 				holder, other := a, b
 				if holder.holders()["vm1"] > 0 {
 					holder, other = b, a
 				}
-				w.change(fixRole("e0", driver.RolePrefill))
-				eventually(t, 10*time.Second, "order", func() bool { return len(w.engines["e0"].ordersTaken()) == 1 })
+				cl.changeSheet(fixRole("e0", driver.RolePrefill))
+				eventually(t, 10*time.Second, "order", func() bool { return len(cl.engines["e0"].acceptedOrders()) == 1 })
 				holder.stop()
 				gap := eventually(t, 20*time.Second, "takeover", func() bool {
-					s := other.c.Scopes()
+					s := other.control.Scopes()
 					return len(s) == 1 && s[0].Held
 				})
-				t.Logf("takeover gap, fences=%v: %s", fences, gap)
+				t.Logf("takeover gap, fences=%v: %s", checksFence, gap)
 				time.Sleep(10 * time.Second)
-				assert.Equal(t, w.role("e0"), driver.RolePrefill)
-				assert.Equal(t, len(w.engines["e0"].ordersTaken()), 1)
-				assert.Equal(t, w.phase("e0"), wire.Phase_PHASE_OPEN)
+				assert.Equal(t, cl.role("e0"), driver.RolePrefill)
+				assert.Equal(t, len(cl.engines["e0"].acceptedOrders()), 1)
+				assert.Equal(t, cl.phase("e0"), wire.Phase_PHASE_OPEN)
 			})
 		})
 	}
@@ -132,17 +132,17 @@
 // once more, and the weights are loaded again.
 func TestEngineCrashesInMidChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, true)
-		defer w.close()
-		w.start("vm0")
+		cl := newTestCluster(t, 1, true)
+		defer cl.close()
+		cl.startProcess("vm0")
 		time.Sleep(10 * time.Second)
-		w.engines["e0"].with(func() { w.engines["e0"].crashMid = true })
-		w.change(fixRole("e0", driver.RolePrefill))
+		cl.engines["e0"].withLock(func() { cl.engines["e0"].crashDuringOrder = true })
+		cl.changeSheet(fixRole("e0", driver.RolePrefill))
 		eventually(t, time.Minute, "whole again", func() bool {
-			st, _ := w.engines["e0"].State(t.Context())
+			st, _ := cl.engines["e0"].State(t.Context())
 			return st.Role == driver.RolePrefill && len(st.Loaded) == 1 && !st.Changing
 		})
-		assert.Equal(t, len(w.engines["e0"].ordersTaken()), 3, "the lost one, the load, the role")
+		assert.Equal(t, len(cl.engines["e0"].acceptedOrders()), 3, "the lost one, the load, the role")
 	})
 }
 
@@ -150,15 +150,15 @@
 // first; the process waits for the engine's own word and sends no second one.
 func TestLostAnswerOfAnOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, false)
-		defer w.close()
-		w.start("vm0")
+		cl := newTestCluster(t, 1, false)
+		defer cl.close()
+		cl.startProcess("vm0")
 		time.Sleep(10 * time.Second)
-		w.engines["e0"].with(func() { w.engines["e0"].lose = true })
-		w.change(fixRole("e0", driver.RolePrefill))
-		eventually(t, 20*time.Second, "role", func() bool { return w.role("e0") == driver.RolePrefill })
+		cl.engines["e0"].withLock(func() { cl.engines["e0"].loseAnswer = true })
+		cl.changeSheet(fixRole("e0", driver.RolePrefill))
+		eventually(t, 20*time.Second, "role", func() bool { return cl.role("e0") == driver.RolePrefill })
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, len(w.engines["e0"].ordersTaken()), 1)
+		assert.Equal(t, len(cl.engines["e0"].acceptedOrders()), 1)
 	})
 }
 
@@ -167,47 +167,47 @@
 // wakes. Its order must change nothing, whether the engine checks tokens or
 // not.
 func TestFrozenHolderWakesWithAnOrder(t *testing.T) {
-	for _, fences := range []bool{true, false} {
+	for _, checksFence := range []bool{true, false} {
 		for _, guarded := range []bool{true, false} {
-			t.Run(fmt.Sprintf("fences=%v/guarded=%v", fences, guarded), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { frozenHolder(t, fences, guarded) })
+			t.Run(fmt.Sprintf("fences=%v/guarded=%v", checksFence, guarded), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { frozenHolder(t, checksFence, guarded) })
 			})
 		}
 	}
 }
 
-func frozenHolder(t *testing.T, fences, guarded bool) {
-	w := newWorld(t, 1, fences)
-	defer w.close()
-	e := w.engines["e0"]
-	unguard := func(o *Options) { o.noPermit = !guarded }
-	a, b := w.start("vm0", unguard), w.start("vm1", unguard)
+func frozenHolder(t *testing.T, checksFence, guarded bool) {
+	cl := newTestCluster(t, 1, checksFence)
+	defer cl.close()
+	e := cl.engines["e0"]
+	setGuard := func(o *Options) { o.skipPermit = !guarded }
+	a, b := cl.startProcess("vm0", setGuard), cl.startProcess("vm1", setGuard)
 	time.Sleep(15 * time.Second)
 	holder := a
 	if holder.holders()["vm1"] > 0 {
 		holder = b
 	}
 	stall := make(chan struct{})
-	e.with(func() { e.stall = stall })
-	w.change(fixRole("e0", driver.RolePrefill))
+	e.withLock(func() { e.stallOrder = stall })
+	cl.changeSheet(fixRole("e0", driver.RolePrefill))
 	eventually(t, 10*time.Second, "order in hand", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return e.stall == nil
+		return e.stallOrder == nil
 	})
-	holder.log.set(true) // frozen: it renews nothing and reads nothing
-	eventually(t, 20*time.Second, "the successor's order", func() bool { return len(e.ordersTaken()) == 1 })
-	w.change(fixRole("e0", driver.RoleDecode))
-	eventually(t, 20*time.Second, "the successor's second order", func() bool { return len(e.ordersTaken()) == 2 })
+	holder.log.setCut(true) // frozen: it renews nothing and reads nothing
+	eventually(t, 20*time.Second, "the successor's order", func() bool { return len(e.acceptedOrders()) == 1 })
+	cl.changeSheet(fixRole("e0", driver.RoleDecode))
+	eventually(t, 20*time.Second, "the successor's second order", func() bool { return len(e.acceptedOrders()) == 2 })
 	close(stall)
 	time.Sleep(20 * time.Second)
-	bad := e.bad
-	e.bad = nil
-	if !guarded && !fences {
-		assert.Assert(t, len(bad) > 0, "without the guard the old order must be seen to count")
+	violations := e.violations
+	e.violations = nil
+	if !guarded && !checksFence {
+		assert.Assert(t, len(violations) > 0, "without the guard the old order must be seen to count")
 	} else {
-		assert.Equal(t, len(bad), 0, "%v", bad)
-		assert.Equal(t, w.role("e0"), driver.RoleDecode)
+		assert.Equal(t, len(violations), 0, "%v", violations)
+		assert.Equal(t, cl.role("e0"), driver.RoleDecode)
 	}
 }
 
@@ -216,18 +216,18 @@
 // followed again.
 func TestLogDownStopsOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 2, true)
-		defer w.close()
-		w.start("vm0")
-		w.start("vm1")
+		cl := newTestCluster(t, 2, true)
+		defer cl.close()
+		cl.startProcess("vm0")
+		cl.startProcess("vm1")
 		time.Sleep(10 * time.Second)
-		w.log.SetDown(true)
+		cl.log.SetDown(true)
 		time.Sleep(10 * time.Second)
-		w.change(fixRole("e0", driver.RolePrefill))
+		cl.changeSheet(fixRole("e0", driver.RolePrefill))
 		time.Sleep(50 * time.Second)
-		assert.Equal(t, len(w.engines["e0"].ordersTaken()), 0)
-		w.log.SetDown(false)
-		eventually(t, 30*time.Second, "role", func() bool { return w.role("e0") == driver.RolePrefill })
+		assert.Equal(t, len(cl.engines["e0"].acceptedOrders()), 0)
+		cl.log.SetDown(false)
+		eventually(t, 30*time.Second, "role", func() bool { return cl.role("e0") == driver.RolePrefill })
 	})
 }
 
@@ -236,22 +236,22 @@
 // lease to lapse.
 func TestLeavingProcessHandsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, false)
-		defer w.close()
-		a, b := w.start("vm0"), w.start("vm1")
+		cl := newTestCluster(t, 4, false)
+		defer cl.close()
+		a, b := cl.startProcess("vm0"), cl.startProcess("vm1")
 		time.Sleep(15 * time.Second)
 		holder, other := a, b
 		if holder.holders()["vm1"] > 0 {
 			holder, other = b, a
 		}
-		w.change(fixRole("e2", driver.RolePrefill))
-		eventually(t, 10*time.Second, "order", func() bool { return len(w.engines["e2"].ordersTaken()) == 1 })
+		cl.changeSheet(fixRole("e2", driver.RolePrefill))
+		eventually(t, 10*time.Second, "order", func() bool { return len(cl.engines["e2"].acceptedOrders()) == 1 })
 		start := time.Now()
-		assert.NilError(t, holder.c.Drain(t.Context()))
+		assert.NilError(t, holder.control.Drain(t.Context()))
 		took := time.Since(start)
-		assert.Equal(t, w.role("e2"), driver.RolePrefill)
+		assert.Equal(t, cl.role("e2"), driver.RolePrefill)
 		gap := eventually(t, 5*time.Second, "handed over", func() bool {
-			for _, s := range other.c.Scopes() {
+			for _, s := range other.control.Scopes() {
 				if !s.Held {
 					return false
 				}
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -17,7 +17,7 @@
 
 // leaseEnd is the authority over one engine as the goroutine of an order sees
 // it.
-type leaseEnd struct {
+type leaseState struct {
 	token uint64 // 0 if not held
 	until clock.Time
 }
@@ -29,49 +29,49 @@
 	spec sheet.Engine
 	conn driver.Engine // opened once it is held
 
-	lease      atomic.Pointer[leaseEnd]
-	token      uint64
-	taken      clock.Time // when the token was learnt
-	orderFrom  clock.Time
-	claimable  clock.Time // since when it could be claimed, 0 if it can't
-	releasing  uint64     // token of a holding that was given up
-	releaseSeq *uint64    // number of the release, nil until its append ended
+	lease          atomic.Pointer[leaseState]
+	token          uint64
+	tokenSince     clock.Time // when the token was learnt
+	orderNotBefore clock.Time
+	claimableSince clock.Time // since when it could be claimed, 0 if it can't
+	releasingToken uint64     // token of a holding that was given up
+	releaseSeq     *uint64    // number of the release, nil until its append ended
 
-	memory   reconcile.Memory
-	step     reconcile.Step
-	state    driver.EngineState
-	readFrom clock.Time // begin of the newest good read, 0 after a bad one
-	answered clock.Time // end of the newest good read
-	report   *driver.LoadReport
-	reportAt clock.Time
-	reserved driver.Loaded // the load that was counted at the weight store
-	slots    int           // streams carried at once, 0 until it was seen full
-	reading  bool
-	ordering bool
-	known    bool // the state was read under the present token
+	reconciler    reconcile.Reconciler
+	lastStep      reconcile.Step
+	state         driver.EngineState
+	readStart     clock.Time // begin of the newest good read, 0 after a bad one
+	readEnd       clock.Time // end of the newest good read
+	report        *driver.LoadReport
+	reportAt      clock.Time
+	reservedLoad  driver.Loaded // the load that was counted at the weight store
+	slots         int           // streams carried at once, 0 until it was seen full
+	readInFlight  bool
+	orderInFlight bool
+	stateRead     bool // the state was read under the present token
 	// returned marks an engine that came back to the sheet while it was held:
 	// an order from before it left may be on its way.
-	returned bool
+	readded bool
 
-	announced announcement
+	announcement announcement
 }
 
 // takeover forgets everything that was known under another token.
-func (e *engine) takeover(now clock.Time, token uint64, orderFrom clock.Time) {
-	e.taken, e.token, e.orderFrom = now, token, orderFrom
-	e.memory, e.step = reconcile.Memory{}, reconcile.Step{}
-	e.readFrom, e.known, e.reserved = 0, false, driver.Loaded{}
-	e.announced = announcement{}
+func (e *engine) resetForToken(now clock.Time, token uint64, orderNotBefore clock.Time) {
+	e.tokenSince, e.token, e.orderNotBefore = now, token, orderNotBefore
+	e.reconciler, e.lastStep = reconcile.Reconciler{}, reconcile.Step{}
+	e.readStart, e.stateRead, e.reservedLoad = 0, false, driver.Loaded{}
+	e.announcement = announcement{}
 }
 
 // takeSheet follows the sheet in force.
-func (s *state) takeSheet() {
+func (s *state) applySheet() {
 	v := s.opt.Replica.View()
-	if !v.Ready || v.Version == s.sheet {
+	if !v.Ready || v.Version == s.sheetVersion {
 		return
 	}
-	s.sheet = v.Version
-	named := map[string]bool{}
+	s.sheetVersion = v.Version
+	listed := map[string]bool{}
 	specs := map[string]*sheet.Engine{}
 	for i := range v.Sheet.Engines {
 		specs[v.Sheet.Engines[i].Name] = &v.Sheet.Engines[i]
@@ -82,31 +82,31 @@
 		spec := &v.Sheet.Pools[i]
 		s.pools[spec.Name] = newPool(spec, old[spec.Name])
 		for _, name := range spec.Engines {
-			named[name] = true
-			s.takeEngine(spec.Name, specs[name])
+			listed[name] = true
+			s.applyEngine(spec.Name, specs[name])
 		}
 	}
 	for name, e := range s.engines {
-		if !named[name] {
+		if !listed[name] {
 			e.close()
 			delete(s.engines, name)
-			s.departed[name] = s.now()
+			s.removedAt[name] = s.now()
 		}
 	}
-	s.takeAuthority()
+	s.updateAllLeases()
 }
 
-func (s *state) takeEngine(pool string, spec *sheet.Engine) {
+func (s *state) applyEngine(pool string, spec *sheet.Engine) {
 	e := s.engines[spec.Name]
 	if e != nil && !reflect.DeepEqual(e.spec.Target(), spec.Target()) {
 		e.close()
-		e.conn, e.known, e.readFrom = nil, false, 0
+		e.conn, e.stateRead, e.readStart = nil, false, 0
 	}
 	if e == nil {
-		_, returned := s.departed[spec.Name]
-		delete(s.departed, spec.Name)
-		e = &engine{name: spec.Name, returned: returned}
-		e.lease.Store(&leaseEnd{})
+		_, readded := s.removedAt[spec.Name]
+		delete(s.removedAt, spec.Name)
+		e = &engine{name: spec.Name, readded: readded}
+		e.lease.Store(&leaseState{})
 		s.engines[spec.Name] = e
 	}
 	e.pool, e.spec = pool, *spec
@@ -125,9 +125,9 @@
 }
 
 // held returns the engines that this process has the authority over, by name.
-func (s *state) held() []*engine {
+func (s *state) heldEngines() []*engine {
 	var out []*engine
-	for _, name := range s.auth.HeldBy(s.opt.Incarnation) {
+	for _, name := range s.authority.HeldBy(s.opt.Incarnation) {
 		if e := s.engines[name]; e != nil && e.token != 0 {
 			out = append(out, e)
 		}
@@ -138,22 +138,22 @@
 // readEngines asks the engines that this process holds for their state: each
 // tick while they change, less often while they rest.
 func (s *state) readEngines() {
-	for i, e := range s.held() {
-		resting := e.known && e.readFrom != 0 && e.memory.Idle() && !e.state.Changing
-		if e.reading || resting && (s.ticks+i)%restTicks != 0 {
+	for i, e := range s.heldEngines() {
+		idle := e.stateRead && e.readStart != 0 && e.reconciler.Idle() && !e.state.Changing
+		if e.readInFlight || idle && (s.ticks+i)%ticksPerIdleRead != 0 {
 			continue
 		}
-		if e.conn == nil && !s.open(e) {
+		if e.conn == nil && !s.openDriver(e) {
 			continue
 		}
-		e.reading = true
-		conn, from, token := e.conn, s.now(), e.token
-		wantReport := s.pools[e.pool].planned()
-		s.c.wg.Go(func() { s.c.read(s.ctx, e, conn, token, from, wantReport) })
+		e.readInFlight = true
+		conn, start, token := e.conn, s.now(), e.token
+		wantReport := s.pools[e.pool].rolesPlanned()
+		s.c.wg.Go(func() { s.c.readEngine(s.ctx, e, conn, token, start, wantReport) })
 	}
 }
 
-func (s *state) open(e *engine) bool {
+func (s *state) openDriver(e *engine) bool {
 	conn, err := s.opt.OpenEngine(e.name, e.spec.Target())
 	if err != nil {
 		log.WithError(err).WithField("engine", e.name).Error("driver can't be opened")
@@ -164,48 +164,48 @@
 }
 
 // read asks one engine for its state and, for the planner, its load.
-func (c *Control) read(ctx context.Context, e *engine, conn driver.Engine, token uint64, from clock.Time, report bool) {
+func (c *Control) readEngine(ctx context.Context, e *engine, conn driver.Engine, token uint64, start clock.Time, report bool) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	r := engineRead{e: e, conn: conn, token: token, from: from}
+	r := engineReadDone{e: e, conn: conn, token: token, start: start}
 	r.state, r.err = conn.State(call)
 	if report && r.err == nil {
 		if l, err := conn.Report(call); err == nil {
 			r.report = &l
 		}
 	}
-	_ = c.postWait(ctx, r)
+	_ = c.postBlocking(ctx, r)
 }
 
 // engineRead ends a read of an engine.
-type engineRead struct {
+type engineReadDone struct {
 	e      *engine
 	conn   driver.Engine
 	token  uint64
-	from   clock.Time // when the read was begun
+	start  clock.Time // when the read was begun
 	state  driver.EngineState
 	report *driver.LoadReport
 	err    error
 }
 
-func (r engineRead) apply(s *state) {
+func (r engineReadDone) apply(s *state) {
 	e := r.e
-	e.reading = false
+	e.readInFlight = false
 	if r.conn != e.conn || r.token != e.token {
 		return
 	}
 	if r.err != nil {
-		e.readFrom = 0
+		e.readStart = 0
 		return
 	}
-	if e.known && e.state.Incarnation != r.state.Incarnation {
+	if e.stateRead && e.state.Incarnation != r.state.Incarnation {
 		log.WithField("engine", e.name).WithField("was", e.state.Incarnation).
 			WithField("is", r.state.Incarnation).Warn("engine restarted")
 	}
-	e.state, e.readFrom, e.answered, e.known = r.state, r.from, s.now(), true
-	e.noteSlots()
+	e.state, e.readStart, e.readEnd, e.stateRead = r.state, r.start, s.now(), true
+	e.updateSlots()
 	if r.report != nil {
-		e.report, e.reportAt = r.report, r.from
+		e.report, e.reportAt = r.report, r.start
 	}
 }
 
@@ -213,19 +213,19 @@
 // least go first, so that the weight store's rate brings back what is needed
 // most.
 func (s *state) reconcileAll() {
-	held := s.held()
+	held := s.heldEngines()
 	counted := map[string]bool{}
 	for _, e := range held {
 		if !counted[e.pool] {
 			counted[e.pool] = true
-			s.count(s.pools[e.pool])
+			s.countEngines(s.pools[e.pool])
 		}
 	}
 	slices.SortStableFunc(held, func(a, b *engine) int {
-		return s.pools[a.pool].count.serving - s.pools[b.pool].count.serving
+		return s.pools[a.pool].counts.serving - s.pools[b.pool].counts.serving
 	})
 	for _, e := range held {
-		if e.ordering || e.releasing == e.token || !e.known {
+		if e.orderInFlight || e.releasingToken == e.token || !e.stateRead {
 			continue
 		}
 		s.reconcile(e)
@@ -235,30 +235,30 @@
 func (s *state) reconcile(e *engine) {
 	p := s.pools[e.pool]
 	now := s.now()
-	want := reconcile.WantOf(p.spec, &e.spec, p.role(e))
+	desired := reconcile.DesiredStateFor(p.spec, &e.spec, p.role(e))
 	empty := len(e.state.Loaded) == 0 && e.state.Running == 0
 	in := &reconcile.Input{
-		Now: now, Engine: e.name, Token: e.token, Want: want, State: e.state, ReadFrom: e.readFrom,
-		OrderFrom: e.orderFrom, AckedFrom: e.announced.acked(s, e),
-		MayLeave: !s.c.leaving.Load() && (empty || p.mayLeave()),
-		MayLoad:  true,
+		Now: now, Engine: e.name, Token: e.token, Desired: desired, State: e.state, ReadStart: e.readStart,
+		OrderNotBefore: e.orderNotBefore, AckedSince: e.announcement.drainedSince(s, e),
+		ChangeAllowed: !s.c.leaving.Load() && (empty || p.changeAllowed()),
+		LoadAllowed:   true,
 	}
-	load, loads := firstLoad(&want, &e.state)
-	if loads {
-		in.MayLoad = s.mayLoad(now, load)
+	load, needsLoad := firstLoad(&desired, &e.state)
+	if needsLoad {
+		in.LoadAllowed = s.loadAllowed(now, load)
 	}
-	before := e.step
-	e.step = e.memory.Next(in, &s.opt.ChangeTimeouts)
-	if e.step.Phase != before.Phase {
-		s.count(p)
+	previous := e.lastStep
+	e.lastStep = e.reconciler.Next(in, &s.opt.ChangeTimeouts)
+	if e.lastStep.Phase != previous.Phase {
+		s.countEngines(p)
 	}
-	if loads && before.Phase == wire.Phase_PHASE_OPEN && e.step.Phase != wire.Phase_PHASE_OPEN {
-		s.reserve(e, load)
+	if needsLoad && previous.Phase == wire.Phase_PHASE_OPEN && e.lastStep.Phase != wire.Phase_PHASE_OPEN {
+		s.reserveLoad(e, load)
 	}
-	if e.step.Reason != before.Reason || e.step.Phase != before.Phase {
-		log.WithField("engine", e.name).WithField("phase", e.step.Phase.String()).WithField("why", e.step.Reason).Info("step")
+	if e.lastStep.Reason != previous.Reason || e.lastStep.Phase != previous.Phase {
+		log.WithField("engine", e.name).WithField("phase", e.lastStep.Phase.String()).WithField("why", e.lastStep.Reason).Info("step")
 	}
-	if e.step.Order != nil {
-		s.order(e, *e.step.Order)
+	if e.lastStep.Order != nil {
+		s.sendOrder(e, *e.lastStep.Order)
 	}
 }
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -21,69 +21,69 @@
 func TestMain(m *testing.M) {
 	log.SetHandler(discard.New())
 	if os.Getenv("CONTROL_TEST_LOG") != "" {
-		log.SetHandler(printer{})
+		log.SetHandler(logPrinter{})
 	}
 	os.Exit(m.Run())
 }
 
-type printer struct{}
+type logPrinter struct{}
 
-func (printer) HandleLog(e *log.Entry) error {
+func (logPrinter) HandleLog(e *log.Entry) error {
 	fmt.Println(time.Now().Format("15:04:05.000"), e.Message, e.Fields)
 	return nil
 }
 
 // bubbleClock follows the test's fake time; it can be held back, as the clock
 // of a process that doesn't count a suspension.
-type bubbleClock struct{}
+type fakeClock struct{}
 
-func (bubbleClock) Now() clock.Time { return clock.Time(time.Now().UnixNano()) }
+func (fakeClock) Now() clock.Time { return clock.Time(time.Now().UnixNano()) }
 
-const changeTime = 3 * time.Second
+const changeDuration = 3 * time.Second
 
 // fakeEngine is an engine in memory that notes what must never happen.
 type fakeEngine struct {
-	mu       sync.Mutex
-	name     string
-	fences   bool
-	state    driver.EngineState
-	starts   int
-	done     time.Time // end of the order under way
-	order    driver.Order
-	orders   []driver.Order
-	bad      []string
-	crashMid bool          // crash in the middle of the next order
-	lose     bool          // lose the answer of the next order
-	stall    chan struct{} // an order stalls before its last byte
-	down     bool
-	streams  int // of entries, for the drain
-}
-
-func newFakeEngine(name string, fences bool) *fakeEngine {
-	return &fakeEngine{name: name, fences: fences, state: driver.EngineState{
+	mu               sync.Mutex
+	name             string
+	checksFence      bool
+	state            driver.EngineState
+	restarts         int
+	orderEnd         time.Time // end of the order under way
+	executing        driver.Order
+	orders           []driver.Order
+	violations       []string
+	crashDuringOrder bool          // crash in the middle of the next order
+	loseAnswer       bool          // lose the answer of the next order
+	stallOrder       chan struct{} // an order stalls before its last byte
+	down             bool
+	streams          int // of entries, for the drain
+}
+
+func newFakeEngine(name string, checksFence bool) *fakeEngine {
+	return &fakeEngine{name: name, checksFence: checksFence, state: driver.EngineState{
 		Incarnation: "1", Role: driver.RoleMixed, Loaded: []driver.Loaded{{Model: "m", Version: "1"}},
 	}}
 }
 
-func (f *fakeEngine) settle() {
-	if !f.state.Changing || time.Now().Before(f.done) {
+func (f *fakeEngine) finishOrder() {
+	if !f.state.Changing || time.Now().Before(f.orderEnd) {
 		return
 	}
 	f.state.Changing = false
-	switch f.order.Kind {
+	switch f.executing.Kind {
 	case driver.OrderRole:
-		f.state.Role = f.order.Role
+		f.state.Role = f.executing.Role
 	case driver.OrderLoad:
-		f.state.Loaded = append(f.state.Loaded, f.order.Load)
+		f.state.Loaded = append(f.state.Loaded, f.executing.Load)
 	case driver.OrderUnload:
-		f.state.Loaded = slices.DeleteFunc(f.state.Loaded, func(l driver.Loaded) bool { return l == f.order.Load })
+		f.state.Loaded = slices.DeleteFunc(f.state.Loaded, func(l driver.Loaded) bool { return l == f.executing.Load })
 	}
 }
 
 func (f *fakeEngine) State(context.Context) (driver.EngineState, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settle()
+	f.finishOrder()
 	if f.down {
 		return driver.EngineState{}, driver.ErrNotSent
 	}
@@ -94,27 +94,27 @@
 }
 
 // link is one process's connection to an engine.
-type link struct {
+type engineConn struct {
 	*fakeEngine
-	dead <-chan struct{} // closed when the process is killed
+	killed <-chan struct{} // closed when the process is killed
 }
 
-func (f link) Order(ctx context.Context, o driver.Order, permit driver.Permit) error {
+func (f engineConn) Order(ctx context.Context, o driver.Order, permit driver.Permit) error {
 	f.mu.Lock()
-	stall, lose := f.stall, f.lose
-	f.stall, f.lose = nil, false
+	stall, loseAnswer := f.stallOrder, f.loseAnswer
+	f.stallOrder, f.loseAnswer = nil, false
 	f.mu.Unlock()
 	if stall != nil {
 		select {
 		case <-stall:
-		case <-f.dead:
+		case <-f.killed:
 			return driver.ErrNotSent
 		}
 	}
 	if err := permit(); err != nil {
 		return errors.Join(driver.ErrNotSent, err)
 	}
-	return f.take(ctx, o, lose)
+	return f.accept(ctx, o, loseAnswer)
 }
 
 // Order is for engines that nobody orders, in benchmarks.
@@ -122,36 +122,36 @@
 	return driver.ErrRefused
 }
 
-func (f *fakeEngine) take(_ context.Context, o driver.Order, lose bool) error {
+func (f *fakeEngine) accept(_ context.Context, o driver.Order, loseAnswer bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settle()
+	f.finishOrder()
 	if f.down {
 		return driver.ErrNotSent
 	}
-	if f.fences && o.Fence < f.state.Fence {
+	if f.checksFence && o.Fence < f.state.Fence {
 		return driver.ErrStaleFence
 	}
 	if f.state.Changing {
-		f.bad = append(f.bad, fmt.Sprintf("%s while %s is under way", o.ID, f.order.ID))
+		f.violations = append(f.violations, fmt.Sprintf("%s while %s is under way", o.ID, f.executing.ID))
 	}
 	if n := len(f.orders); n > 0 && f.orders[n-1].Fence > o.Fence {
-		f.bad = append(f.bad, fmt.Sprintf("%s after a later holder's %s", o.ID, f.orders[n-1].ID))
+		f.violations = append(f.violations, fmt.Sprintf("%s after a later holder's %s", o.ID, f.orders[n-1].ID))
 	}
 	if f.streams > 0 {
-		f.bad = append(f.bad, fmt.Sprintf("%s cuts %d streams", o.ID, f.streams))
+		f.violations = append(f.violations, fmt.Sprintf("%s cuts %d streams", o.ID, f.streams))
 	}
-	if f.fences {
+	if f.checksFence {
 		f.state.Fence = o.Fence
 	}
-	f.orders, f.order = append(f.orders, o), o
-	f.state.LastOrder, f.state.Changing, f.done = o.ID, true, time.Now().Add(changeTime)
-	if f.crashMid {
-		f.crashMid = false
-		f.starts++
-		f.state = driver.EngineState{Incarnation: fmt.Sprint("crashed", f.starts), Role: driver.RoleMixed}
+	f.orders, f.executing = append(f.orders, o), o
+	f.state.LastOrder, f.state.Changing, f.orderEnd = o.ID, true, time.Now().Add(changeDuration)
+	if f.crashDuringOrder {
+		f.crashDuringOrder = false
+		f.restarts++
+		f.state = driver.EngineState{Incarnation: fmt.Sprint("crashed", f.restarts), Role: driver.RoleMixed}
 	}
-	if lose {
+	if loseAnswer {
 		return driver.ErrCut
 	}
 	return nil
@@ -179,13 +179,13 @@
 
 func (f *fakeEngine) Close() error { return nil }
 
-func (f *fakeEngine) with(do func()) {
+func (f *fakeEngine) withLock(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
 }
 
-func (f *fakeEngine) ordersTaken() []driver.Order {
+func (f *fakeEngine) acceptedOrders() []driver.Order {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.orders)
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -13,11 +13,11 @@
 
 // order sends one order. Its lease is looked at again by the driver, just
 // before the last byte.
-func (s *state) order(e *engine, o driver.Order) {
-	e.ordering = true
+func (s *state) sendOrder(e *engine, o driver.Order) {
+	e.orderInFlight = true
 	if o.Kind == driver.OrderLoad {
-		s.reserve(e, o.Load)
-		e.reserved = driver.Loaded{}
+		s.reserveLoad(e, o.Load)
+		e.reservedLoad = driver.Loaded{}
 	}
 	conn, token := e.conn, e.token
 	permit := s.c.permit(e, token)
@@ -30,14 +30,14 @@
 		} else {
 			err = conn.Order(ctx, o, permit)
 		}
-		_ = s.c.postWait(s.ctx, ordered{e: e, token: token, order: o, err: err})
+		_ = s.c.postBlocking(s.ctx, orderSent{e: e, token: token, order: o, err: err})
 	})
 }
 
 // permit returns the check of the lease for orders under a token.
 func (c *Control) permit(e *engine, token uint64) driver.Permit {
 	return func() error {
-		if c.opt.noPermit {
+		if c.opt.skipPermit {
 			return nil
 		}
 		l := e.lease.Load()
@@ -49,32 +49,32 @@
 }
 
 // ordered ends the sending of an order.
-type ordered struct {
+type orderSent struct {
 	e     *engine
 	token uint64
 	order driver.Order
 	err   error
 }
 
-func (r ordered) apply(s *state) {
-	r.e.ordering = false
-	certain := errors.Is(r.err, driver.ErrNotSent) || errors.Is(r.err, driver.ErrRefused) || errors.Is(r.err, driver.ErrStaleFence)
-	entry := log.WithField("engine", r.e.name).WithField("order", r.order.ID).WithField("kind", string(r.order.Kind)).
+func (r orderSent) apply(s *state) {
+	r.e.orderInFlight = false
+	undelivered := errors.Is(r.err, driver.ErrNotSent) || errors.Is(r.err, driver.ErrRefused) || errors.Is(r.err, driver.ErrStaleFence)
+	logEntry := log.WithField("engine", r.e.name).WithField("order", r.order.ID).WithField("kind", string(r.order.Kind)).
 		WithField("role", string(r.order.Role)).WithField("token", r.token)
 	if r.err != nil {
-		entry.WithError(r.err).WithField("certain", certain).Warn("order")
+		logEntry.WithError(r.err).WithField("certain", undelivered).Warn("order")
 	} else {
-		entry.Info("order")
+		logEntry.Info("order")
 	}
 	if r.token == r.e.token {
-		r.e.memory.Sent(s.now(), certain, &s.opt.ChangeTimeouts)
+		r.e.reconciler.RecordSendResult(s.now(), undelivered, &s.opt.ChangeTimeouts)
 	}
 }
 
 // phase is what the entries should do with the engine.
 func (e *engine) phase() wire.Phase {
-	if !e.known {
+	if !e.stateRead {
 		return wire.Phase_PHASE_OPEN
 	}
-	return e.memory.Phase
+	return e.reconciler.Phase
 }
--- a/internal/control/preference.go
+++ b/internal/control/preference.go
@@ -6,24 +6,24 @@
 	"fescuestand/internal/clock"
 )
 
-func (s *state) preferredElsewhere(now clock.Time, pool string) bool {
+func (s *state) shouldRelease(now clock.Time, pool string) bool {
 	if s.c.leaving.Load() {
 		return true
 	}
-	best := preferred(pool, s.beat.live)
-	p := s.beat.prefers[pool]
+	best := preferredVM(pool, s.renewal.liveVMs)
+	p := s.renewal.preferences[pool]
 	if p.vm != best {
 		p = preference{vm: best, since: now}
-		s.beat.prefers[pool] = p
+		s.renewal.preferences[pool] = p
 	}
-	stable := now.Sub(p.since) >= stableAfter
+	stable := now.Sub(p.since) >= minPreferenceAge
 	return best != "" && best != s.opt.VM && stable && s.tracker.Recent(now, best)
 }
 
 // live returns the VMs whose control processes can take engines.
-func (s *state) live(now clock.Time) []string {
+func (s *state) liveVMs(now clock.Time) []string {
 	var out []string
-	for vm := range s.tracker.Live(now, s.auth.Holds) {
+	for vm := range s.tracker.Live(now, s.authority.Holds) {
 		out = append(out, vm)
 	}
 	return out
@@ -33,12 +33,12 @@
 // alike, and a VM that comes or goes moves only its own pools. All engines of a
 // pool prefer one process, since planning the roles and keeping within the
 // away share need one mind.
-func weight(vm, pool string) uint64 { return xxhash.Sum64String(pool + "\x00" + vm) }
+func rendezvousWeight(vm, pool string) uint64 { return xxhash.Sum64String(pool + "\x00" + vm) }
 
-func preferred(pool string, live []string) string {
+func preferredVM(pool string, live []string) string {
 	best := ""
 	for _, vm := range live {
-		if best == "" || weight(vm, pool) > weight(best, pool) {
+		if best == "" || rendezvousWeight(vm, pool) > rendezvousWeight(best, pool) {
 			best = vm
 		}
 	}
@@ -49,7 +49,7 @@
 func rankOf(vm, pool string, live []string) int {
 	n := 0
 	for _, other := range live {
-		if other != vm && weight(other, pool) > weight(vm, pool) {
+		if other != vm && rendezvousWeight(other, pool) > rendezvousWeight(vm, pool) {
 			n++
 		}
 	}
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -24,32 +24,32 @@
 // for their weights at once, the store would split its rate and none would
 // serve for a minute. They take turns.
 func TestEmptyEnginesTakeTurnsAtTheWeightStore(t *testing.T) {
-	begun := func(paced bool) (n int) {
+	loadsIn15s := func(paced bool) (n int) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, 6, true)
-			defer w.close()
-			for _, e := range w.engines {
+			cl := newTestCluster(t, 6, true)
+			defer cl.close()
+			for _, e := range cl.engines {
 				e.state.Loaded = nil
 			}
-			w.start("vm0", func(o *Options) {
+			cl.startProcess("vm0", func(o *Options) {
 				if paced {
 					o.Weights = slowStore{}
 				}
 			})
-			eventually(t, 20*time.Second, "a load", func() bool { return w.loads() > 0 })
+			eventually(t, 20*time.Second, "a load", func() bool { return cl.loadsStarted() > 0 })
 			time.Sleep(15 * time.Second)
-			n = w.loads()
+			n = cl.loadsStarted()
 		})
 		return n
 	}
-	assert.Equal(t, begun(true), 2, "loads begun in the first 15 s")
-	assert.Equal(t, begun(false), 6, "without the pacing all at once")
+	assert.Equal(t, loadsIn15s(true), 2, "loads begun in the first 15 s")
+	assert.Equal(t, loadsIn15s(false), 6, "without the pacing all at once")
 }
 
-func (w *world) loads() int {
+func (cl *testCluster) loadsStarted() int {
 	n := 0
-	for _, e := range w.engines {
-		n += len(e.ordersTaken())
+	for _, e := range cl.engines {
+		n += len(e.acceptedOrders())
 	}
 	return n
 }
@@ -59,27 +59,27 @@
 // claim while a holder from before might still give orders.
 func TestAuthorityBeginsAnewWhenNoRecordIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, false)
-		defer w.close()
-		w.start("vm0")
-		eventually(t, 15*time.Second, "held", func() bool { return w.controls["vm0"].holdsAll() })
-		w.controls["vm0"].stop()
-		w.log.Expire("control", w.log.End("control"))
+		cl := newTestCluster(t, 3, false)
+		defer cl.close()
+		cl.startProcess("vm0")
+		eventually(t, 15*time.Second, "held", func() bool { return cl.processes["vm0"].holdsAll() })
+		cl.processes["vm0"].stop()
+		cl.log.Expire("control", cl.log.End("control"))
 		for i := range 2 {
-			w.start(fmt.Sprint("vm", i))
+			cl.startProcess(fmt.Sprint("vm", i))
 		}
-		time.Sleep(beginAfter)
-		assert.Assert(t, !w.controls["vm0"].holdsAll() && !w.controls["vm1"].holdsAll())
+		time.Sleep(resetAfter)
+		assert.Assert(t, !cl.processes["vm0"].holdsAll() && !cl.processes["vm1"].holdsAll())
 		eventually(t, time.Minute, "held again", func() bool {
-			return w.controls["vm0"].holdsAll() || w.controls["vm1"].holdsAll()
+			return cl.processes["vm0"].holdsAll() || cl.processes["vm1"].holdsAll()
 		})
 		time.Sleep(time.Minute)
-		assert.Assert(t, w.controls["vm0"].holdsAll() != w.controls["vm1"].holdsAll())
+		assert.Assert(t, cl.processes["vm0"].holdsAll() != cl.processes["vm1"].holdsAll())
 	})
 }
 
-func (p *proc) holdsAll() bool {
-	scopes := p.c.Scopes()
+func (p *process) holdsAll() bool {
+	scopes := p.control.Scopes()
 	for _, s := range scopes {
 		if !s.Held {
 			return false
@@ -93,27 +93,27 @@
 // order, and the one withdrawn takes work again when the sheet says so.
 func TestWithdrawnAndRemovedEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, true)
-		defer w.close()
-		p := w.start("vm0")
+		cl := newTestCluster(t, 3, true)
+		defer cl.close()
+		p := cl.startProcess("vm0")
 		eventually(t, 15*time.Second, "held", p.holdsAll)
 		time.Sleep(5 * time.Second)
-		w.setInFlight("e1", 1)
-		w.change(func(s *sheet.Sheet) {
+		cl.setInFlight("e1", 1)
+		cl.changeSheet(func(s *sheet.Sheet) {
 			s.Engines[1].Withdrawn = true
 			s.Engines = s.Engines[:2]
 			s.Pools[0].Engines = []string{"e0", "e1"}
 		})
-		eventually(t, 5*time.Second, "drain", func() bool { return w.phase("e1") == wire.Phase_PHASE_DRAIN })
+		eventually(t, 5*time.Second, "drain", func() bool { return cl.phase("e1") == wire.Phase_PHASE_DRAIN })
 		time.Sleep(5 * time.Second)
-		w.setInFlight("e1", 0)
-		eventually(t, 5*time.Second, "withdrawn", func() bool { return w.phase("e1") == wire.Phase_PHASE_WITHDRAWN })
+		cl.setInFlight("e1", 0)
+		eventually(t, 5*time.Second, "withdrawn", func() bool { return cl.phase("e1") == wire.Phase_PHASE_WITHDRAWN })
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, p.c.Left(), 2, "the removed engine was released")
-		w.change(func(s *sheet.Sheet) { s.Engines[1].Withdrawn = false })
-		eventually(t, 10*time.Second, "open", func() bool { return w.phase("e1") == wire.Phase_PHASE_OPEN })
-		for _, e := range w.engines {
-			assert.Equal(t, len(e.ordersTaken()), 0)
+		assert.Equal(t, p.control.Left(), 2, "the removed engine was released")
+		cl.changeSheet(func(s *sheet.Sheet) { s.Engines[1].Withdrawn = false })
+		eventually(t, 10*time.Second, "open", func() bool { return cl.phase("e1") == wire.Phase_PHASE_OPEN })
+		for _, e := range cl.engines {
+			assert.Equal(t, len(e.acceptedOrders()), 0)
 		}
 	})
 }
@@ -122,17 +122,17 @@
 // over. The others must still be split between the roles.
 func TestDeadEngineDoesNotStopTheSplit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, true)
-		defer w.close()
-		w.engines["e3"].down = true
-		w.change(func(s *sheet.Sheet) {
+		cl := newTestCluster(t, 4, true)
+		defer cl.close()
+		cl.engines["e3"].down = true
+		cl.changeSheet(func(s *sheet.Sheet) {
 			s.Pools[0].Roles = sheet.Roles{Planned: true, MinPrefill: 1, MinDecode: 1}
 		})
-		w.start("vm0")
+		cl.startProcess("vm0")
 		eventually(t, 2*time.Minute, "split", func() bool {
 			n := map[driver.Role]int{}
 			for _, e := range []string{"e0", "e1", "e2"} {
-				n[w.role(e)]++
+				n[cl.role(e)]++
 			}
 			return n[driver.RolePrefill] == 1 && n[driver.RoleDecode] == 2
 		})
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -8,23 +8,23 @@
 )
 
 // publish makes the authority over engines visible to operators.
-func (s *state) publish() {
+func (s *state) publishStatus() {
 	now := s.now()
 	out := make([]status.Scope, 0, len(s.engines))
 	for name, e := range s.engines {
-		h, _ := s.auth.Get(name)
-		one := status.Scope{Engine: name, Token: h.Token}
+		h, _ := s.authority.Get(name)
+		scope := status.Scope{Engine: name, Token: h.Token}
 		if !h.Released {
-			one.Holder = h.VM
+			scope.Holder = h.VM
 		}
 		if e.token != 0 {
-			one.Held = now < e.lease.Load().until
-			one.Doing = e.step.Reason
-			if !e.known {
-				one.Doing = "engine does not answer"
+			scope.Held = now < e.lease.Load().until
+			scope.Doing = e.lastStep.Reason
+			if !e.stateRead {
+				scope.Doing = "engine does not answer"
 			}
 		}
-		out = append(out, one)
+		out = append(out, scope)
 	}
 	slices.SortFunc(out, func(a, b status.Scope) int { return strings.Compare(a.Engine, b.Engine) })
 	s.c.scopes.Store(&out)
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -21,25 +21,25 @@
 )
 
 // world is a sheet, engines, entries and control processes around one log.
-type world struct {
+type testCluster struct {
 	t       *testing.T
 	log     *logtest.Log
 	engines map[string]*fakeEngine
 
-	mu         sync.Mutex
-	view       *replica.View
-	changed    chan struct{}
-	directives map[string]*wire.Directive // at the one entry
-	inFlight   map[string]uint32
-	deaf       bool // the entry doesn't answer
-	maxAway    int
-	controls   map[string]*proc
+	mu             sync.Mutex
+	view           *replica.View
+	changed        chan struct{}
+	directives     map[string]*wire.Directive // at the one entry
+	inFlight       map[string]uint32
+	unresponsive   bool // the entry doesn't answer
+	maxUnavailable int
+	processes      map[string]*process
 }
 
-type proc struct {
-	c    *Control
-	log  *cutLog
-	stop func()
+type process struct {
+	control *Control
+	log     *cutLog
+	stop    func()
 }
 
 // cutLog cuts one process off the log.
@@ -49,7 +49,7 @@
 	cut bool
 }
 
-func (l *cutLog) set(cut bool) {
+func (l *cutLog) setCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
@@ -79,147 +79,149 @@
 	return p, err
 }
 
-func newWorld(t *testing.T, engines int, fences bool) *world {
-	w := &world{
+func newTestCluster(t *testing.T, engines int, checksFence bool) *testCluster {
+	cl := &testCluster{
 		t: t, log: logtest.New(), engines: map[string]*fakeEngine{}, changed: make(chan struct{}),
-		directives: map[string]*wire.Directive{}, inFlight: map[string]uint32{}, controls: map[string]*proc{},
+		directives: map[string]*wire.Directive{}, inFlight: map[string]uint32{}, processes: map[string]*process{},
 	}
 	s := &sheet.Sheet{Pools: []sheet.Pool{{
 		Name: "p", Model: "m", Version: "1", MaxAwayShare: 0.25, Roles: sheet.Roles{Fixed: map[string]driver.Role{}},
 	}}}
 	for i := range engines {
 		name := fmt.Sprint("e", i)
-		w.engines[name] = newFakeEngine(name, fences)
-		s.Engines = append(s.Engines, sheet.Engine{Name: name, ChecksFence: fences})
+		cl.engines[name] = newFakeEngine(name, checksFence)
+		s.Engines = append(s.Engines, sheet.Engine{Name: name, ChecksFence: checksFence})
 		s.Pools[0].Engines = append(s.Pools[0].Engines, name)
 	}
-	w.setSheet(s)
-	return w
+	cl.setSheet(s)
+	return cl
 }
 
-func (w *world) setSheet(s *sheet.Sheet) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (cl *testCluster) setSheet(s *sheet.Sheet) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	version := uint64(1)
-	if w.view != nil {
-		version = w.view.Version + 1
+	if cl.view != nil {
+		version = cl.view.Version + 1
 	}
 	entry := membership.Member{VM: driver.VM{Name: "entry", Peer: "entry"}, State: membership.Live, Incarnation: "1", Listed: true}
-	w.view = &replica.View{Ready: true, Version: version, Sheet: s, Members: []membership.Member{entry}}
-	close(w.changed)
-	w.changed = make(chan struct{})
+	cl.view = &replica.View{Ready: true, Version: version, Sheet: s, Members: []membership.Member{entry}}
+	close(cl.changed)
+	cl.changed = make(chan struct{})
 }
 
 // change publishes a changed copy of the sheet.
-func (w *world) change(f func(s *sheet.Sheet)) {
-	s := *w.View().Sheet
+func (cl *testCluster) changeSheet(f func(s *sheet.Sheet)) {
+	s := *cl.View().Sheet
 	s.Engines = slices.Clone(s.Engines)
 	s.Pools = slices.Clone(s.Pools)
 	f(&s)
-	w.setSheet(&s)
+	cl.setSheet(&s)
 }
 
-func (w *world) View() *replica.View {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.view
+func (cl *testCluster) View() *replica.View {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.view
 }
 
-func (w *world) Updated() <-chan struct{} {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.changed
+func (cl *testCluster) Updated() <-chan struct{} {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.changed
 }
 
-func (w *world) Contribute(func(*wire.Gossip)) {}
-func (w *world) OnGossip(func(*wire.Gossip))   {}
+func (cl *testCluster) Contribute(func(*wire.Gossip)) {}
+func (cl *testCluster) OnGossip(func(*wire.Gossip))   {}
 
 // Call is the one entry.
-func (w *world) Call(_ context.Context, _ string, req *wire.PeerRequest) (*wire.PeerResponse, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.deaf {
+func (cl *testCluster) Call(_ context.Context, _ string, req *wire.PeerRequest) (*wire.PeerResponse, error) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	if cl.unresponsive {
 		return nil, errors.New("no answer")
 	}
 	d := req.GetDirective()
-	old := w.directives[d.Engine]
+	old := cl.directives[d.Engine]
 	if old == nil || d.Fence > old.Fence || d.Fence == old.Fence && d.Seq > old.Seq {
-		w.directives[d.Engine] = d
+		cl.directives[d.Engine] = d
 	}
-	away := 0
-	for _, d := range w.directives {
+	unavailable := 0
+	for _, d := range cl.directives {
 		if d.Phase != wire.Phase_PHASE_OPEN {
-			away++
+			unavailable++
 		}
 	}
-	w.maxAway = max(w.maxAway, away)
-	ack := &wire.DirectiveAck{Engine: d.Engine, InFlight: w.inFlight[d.Engine]}
+	cl.maxUnavailable = max(cl.maxUnavailable, unavailable)
+	ack := &wire.DirectiveAck{Engine: d.Engine, InFlight: cl.inFlight[d.Engine]}
 	return &wire.PeerResponse{Kind: &wire.PeerResponse_DirectiveAck{DirectiveAck: ack}}, nil
 }
 
-func (w *world) phase(engine string) wire.Phase {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.directives[engine].GetPhase()
+func (cl *testCluster) phase(engine string) wire.Phase {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.directives[engine].GetPhase()
 }
 
-func (w *world) setInFlight(engine string, n uint32) {
-	w.mu.Lock()
-	w.inFlight[engine] = n
-	w.mu.Unlock()
-	w.engines[engine].with(func() { w.engines[engine].streams = int(n) })
+func (cl *testCluster) setInFlight(engine string, n uint32) {
+	cl.mu.Lock()
+	cl.inFlight[engine] = n
+	cl.mu.Unlock()
+	cl.engines[engine].withLock(func() { cl.engines[engine].streams = int(n) })
 }
 
 // start starts a control process.
-func (w *world) start(vm string, change ...func(*Options)) *proc {
-	l := &cutLog{Log: w.log}
-	dead := make(chan struct{})
+func (cl *testCluster) startProcess(vm string, change ...func(*Options)) *process {
+	l := &cutLog{Log: cl.log}
+	killed := make(chan struct{})
 	id := fmt.Sprintf("%s-%d", vm, time.Now().UnixNano())
 	client := logclient.New(logclient.Options{Log: l, Writer: id, VM: vm})
 	opt := Options{
-		Replica: w, Log: client, Peers: w, Clock: bubbleClock{}, Stream: "control", VM: vm, Incarnation: id,
-		OpenEngine: func(name string, _ driver.Target) (driver.Engine, error) { return link{w.engines[name], dead}, nil },
+		Replica: cl, Log: client, Peers: cl, Clock: fakeClock{}, Stream: "control", VM: vm, Incarnation: id,
+		OpenEngine: func(name string, _ driver.Target) (driver.Engine, error) {
+			return engineConn{cl.engines[name], killed}, nil
+		},
 	}
 	for _, f := range change {
 		f(&opt)
 	}
-	p := &proc{c: New(opt), log: l}
+	p := &process{control: New(opt), log: l}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = p.c.Run(ctx)
+		_ = p.control.Run(ctx)
 	}()
 	p.stop = sync.OnceFunc(func() {
-		close(dead)
+		close(killed)
 		cancel()
 		<-done
-		assert.NilError(w.t, client.Close())
+		assert.NilError(cl.t, client.Close())
 	})
-	w.controls[vm] = p
+	cl.processes[vm] = p
 	return p
 }
 
-func (w *world) close() {
-	for _, p := range w.controls {
+func (cl *testCluster) close() {
+	for _, p := range cl.processes {
 		p.stop()
 	}
-	for _, e := range w.engines {
-		for _, bad := range e.bad {
-			w.t.Errorf("%s: %s", e.name, bad)
+	for _, e := range cl.engines {
+		for _, bad := range e.violations {
+			cl.t.Errorf("%s: %s", e.name, bad)
 		}
 	}
 }
 
 // holders counts the engines held by each VM, as p knows it.
-func (p *proc) holders() map[string]int {
+func (p *process) holders() map[string]int {
 	out := map[string]int{}
-	for _, s := range p.c.Scopes() {
+	for _, s := range p.control.Scopes() {
 		out[s.Holder]++
 	}
 	return out
 }
 
-func openFake(w *world) func(string, driver.Target) (driver.Engine, error) {
-	return func(name string, _ driver.Target) (driver.Engine, error) { return w.engines[name], nil }
+func openFake(cl *testCluster) func(string, driver.Target) (driver.Engine, error) {
+	return func(name string, _ driver.Target) (driver.Engine, error) { return cl.engines[name], nil }
 }
--- a/internal/reconcile/next.go
+++ b/internal/reconcile/next.go
@@ -9,244 +9,244 @@
 	"fescuestand/internal/wire"
 )
 
-// Times of a planned change.
-type Times struct {
-	// MaxFlight is how long an order may be on its way.
+// Timeouts are the timeouts of a planned change of an engine.
+type Timeouts struct {
+	// MaxFlight is the longest time that an order can take to reach the engine.
 	MaxFlight time.Duration
-	// MoveAfter is how long a drain waits for streams to finish by themselves
-	// before they are moved to other engines.
+	// MoveAfter is how long a drain waits for streams to finish before they are moved to other
+	// engines.
 	MoveAfter time.Duration
-	// GiveUp is how long a drain may take. A change that can't be drained by
-	// then is postponed; streams are never cut for it.
-	GiveUp time.Duration
-	// Retry is the wait after a failed order or a postponed change.
-	Retry time.Duration
+	// DrainTimeout is the longest time that a drain may take. A change whose drain takes longer is
+	// postponed; it never aborts streams.
+	DrainTimeout time.Duration
+	// RetryDelay is the delay after a failed order or a postponed change.
+	RetryDelay time.Duration
 
-	off guardsOff
+	disabled disabledGuards
 }
 
-// guardsOff switches single guards off, so that tests can show what each one
-// is for.
-type guardsOff struct {
-	pending bool // the next order doesn't wait for the earlier one
-	drained bool // an order doesn't wait for running requests
+// disabledGuards disables individual guards, so that tests can show which fault each one prevents.
+type disabledGuards struct {
+	pending bool // send the next order without waiting for the previous one
+	drained bool // send an order without waiting for running requests
 }
 
-// DefaultTimes returns the times in use. Drafts and replies finish within
-// seconds, the longest streams in under two minutes. A failed load means a
-// weight store in trouble, which tries in quick succession would make worse.
-func DefaultTimes() Times {
-	return Times{
-		MaxFlight: 2 * time.Second,
-		MoveAfter: 10 * time.Second,
-		GiveUp:    2 * time.Minute,
-		Retry:     10 * time.Second,
+// DefaultTimeouts returns the default timeouts. Short requests (drafts and replies) finish within
+// seconds, the longest streams in less than two minutes. A failed load suggests that the weight
+// store is in trouble; immediate retries would make that worse.
+func DefaultTimeouts() Timeouts {
+	return Timeouts{
+		MaxFlight:    2 * time.Second,
+		MoveAfter:    10 * time.Second,
+		DrainTimeout: 2 * time.Minute,
+		RetryDelay:   10 * time.Second,
 	}
 }
 
-// Input is what is known about one engine now.
+// Input describes one engine as this process sees it now.
 type Input struct {
-	Now    clock.Time
-	Engine string
-	Token  uint64 // this process's fencing token for the engine
-	Want   Want
-	State  driver.EngineState
-	// ReadFrom is when the read that gave State was begun, 0 if the newest
-	// read failed.
-	ReadFrom clock.Time
-	// OrderFrom is the earliest time of an order: after a takeover the former
-	// holder's last one may still be on its way.
-	OrderFrom clock.Time
-	// AckedFrom is since when every live entry has acknowledged the present
-	// phase with nothing in flight, 0 if one has not.
-	AckedFrom clock.Time
-	MayLeave  bool // the pool's away share has room for one more
-	MayLoad   bool // the weight store has room for one more load
+	Now     clock.Time
+	Engine  string
+	Token   uint64 // this process's fencing token for the engine
+	Desired DesiredState
+	State   driver.EngineState
+	// ReadStart is when the read that returned State was started, 0 if the newest read failed.
+	ReadStart clock.Time
+	// OrderNotBefore is the earliest time to send an order: after a takeover the last order of the
+	// previous holder may still arrive.
+	OrderNotBefore clock.Time
+	// AckedSince is the time since which every entry has acknowledged the current phase and
+	// reported no requests in flight, 0 if any entry hasn't.
+	AckedSince    clock.Time
+	ChangeAllowed bool // the pool's unavailability limit allows one more engine to change
+	LoadAllowed   bool // the weight store has capacity for one more load
 }
 
-// Pending is an order that may be on its way or under way.
-type Pending struct {
-	Order    driver.Order
-	Answered clock.Time // when the driver returned, well or not
+// PendingOrder is an order that may still arrive or be executing.
+type PendingOrder struct {
+	Order      driver.Order
+	ReturnedAt clock.Time // when the driver's call returned, with or without an error
 }
 
-// Memory is what isn't read from the engine. The zero value is a start.
-type Memory struct {
-	Phase       wire.Phase
-	Since       clock.Time // when the drain began
-	Pending     *Pending
-	Orders      int        // sent under the present token
-	NotBefore   clock.Time // of the next planned change
-	unloadFirst bool
+// Reconciler drives one engine to its desired state. It holds only what can't be read from the
+// engine. The zero value is ready to use.
+type Reconciler struct {
+	Phase           wire.Phase
+	DrainStart      clock.Time // start of the drain
+	Pending         *PendingOrder
+	OrdersSent      int        // number of orders sent under the current token
+	ChangeNotBefore clock.Time // earliest start of the next planned change
+	unloadFirst     bool
 }
 
-// Step is what to do now: keep the phase in force at the entries, and send the
-// order if there is one. Reason says why, for people.
+// Step is the result of one pass: the phase that the entries should apply, and the order to send,
+// if any. Reason explains the step to operators.
 type Step struct {
 	Phase  wire.Phase
 	Order  *driver.Order
 	Reason string
 }
 
-// Next returns the next step and changes the memory accordingly. It must not
-// be called while an order that it returned is with the driver; see Sent.
-func (m *Memory) Next(in *Input, t *Times) Step {
-	if in.ReadFrom == 0 {
-		return m.keep("engine does not answer")
+// Next returns the next step and updates the reconciler. It must not be called between returning an
+// order and RecordSendResult for that order.
+func (r *Reconciler) Next(in *Input, t *Timeouts) Step {
+	if in.ReadStart == 0 {
+		return r.keepPhase("engine does not answer")
 	}
-	if wait := m.settlePending(in, t); wait != "" {
-		return m.keep(wait)
+	if reason := r.resolvePending(in, t); reason != "" {
+		return r.keepPhase(reason)
 	}
 	if in.State.Changing {
-		m.Phase = wire.Phase_PHASE_AWAY
-		return m.keep("carries out an order")
+		r.Phase = wire.Phase_PHASE_AWAY
+		return r.keepPhase("engine is executing an order")
 	}
-	if in.Want.Withdrawn {
-		return m.withdraw(in, t)
+	if in.Desired.Withdrawn {
+		return r.withdraw(in, t)
 	}
-	orders := Diff(&in.Want, &in.State, m.unloadFirst)
+	orders := Diff(&in.Desired, &in.State, r.unloadFirst)
 	if len(orders) == 0 {
-		m.unloadFirst = false
-		return m.open("")
+		r.unloadFirst = false
+		return r.openPhase("")
 	}
-	if wait := m.blocked(in, &orders[0]); wait != "" {
-		return m.open(wait)
+	if reason := r.blockedReason(in, &orders[0]); reason != "" {
+		return r.openPhase(reason)
 	}
-	if in.Now < in.OrderFrom {
-		return m.keep("the former holder's orders may be on their way")
+	if in.Now < in.OrderNotBefore {
+		return r.keepPhase("waiting until no order of the previous holder can arrive")
 	}
-	if !m.drained(in) && !t.off.drained {
-		return m.drain(in, t)
+	if !r.drained(in) && !t.disabled.drained {
+		return r.drain(in, t)
 	}
-	return m.order(in, orders[0])
+	return r.issueOrder(in, orders[0])
 }
 
-func (m *Memory) keep(reason string) Step { return Step{Phase: m.Phase, Reason: reason} }
+func (r *Reconciler) keepPhase(reason string) Step { return Step{Phase: r.Phase, Reason: reason} }
 
-func (m *Memory) open(reason string) Step {
-	m.Phase = wire.Phase_PHASE_OPEN
-	return m.keep(reason)
+func (r *Reconciler) openPhase(reason string) Step {
+	r.Phase = wire.Phase_PHASE_OPEN
+	return r.keepPhase(reason)
 }
 
-// settlePending says what to wait for before the next order.
+// resolvePending returns the reason to wait before the next order, or "" if there is none.
 //
-// Failure: an order's answer is lost; the next order goes out while the first
-// is still carried out, or arrives before it. The engine then holds two
-// conflicting orders. The next waits until the engine, read after the answer,
-// names the order and is done with it, or until the order can't arrive any
-// more and the engine doesn't know it: it was lost, or the engine crashed.
-func (m *Memory) settlePending(in *Input, t *Times) string {
-	p := m.Pending
+// It guards against this failure: the answer to an order is lost, and the next order is sent while
+// the first is still executing, or overtakes it. The engine then has two conflicting orders. So the
+// next order waits until a state read after the driver's call returned shows that the engine has
+// finished the pending order. If the engine doesn't report that order and MaxFlight has passed, the
+// order was lost or the engine crashed.
+func (r *Reconciler) resolvePending(in *Input, t *Timeouts) string {
+	p := r.Pending
 	switch {
-	case p == nil || t.off.pending:
+	case p == nil || t.disabled.pending:
 		return ""
-	case in.ReadFrom <= p.Answered:
-		return "waits for the engine's state"
+	case in.ReadStart <= p.ReturnedAt:
+		return "waiting for a new read of the engine's state"
 	case in.State.Changing:
-		return "carries out " + describe(&p.Order)
+		return "engine is executing " + describeOrder(&p.Order)
 	case in.State.LastOrder == p.Order.ID:
 		if !inEffect(&p.Order, &in.State) {
-			m.failed(in.Now, t, &p.Order)
+			r.recordFailure(in.Now, t, &p.Order)
 		}
-	case in.ReadFrom < p.Answered.Add(t.MaxFlight):
-		return "an order may be on its way"
+	case in.ReadStart < p.ReturnedAt.Add(t.MaxFlight):
+		return "waiting: the last order may still arrive"
 	}
-	m.Pending = nil
+	r.Pending = nil
 	return ""
 }
 
-// failed spaces the tries of an order that the engine took and couldn't do.
-func (m *Memory) failed(now clock.Time, t *Times, o *driver.Order) {
-	m.NotBefore = now.Add(t.Retry)
+// recordFailure delays the next change after the engine accepted an order but failed to execute it.
+// A failed load also toggles unloadFirst: the engine may lack memory for old and new weights at the
+// same time.
+func (r *Reconciler) recordFailure(now clock.Time, t *Timeouts, o *driver.Order) {
+	r.ChangeNotBefore = now.Add(t.RetryDelay)
 	if o.Kind == driver.OrderLoad {
-		m.unloadFirst = !m.unloadFirst
+		r.unloadFirst = !r.unloadFirst
 	}
 }
 
-// blocked says why a change may not begin; one that has begun goes on.
-func (m *Memory) blocked(in *Input, first *driver.Order) string {
+// blockedReason returns why a change may not start, or "". A change that has started continues.
+func (r *Reconciler) blockedReason(in *Input, first *driver.Order) string {
 	switch {
-	case in.Now < m.NotBefore:
-		return "waits to try again"
-	case m.Phase != wire.Phase_PHASE_OPEN:
+	case in.Now < r.ChangeNotBefore:
+		return "waiting to retry"
+	case r.Phase != wire.Phase_PHASE_OPEN:
 		return ""
-	case !in.MayLeave:
-		return "the pool's away share is used up"
-	case first.Kind == driver.OrderLoad && !in.MayLoad:
-		return "the weight store is busy"
+	case !in.ChangeAllowed:
+		return "the pool's limit of unavailable engines is reached"
+	case first.Kind == driver.OrderLoad && !in.LoadAllowed:
+		return "waiting for the weight store"
 	}
 	return ""
 }
 
-// drained reports whether nothing can run on the engine any more.
+// drained reports whether no request can be running on the engine any more.
 //
-// Failure: a role change cuts streams off. Entries that acknowledged the drain
-// with nothing in flight send no new work; the engine's own count, read after
-// the last acknowledgement, covers what an entry that can't be reached still
-// runs there.
-func (m *Memory) drained(in *Input) bool {
+// It keeps a role change from aborting running streams. Entries that acknowledged the drain with
+// nothing in flight send no new work. The engine's own request count, read after the last
+// acknowledgement, covers requests of entries that can't be reached.
+func (r *Reconciler) drained(in *Input) bool {
 	idle := in.State.Running == 0 && in.State.Queued == 0
-	return m.Phase != wire.Phase_PHASE_OPEN && idle && in.AckedFrom > 0 && in.ReadFrom > in.AckedFrom
+	return r.Phase != wire.Phase_PHASE_OPEN && idle && in.AckedSince > 0 && in.ReadStart > in.AckedSince
 }
 
-// drain goes on with taking the work off the engine, within its time.
-func (m *Memory) drain(in *Input, t *Times) Step {
-	if m.Phase == wire.Phase_PHASE_OPEN {
-		m.Phase, m.Since = wire.Phase_PHASE_DRAIN, in.Now
+// drain starts or continues the drain, and postpones the change when DrainTimeout has passed.
+func (r *Reconciler) drain(in *Input, t *Timeouts) Step {
+	if r.Phase == wire.Phase_PHASE_OPEN {
+		r.Phase, r.DrainStart = wire.Phase_PHASE_DRAIN, in.Now
 	}
-	waited := in.Now.Sub(m.Since)
+	elapsed := in.Now.Sub(r.DrainStart)
 	switch {
-	case waited > t.GiveUp && !in.Want.Withdrawn:
-		m.NotBefore = in.Now.Add(t.Retry)
-		return m.open(fmt.Sprintf("change postponed: %d requests still run after %s", in.State.Running, t.GiveUp))
-	case waited > t.MoveAfter:
-		m.Phase = wire.Phase_PHASE_MOVE
-	case m.Phase == wire.Phase_PHASE_AWAY:
-		m.Phase = wire.Phase_PHASE_DRAIN
+	case elapsed > t.DrainTimeout && !in.Desired.Withdrawn:
+		r.ChangeNotBefore = in.Now.Add(t.RetryDelay)
+		return r.openPhase(fmt.Sprintf("change postponed: %d requests still running after %s", in.State.Running, t.DrainTimeout))
+	case elapsed > t.MoveAfter:
+		r.Phase = wire.Phase_PHASE_MOVE
+	case r.Phase == wire.Phase_PHASE_AWAY:
+		r.Phase = wire.Phase_PHASE_DRAIN
 	}
-	return m.keep(fmt.Sprintf("drains: %d running, %d queued", in.State.Running, in.State.Queued))
+	return r.keepPhase(fmt.Sprintf("draining: %d running, %d queued", in.State.Running, in.State.Queued))
 }
 
-func (m *Memory) withdraw(in *Input, t *Times) Step {
-	if m.drained(in) {
-		m.Phase = wire.Phase_PHASE_WITHDRAWN
-		return m.keep("withdrawn")
+func (r *Reconciler) withdraw(in *Input, t *Timeouts) Step {
+	if r.drained(in) {
+		r.Phase = wire.Phase_PHASE_WITHDRAWN
+		return r.keepPhase("withdrawn")
 	}
-	if m.Phase == wire.Phase_PHASE_WITHDRAWN {
-		return m.keep("withdrawn")
+	if r.Phase == wire.Phase_PHASE_WITHDRAWN {
+		return r.keepPhase("withdrawn")
 	}
-	return m.drain(in, t)
+	return r.drain(in, t)
 }
 
-func (m *Memory) order(in *Input, o driver.Order) Step {
-	m.Orders++
-	o.ID = fmt.Sprintf("%s-%d-%d", in.Engine, in.Token, m.Orders)
+func (r *Reconciler) issueOrder(in *Input, o driver.Order) Step {
+	r.OrdersSent++
+	o.ID = fmt.Sprintf("%s-%d-%d", in.Engine, in.Token, r.OrdersSent)
 	o.Fence = in.Token
-	m.Phase = wire.Phase_PHASE_AWAY
-	m.Pending = &Pending{Order: o}
-	return Step{Phase: m.Phase, Order: &o, Reason: describe(&o)}
+	r.Phase = wire.Phase_PHASE_AWAY
+	r.Pending = &PendingOrder{Order: o}
+	return Step{Phase: r.Phase, Order: &o, Reason: describeOrder(&o)}
 }
 
-// Sent tells how the order returned by Next went: certain is true if it can't
-// have reached the engine and never will.
-func (m *Memory) Sent(now clock.Time, certain bool, t *Times) {
-	if m.Pending == nil {
+// RecordSendResult records the outcome of sending the order that Next returned. undelivered is true
+// if the order hasn't reached the engine and never will.
+func (r *Reconciler) RecordSendResult(now clock.Time, undelivered bool, t *Timeouts) {
+	if r.Pending == nil {
 		return
 	}
-	m.Pending.Answered = now
-	if certain {
-		m.Pending = nil
-		m.NotBefore = now.Add(t.Retry)
+	r.Pending.ReturnedAt = now
+	if undelivered {
+		r.Pending = nil
+		r.ChangeNotBefore = now.Add(t.RetryDelay)
 	}
 }
 
-// Idle reports whether the engine can be handed over to another process: no
-// order of this one can be under way and no change has begun.
-func (m *Memory) Idle() bool {
-	return m.Pending == nil && (m.Phase == wire.Phase_PHASE_OPEN || m.Phase == wire.Phase_PHASE_WITHDRAWN)
+// Idle reports whether authority over the engine can be handed to another process: no order of this
+// process can be pending and no change has started.
+func (r *Reconciler) Idle() bool {
+	return r.Pending == nil && (r.Phase == wire.Phase_PHASE_OPEN || r.Phase == wire.Phase_PHASE_WITHDRAWN)
 }
 
-func describe(o *driver.Order) string {
+func describeOrder(o *driver.Order) string {
 	if o.Kind == driver.OrderRole {
 		return "role " + string(o.Role)
 	}
--- a/internal/reconcile/pace.go
+++ b/internal/reconcile/pace.go
@@ -7,27 +7,26 @@
 	"fescuestand/internal/clock"
 )
 
-// LoadPacer spaces the loads that one process orders, so that the engines
-// together ask the rate-limited weight store for no more than it gives.
+// LoadPacer spaces the loads that one process orders, so that all engines together stay within the
+// rate limit of the weight store.
 //
-// Failure: an availability zone returns, all its engines come back empty and
-// all ask for their weights at once. The store splits its rate among them and
-// none serves until all do. One after the other, the first serves after a
-// fraction of that time.
+// It guards against slow recovery of an availability zone: all engines of the zone restart empty
+// and request their weights at the same time, the store divides its bandwidth among them, and none
+// can serve until all have loaded. With sequential loads the first engine serves after a fraction
+// of that time.
 type LoadPacer struct {
-	until clock.Time // the store is busy with what was ordered before
+	busyUntil clock.Time // end of the loads reserved so far
 }
 
-// Free reports whether the store has room for one more load.
-func (p *LoadPacer) Free(now clock.Time) bool { return now >= p.until }
+// Available reports whether the store has capacity for one more load.
+func (p *LoadPacer) Available(now clock.Time) bool { return now >= p.busyUntil }
 
-// Took notes a load of so many bytes at this process's share of the store's
-// rate. The jitter of up to a tenth keeps processes from meeting at the store
-// again and again.
-func (p *LoadPacer) Took(now clock.Time, bytes, bytesPerSecond int64) {
+// Reserve accounts for a load of the given size at this process's share of the store's rate. The
+// jitter of up to a tenth keeps processes from loading in step with each other.
+func (p *LoadPacer) Reserve(now clock.Time, bytes, bytesPerSecond int64) {
 	if bytes <= 0 || bytesPerSecond <= 0 {
 		return
 	}
-	d := time.Duration(float64(bytes) / float64(bytesPerSecond) * float64(time.Second))
-	p.until = max(now, p.until).Add(d + rand.N(d/10+1))
+	duration := time.Duration(float64(bytes) / float64(bytesPerSecond) * float64(time.Second))
+	p.busyUntil = max(now, p.busyUntil).Add(duration + rand.N(duration/10+1))
 }
--- a/internal/reconcile/want.go
+++ b/internal/reconcile/want.go
@@ -1,12 +1,15 @@
-// Package reconcile decides what one engine needs next: work taken off it, an
-// order, or patience. It compares what the sheet and the role planner want
-// with what the engine says of itself, and remembers only what it can't read
-// there: the order on its way and the phase of the planned change.
+// Package reconcile computes the next step that brings one engine to its desired state: drain it,
+// send it an order, or wait.
 //
-// It is level-triggered. Nothing follows from an order having been sent; the
-// engine's own state, read after the order, is what counts. So a crash of the
-// engine in the middle of a change and a crash of the process that ordered it
-// are found in the same way, and the change is finished once.
+// It compares the desired state, which comes from the sheet and the role planner, with the state
+// that the engine reports. It stores only what the engine can't report: the pending order and the
+// phase of the planned change.
+//
+// Reconciliation is level-triggered: sending an order proves nothing, only the engine's state read
+// after the order counts. So a crash of the engine during a change and a crash of the process that
+// ordered it are handled in the same way, and the change takes effect once.
+//
+// A Reconciler is not safe for concurrent use.
 package reconcile
 
 import (
@@ -16,64 +19,64 @@
 	"fescuestand/internal/sheet"
 )
 
-// Want is what the sheet and the role planner ask of one engine.
-type Want struct {
+// DesiredState is the state of one engine that the sheet and the role planner ask for.
+type DesiredState struct {
 	Role      driver.Role
-	Load      []driver.Loaded // the model first, then its adapters
+	Loaded    []driver.Loaded // the model first, then its adapters
 	Withdrawn bool
 }
 
-// WantOf returns what a pool asks of its engine in the given role.
-func WantOf(p *sheet.Pool, e *sheet.Engine, role driver.Role) Want {
-	w := Want{Role: role, Withdrawn: e.Withdrawn}
-	w.Load = append(w.Load, driver.Loaded{Model: p.Model, Version: p.Version})
+// DesiredStateFor returns the desired state of an engine of pool p with the given role.
+func DesiredStateFor(p *sheet.Pool, e *sheet.Engine, role driver.Role) DesiredState {
+	desired := DesiredState{Role: role, Withdrawn: e.Withdrawn}
+	desired.Loaded = append(desired.Loaded, driver.Loaded{Model: p.Model, Version: p.Version})
 	for _, a := range p.Adapters {
-		w.Load = append(w.Load, driver.Loaded{Model: p.Model, Version: a.Version, Adapter: a.Name})
+		desired.Loaded = append(desired.Loaded, driver.Loaded{Model: p.Model, Version: a.Version, Adapter: a.Name})
 	}
-	return w
+	return desired
 }
 
-// Diff returns the orders, without ids and tokens, that bring an engine from
-// its state to what is wanted, in the order to send them.
+// Diff returns the orders, without IDs and tokens, that bring an engine from its current state to
+// the desired one, in the order in which to send them.
 //
-// What is new is loaded before the old is unloaded, so that a failure of the
-// weight store leaves the engine serving. unloadFirst turns that round for an
-// engine that has no memory for both.
-func Diff(w *Want, s *driver.EngineState, unloadFirst bool) []driver.Order {
-	var load, unload, out []driver.Order
-	for _, l := range w.Load {
-		if !slices.Contains(s.Loaded, l) {
-			load = append(load, driver.Order{Kind: driver.OrderLoad, Load: l})
+// New models and adapters are loaded before old ones are unloaded, so that a failure of the weight
+// store leaves the engine serving. unloadFirst reverses that for an engine without enough memory
+// for both.
+func Diff(desired *DesiredState, state *driver.EngineState, unloadFirst bool) []driver.Order {
+	var toLoad, toUnload, out []driver.Order
+	for _, l := range desired.Loaded {
+		if !slices.Contains(state.Loaded, l) {
+			toLoad = append(toLoad, driver.Order{Kind: driver.OrderLoad, Load: l})
 		}
 	}
-	for _, l := range s.Loaded {
-		if !slices.Contains(w.Load, l) {
-			unload = append(unload, driver.Order{Kind: driver.OrderUnload, Load: l})
+	for _, l := range state.Loaded {
+		if !slices.Contains(desired.Loaded, l) {
+			toUnload = append(toUnload, driver.Order{Kind: driver.OrderUnload, Load: l})
 		}
 	}
 	if unloadFirst {
-		out = append(unload, load...)
+		out = append(toUnload, toLoad...)
 	} else {
-		out = append(load, unload...)
+		out = append(toLoad, toUnload...)
 	}
-	if w.Role != "" && w.Role != s.Role {
-		out = append(out, driver.Order{Kind: driver.OrderRole, Role: w.Role})
+	if desired.Role != "" && desired.Role != state.Role {
+		out = append(out, driver.Order{Kind: driver.OrderRole, Role: desired.Role})
 	}
 	return out
 }
 
-// inEffect reports whether an engine's state shows an order's effect.
-func inEffect(o *driver.Order, s *driver.EngineState) bool {
+// inEffect reports whether an engine's state shows the effect of an order.
+func inEffect(o *driver.Order, state *driver.EngineState) bool {
 	switch o.Kind {
 	case driver.OrderRole:
-		return s.Role == o.Role
+		return state.Role == o.Role
 	case driver.OrderLoad:
-		return slices.Contains(s.Loaded, o.Load)
+		return slices.Contains(state.Loaded, o.Load)
 	default:
-		return !slices.Contains(s.Loaded, o.Load)
+		return !slices.Contains(state.Loaded, o.Load)
 	}
 }
 
-// AwayLimit returns how many of n engines planned changes may take away at
-// once. At least one may always go, or a small pool could never change.
-func AwayLimit(n int, share float64) int { return max(1, int(share*float64(n))) }
+// MaxUnavailable returns how many of n engines planned changes may make unavailable at the same
+// time. It is at least one, as otherwise a small pool could never change.
+func MaxUnavailable(n int, share float64) int { return max(1, int(share*float64(n))) }
