--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -11,10 +11,10 @@
 	"fescuestand/internal/wire"
 )
 
-// event is one input of the owner goroutine.
+// event is an input of the owner goroutine.
 type event interface{ apply(s *state) }
 
-// appended carries items of the control stream and when they were read.
+// streamItems carries items read from the control stream and the time at which they were read.
 type streamItems struct {
 	items  []logclient.Item
 	readAt clock.Time
@@ -39,8 +39,9 @@
 	}
 }
 
-// touch notes the scopes whose lease an item may change here. Renewals of
-// others change none, so that their cost doesn't grow with the fleet.
+// addAffectedScopes adds the scopes whose lease may change in this process because of an item.
+// Renewals of other processes change none; skipping them keeps their cost independent of the size
+// of the fleet.
 func (s *state) addAffectedScopes(affected map[string]bool, it *logclient.Item) {
 	for _, c := range it.Entry.GetClaim().GetScopes() {
 		affected[c.Scope] = true
@@ -55,14 +56,14 @@
 	}
 }
 
-// beat is this process's renewal: one append carries the heartbeat with the
-// claims and releases of the moment.
+// renewalState is the state of this process's lease renewals. One append carries the heartbeat
+// together with the claims and releases that are due.
 type renewalState struct {
-	lastAppend     clock.Time // when the newest append was begun
+	lastAppend     clock.Time // start of the newest append
 	appending      bool
-	claimNotBefore clock.Time // claims begin then: the other processes are known
-	liveVMs        []string   // VMs whose control processes can take engines
-	// prefers is since when another process is preferred for a pool.
+	claimNotBefore clock.Time // no claims before this time, as other processes aren't tracked yet
+	liveVMs        []string   // VMs whose control processes can take over engines
+	// preferences holds, by pool, the VM that the pool currently prefers.
 	preferences map[string]preference
 }
 
@@ -72,17 +73,15 @@
 }
 
 const (
-	// stableAfter is how long another process must be preferred before a pool
-	// is handed over to it: a process that starts and fails at once must not
-	// move engines twice.
+	// minPreferenceAge is how long a pool must prefer another process before this one releases it:
+	// a process that starts and fails at once must not cause two moves of the engines.
 	minPreferenceAge = 5 * time.Second
-	// rankDelay is how long each less preferred process waits longer with its
-	// claim, so that usually one claims.
+	// claimDelayPerRank is the additional delay of a claim for each process that the pool prefers
+	// to this one, so that usually only one process claims.
 	claimDelayPerRank = time.Second
 )
 
-// renewLeases appends a heartbeat when it is time, or when there is something
-// to claim or to hand over.
+// renewLeases appends a heartbeat when one is due or when there are scopes to claim or release.
 func (s *state) renewLeases() {
 	now := s.now()
 	if !s.authority.Established() || !s.opt.Log.Progress(s.opt.Stream).Read {
@@ -121,7 +120,7 @@
 	})
 }
 
-// beaten ends an append of the control stream.
+// renewalAppended is the result of an append to the control stream.
 type renewalAppended struct {
 	startedAt clock.Time
 	seq       uint64
@@ -143,11 +142,11 @@
 		}
 	}
 	if e.err != nil {
-		log.WithError(e.err).WithField("stream", s.opt.Stream).Warn("renewal not confirmed")
+		log.WithError(e.err).WithField("stream", s.opt.Stream).Warn("lease renewal not confirmed")
 	}
 }
 
-// takeAuthority brings every engine's lease in line with the stream.
+// updateAllLeases updates the leases of all engines from the folded control stream.
 func (s *state) updateAllLeases() {
 	for name := range s.engines {
 		s.updateLease(name)
@@ -155,7 +154,7 @@
 	s.updateHeldCount()
 }
 
-// takeScope brings one engine's lease in line with the stream.
+// updateLease updates the lease of one engine from the folded control stream.
 func (s *state) updateLease(name string) {
 	e := s.engines[name]
 	if e == nil {
@@ -173,13 +172,13 @@
 	s.c.heldScopes.Store(int64(len(s.authority.HeldBy(s.opt.Incarnation))))
 }
 
-// setLease notes an engine's token and the end of its lease. A new token is a
-// takeover: what was known of the engine before doesn't count any more.
+// setLease stores an engine's token and the end of its lease. A new token means a takeover, which
+// discards what was recorded about the engine.
 //
-// Failure: the answer to a release is lost and the process goes on giving
-// orders, while the release stands in the log and another process claims. From
-// the sending of a release on the engine counts as given up, until a later
-// renewal in the log proves that the release is dead.
+// It guards against this failure: the answer to a release is lost and the process continues to send
+// orders, while the release is in the log and another process claims the engine. So an engine
+// counts as released from the moment the release is sent, until a later renewal in the log proves
+// that the release can't take effect any more.
 func (s *state) setLease(e *engine, token uint64, until clock.Time) {
 	if e.releasingToken != 0 && token == e.releasingToken {
 		if e.releaseSeq != nil && s.tracker.Overtaken(*e.releaseSeq) {
@@ -197,10 +196,10 @@
 	e.resetForToken(now, token, now.Add(s.firstOrderDelay(e)))
 }
 
-// orderWait is how long the first order waits after a takeover. At an engine
-// that ignores tokens the claim has waited already. At one that checks them
-// the former holder's last order is refused only once a newer one came, so
-// the first order of the new holder must not cross it.
+// firstOrderDelay returns how long the first order waits after a takeover. For an engine that
+// ignores tokens the claim has already waited. An engine that checks them refuses the last order of
+// the previous holder only after it has received a newer token, so the first order of the new
+// holder must not race with that order.
 func (s *state) firstOrderDelay(e *engine) time.Duration {
 	if !e.spec.ChecksFence && !e.readded {
 		return 0
@@ -208,7 +207,7 @@
 	return s.opt.Lease.MaxFlight
 }
 
-// wantedClaims returns the scopes that this process should claim now.
+// scopesToClaim returns the scopes that this process should claim now.
 func (s *state) scopesToClaim(now clock.Time) []*wire.ScopeClaim {
 	if s.c.leaving.Load() || now < s.renewal.claimNotBefore || s.renewal.lastAppend == 0 {
 		return nil
@@ -236,11 +235,10 @@
 	return out
 }
 
-// wantedReleases returns the scopes to hand over: those of engines that the
-// sheet no longer names, and those of pools that another process is preferred
-// for. Only engines at rest are handed over, since whoever claims a released
-// engine doesn't wait; one that left the sheet counts as at rest once no order
-// can be on its way.
+// scopesToRelease returns the scopes to release: those of engines that were removed from the sheet,
+// and those of pools that prefer another process. Only idle engines are released, as the next
+// holder claims a released engine without waiting. An engine that was removed from the sheet counts
+// as idle once no order to it can be in flight.
 func (s *state) scopesToRelease(now clock.Time) []string {
 	var out []string
 	for _, name := range s.authority.HeldBy(s.opt.Incarnation) {
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -12,7 +12,8 @@
 	"fescuestand/internal/wire"
 )
 
-// owned is how many engines the measured process holds: 4,300 over 420 nodes.
+// benchHeldEngines is the number of engines that the measured process holds: 4,300 engines over 420
+// nodes.
 const benchHeldEngines = 10
 
 func benchState(b *testing.B, n int) *state {
@@ -55,8 +56,8 @@
 	}
 }
 
-// BenchmarkTick tells what one tick of the owner costs, four of which come a
-// second, with ten engines held and at rest.
+// BenchmarkTick measures one tick of the owner, which runs four times a second, with ten idle
+// engines held.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{15, 400, 4300} {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// BenchmarkRenewalRead tells what reading one renewal of another process costs.
+// BenchmarkRenewalRead measures reading one renewal of another process.
 func BenchmarkRenewalRead(b *testing.B) {
 	for _, n := range []int{15, 400, 4300} {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -15,7 +15,7 @@
 	"fescuestand/internal/wire"
 )
 
-// still is a copy of the shared state that never changes.
+// staticReplica is a replica whose view never changes.
 type staticReplica struct{ view *replica.View }
 
 func (s staticReplica) View() *replica.View           { return s.view }
@@ -23,9 +23,8 @@
 func (s staticReplica) Contribute(func(*wire.Gossip)) {}
 func (s staticReplica) OnGossip(func(g *wire.Gossip)) {}
 
-// atRest returns the state of a process that holds a pool of n engines, all as
-// the sheet wants them, whose directives every one of the entries has
-// acknowledged.
+// newIdleState returns the state of a process that holds a pool of n engines, all in their desired
+// state, whose directives all entries have acknowledged.
 func newIdleState(n, entries int) *state {
 	view := &replica.View{Ready: true, Version: 1, Sheet: &sheet.Sheet{}}
 	pool := sheet.Pool{Name: "p", Model: "m", Version: "1", MaxAwayShare: 0.2}
@@ -66,9 +65,9 @@
 	}
 }
 
-// BenchmarkTickAtRest gives what one of the four ticks a second costs the
-// holder of a whole pool in which nothing changes. BenchmarkTick holds ten
-// engines, as if authority were spread over all nodes; it goes by pool.
+// BenchmarkTickAtRest measures one of the four ticks a second of a process that holds a whole pool
+// in which nothing changes. BenchmarkTick holds ten engines, as if engines were spread over all
+// nodes; in fact a process holds whole pools.
 func BenchmarkTickAtRest(b *testing.B) {
 	for _, size := range []struct{ engines, entries int }{{12, 8}, {12, 40}, {36, 8}, {36, 40}, {120, 12}, {287, 420}} {
 		b.Run(fmt.Sprintf("engines=%d/entries=%d", size.engines, size.entries), func(b *testing.B) {
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -21,18 +21,17 @@
 	chaosEngines   = 5 // engines, every other one ignores tokens
 	chaosProcesses = 3
 	chaosSettle    = 3 * time.Minute
-	// maxUnguarded is how many seeds may pass before the test without its guard
-	// must have found a fault; the first ten usually do.
+	// maxUnguardedSeeds is the maximum number of seeds that the test with the guard disabled may
+	// need to find a fault; the first ten are usually enough.
 	maxUnguardedSeeds = 60
 )
 
-// Story: processes are killed and started again, cut off from the log, frozen
-// with orders in their hands; appends are lost, doubled and late; engines crash
-// in the middle of changes; entries don't answer; operators change the sheet
-// all the while; the log drops its records. No engine may ever hold two orders,
-// take one from a former holder or cut a stream, and once the faults end the
-// fleet matches the sheet.
-func TestAnyFaultsTogether(t *testing.T) {
+// Runs random faults together: processes are killed and restarted, cut off from the log, or frozen
+// while sending orders; appends are lost, duplicated and delayed; engines crash during changes;
+// entries don't answer; operators change the sheet at the same time; the log drops its records. No
+// engine may ever have two orders, accept one from a previous holder or abort a stream, and the
+// fleet must match the sheet after the faults end.
+func TestRandomFaultsTogether(t *testing.T) {
 	for seed := range uint64(chaosSeeds) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { runChaos(t, seed) })
@@ -71,14 +70,14 @@
 	return c.engines[fmt.Sprint("e", c.rng.IntN(chaosEngines))]
 }
 
-func (c *chaos) pickProc() (string, *process) {
+func (c *chaos) pickProcess() (string, *process) {
 	vm := fmt.Sprint("vm", c.rng.IntN(chaosProcesses))
 	return vm, c.processes[vm]
 }
 
 func (c *chaos) step() {
 	e := c.pickEngine()
-	vm, p := c.pickProc()
+	vm, p := c.pickProcess()
 	switch c.rng.IntN(15) {
 	case 0:
 		p.stop()
@@ -121,8 +120,7 @@
 	}
 }
 
-// stream starts a request of up to half a minute, if the entry thinks that the
-// engine takes work.
+// startStream starts a request of up to 30 seconds if the entry has recorded the engine as open.
 func (c *chaos) startStream(e *fakeEngine) {
 	if c.phase(e.name) != wire.Phase_PHASE_OPEN {
 		return
@@ -137,7 +135,7 @@
 	cl.unresponsive = unresponsive
 }
 
-// wake lets the frozen orders go on.
+// resumeOrders resumes the stalled orders.
 func (c *chaos) resumeOrders() {
 	for _, s := range c.stalls {
 		close(s)
@@ -172,9 +170,9 @@
 	return true
 }
 
-// The same faults with the permit off must be seen to break an engine: else
-// the test above shows nothing.
-func TestAnyFaultsTogetherNeedThePermit(t *testing.T) {
+// The same faults with the lease check disabled must break an engine; otherwise the test above
+// proves nothing.
+func TestRandomFaultsWithLeaseCheckDisabled(t *testing.T) {
 	violations := 0
 	for seed := uint64(0); seed < maxUnguardedSeeds && violations == 0; seed++ {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/control/checkpoint.go
+++ b/internal/control/checkpoint.go
@@ -12,23 +12,22 @@
 	"fescuestand/internal/wire"
 )
 
-// checkpointer spaces this process's checkpoints of the control stream.
+// checkpointState schedules this process's checkpoints of the control stream.
 type checkpointState struct {
 	due          clock.Time
 	scheduled    bool
 	writing      bool
-	unknownSince clock.Time // since when no state is known, with jitter
+	unknownSince clock.Time // since when the authority state has been unknown, plus jitter
 }
 
-// beginAfter is how long nobody may have renewed before the state begins anew:
-// several leases, and long enough for a process that knows the state to write
-// its checkpoint.
+// resetAfter is how long no process may have renewed before the authority state is reset: several
+// leases, and long enough for a process that has the state to write its checkpoint.
 const resetAfter = 30 * time.Second
 
-// checkpointSpread is over how long the processes spread their turns.
+// checkpointJitter is the interval over which the processes spread their checkpoints.
 const checkpointJitter = 10 * time.Second
 
-// checkpoint writes the holdings again when that is due; see
+// checkpoint writes the authority state to the control stream when that is due; see
 // logclient.CheckpointDue.
 func (s *state) checkpoint() {
 	p := s.opt.Log.Progress(s.opt.Stream)
@@ -53,10 +52,9 @@
 	s.writeCheckpoint(s.authority.Checkpoint())
 }
 
-// beginAnew ends the state in which no process can know who holds what: the
-// stream was read to its end, holds no checkpoint that can be used, and nobody
-// has renewed for long, so nobody else knows either. See
-// fold.Authority for the failure.
+// resetAuthority resets the authority state when no process can have it: the stream was read to its
+// end, it contains no usable checkpoint, and no process has renewed for resetAfter. Without the reset
+// no process could ever claim an engine again; see fold.Authority.
 func (s *state) resetAuthority(p logclient.Progress) {
 	now := s.now()
 	if !p.Fresh() || s.ckpt.writing {
@@ -69,7 +67,7 @@
 	if now.Sub(s.ckpt.unknownSince) < resetAfter || s.tracker.AnyRecent(now) {
 		return
 	}
-	log.WithField("stream", s.opt.Stream).WithField("code", int(code.LogExpired)).Warn("no state is known to anyone, beginning anew")
+	log.WithField("stream", s.opt.Stream).WithField("code", int(code.LogExpired)).Warn("no process has the authority state, resetting it")
 	s.ckpt.unknownSince = 0
 	s.writeCheckpoint(&wire.AuthorityCheckpoint{Begin: true})
 }
@@ -83,7 +81,7 @@
 	})
 }
 
-// checkpointed ends the writing of a checkpoint.
+// checkpointWritten is the result of a checkpoint append.
 type checkpointWritten struct{ err error }
 
 func (e checkpointWritten) apply(s *state) {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,9 +1,16 @@
-// Package control holds the authority over engines and uses it: it claims
-// engines through the control stream, reads their state, drains them at the
-// entries and orders what the sheet and the role planner want.
+// Package control holds leases on engines and changes the engines under them. It claims engines
+// through the control stream, reads their state, drains them at the entries (the processes that
+// route the requests of callers) and sends them the orders that the sheet and the role planner ask
+// for.
 //
-// One goroutine owns all of it and takes typed events. Reads of engines,
-// orders, appends and calls to entries run beside it and answer with events.
+// Each engine has at most one holder at a time, and only the holder may send it orders. An order
+// carries the fencing token of the lease, and the lease is checked again just before the last byte
+// of the order. Engines that ignore tokens are protected by longer waits before a takeover. Planned
+// changes drain an engine before the order and keep the number of unavailable engines of a pool
+// within its limit.
+//
+// One goroutine owns all state and processes typed events. Reads of engines, orders, appends to the
+// log and calls to entries run in other goroutines, which report their results as events.
 package control
 
 import (
@@ -26,7 +33,7 @@
 	"fescuestand/internal/wire"
 )
 
-// Replica is the process's copy of sheet and VMs; replica.Replica is one.
+// Replica is the process's copy of the sheet and the VM list; replica.Replica implements it.
 type Replica interface {
 	View() *replica.View
 	Updated() <-chan struct{}
@@ -34,13 +41,12 @@
 	OnGossip(f func(*wire.Gossip))
 }
 
-// Options of the control process. Replica, Log, Peers, Stream, VM and
-// Incarnation are required.
+// Options configure Control. Replica, Log, Peers, Stream, VM and Incarnation are required.
 type Options struct {
 	Replica     Replica
 	Log         *logclient.Client
 	Peers       replica.Caller
-	Weights     driver.WeightStore // nil paces no loads
+	Weights     driver.WeightStore // nil disables the pacing of loads
 	Clock       clock.Clock
 	Stream      string // the control stream
 	VM          string
@@ -49,12 +55,12 @@
 	Lease          lease.Options
 	RenewInterval  time.Duration
 	ChangeTimeouts reconcile.Timeouts
-	// CheckpointInterval is the longest age of the stream's newest checkpoint.
+	// CheckpointInterval is the maximum age of the stream's newest checkpoint.
 	CheckpointInterval time.Duration
 	// OpenEngine replaces the registry of engine drivers in tests.
 	OpenEngine func(name string, t driver.Target) (driver.Engine, error)
 
-	skipPermit bool // tests only: orders go out whatever the lease says
+	skipPermit bool // tests only: send orders without checking the lease
 }
 
 const (
@@ -62,21 +68,21 @@
 	defaultMargin        = time.Second
 	defaultMaxFlight     = 2 * time.Second
 	defaultRenewInterval = 2 * time.Second
-	// defaultCheckpoint is far ahead of any retention that keeps a day's
-	// records.
+	// defaultCheckpointInterval is far below any retention that keeps records for a day.
 	defaultCheckpointInterval = 10 * time.Minute
-	// tickEvery paces the decisions. An engine's state is read at this pace
-	// while it changes, and every restTicks otherwise: ten engines read each
-	// second took 9.9 KB/s of the 6 KB/s that control may use.
+	// tickInterval is the interval between decisions. While an engine is changing, its state is
+	// read every tick, otherwise every ticksPerIdleRead ticks: reading ten engines every second
+	// took 9.9 KB/s, more than the 6 KB/s that control traffic may use.
 	tickInterval     = 250 * time.Millisecond
 	ticksPerIdleRead = 10
-	// idleTicks paces the role planner and the status report.
+	// ticksPerPlan is the number of ticks between runs of the role planner and between status
+	// reports.
 	ticksPerPlan = 4
-	// callTimeout bounds a read of an engine and a call to an entry.
+	// callTimeout bounds one read of an engine and one call to an entry.
 	callTimeout = time.Second
-	// orderTimeout bounds an order beside the driver's own bound.
+	// orderTimeout bounds an order, in addition to the driver's own timeout.
 	orderTimeout = 3 * time.Second
-	// eventQueue holds the answers of a tick's reads and calls.
+	// maxQueuedEvents has room for the results of all reads and calls of one tick.
 	maxQueuedEvents = 1024
 )
 
@@ -106,7 +112,7 @@
 	return open(t)
 }
 
-// Control is the control part of one process.
+// Control is the control unit of one process.
 type Control struct {
 	opt        Options
 	events     chan event
@@ -114,10 +120,10 @@
 	scopes     atomic.Pointer[[]status.Scope]
 	directives atomic.Pointer[[]*wire.Directive]
 	leaving    atomic.Bool
-	heldScopes atomic.Int64 // scopes still held
+	heldScopes atomic.Int64 // number of scopes that this process holds
 }
 
-// New returns the control of a process; it does nothing before Run.
+// New returns a Control; it does nothing before Run is called.
 func New(opt Options) *Control {
 	opt.defaults()
 	c := &Control{opt: opt, events: make(chan event, maxQueuedEvents)}
@@ -131,14 +137,14 @@
 // Name implements kernel.Unit.
 func (c *Control) Name() string { return "control" }
 
-// Scopes returns the authority over engines as this process knows it.
+// Scopes returns the holders of all engines as this process sees them.
 func (c *Control) Scopes() []status.Scope { return *c.scopes.Load() }
 
 // Left implements kernel.Leftover.
 func (c *Control) Left() int { return int(c.heldScopes.Load()) }
 
-// Drain implements kernel.Drainer: it begins no change, finishes those that
-// have begun, and hands every engine over.
+// Drain implements kernel.Drainer: it starts no more changes, finishes those that have started and
+// releases every engine.
 func (c *Control) Drain(ctx context.Context) error {
 	c.leaving.Store(true)
 	tick := time.NewTicker(tickInterval)
@@ -171,7 +177,7 @@
 	return group.Wait()
 }
 
-// own is the loop of the owner goroutine.
+// runOwner is the event loop of the owner goroutine.
 func (c *Control) runOwner(ctx context.Context) error {
 	s := newState(ctx, c)
 	defer s.closeEngines()
@@ -192,8 +198,8 @@
 	}
 }
 
-// post hands over an event that comes again; it is dropped if the owner is
-// far behind.
+// tryPost sends an event whose content will be sent again; the event is dropped if the queue is
+// full.
 func (c *Control) tryPost(e event) {
 	select {
 	case c.events <- e:
@@ -201,7 +207,7 @@
 	}
 }
 
-// postWait hands over an event that must not be lost.
+// postBlocking sends an event that must not be lost.
 func (c *Control) postBlocking(ctx context.Context, e event) error {
 	select {
 	case c.events <- e:
@@ -211,21 +217,21 @@
 	}
 }
 
-// state is what the owner goroutine holds.
+// state is the state of the owner goroutine.
 type state struct {
 	ctx          context.Context
 	c            *Control
 	opt          *Options
 	authority    *fold.Authority
 	tracker      *lease.Tracker
-	sheetVersion uint64 // version of the sheet that engines and pools follow
+	sheetVersion uint64 // version of the sheet that engines and pools were built from
 	engines      map[string]*engine
 	pools        map[string]*pool
-	// departed is when engines that are still held left the sheet.
+	// removedAt is when engines that are still held were removed from the sheet.
 	removedAt map[string]clock.Time
 	renewal   renewalState
 	ckpt      checkpointState
-	loads     map[string]entryTotals // entry VM to what it measured
+	loads     map[string]entryTotals // by entry VM
 	loadPacer reconcile.LoadPacer
 	weights   weightStoreState
 	ticks     int
@@ -243,7 +249,7 @@
 
 func (s *state) now() clock.Time { return s.opt.Clock.Now() }
 
-// tick makes every decision anew from what is known.
+// tick makes all decisions from the current state.
 func (s *state) tick() {
 	s.ticks++
 	s.renewLeases()
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -13,7 +13,7 @@
 	"fescuestand/internal/wire"
 )
 
-// eventually waits in fake time until ok holds.
+// eventually waits in fake time until ok returns true.
 func eventually(t *testing.T, limit time.Duration, what string, ok func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
@@ -46,7 +46,7 @@
 	return st.Role
 }
 
-func TestOneProcessTakesThePoolAndFollowsTheSheet(t *testing.T) {
+func TestOneProcessClaimsPoolAndAppliesSheet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newTestCluster(t, 4, true)
 		defer cl.close()
@@ -75,9 +75,9 @@
 	})
 }
 
-// Story: an engine carries streams when the sheet changes its role. The order
-// would cut them. New work stops, the streams end by themselves, then the
-// order goes; if they don't end in time the change is put off.
+// Guards against a role change that aborts streams: the change first stops new work and waits until
+// the running streams have ended. If they don't end within the drain timeout, the change is
+// postponed.
 func TestPlannedChangeCutsNoStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newTestCluster(t, 2, true)
@@ -88,17 +88,16 @@
 		cl.changeSheet(fixRole("e0", driver.RoleDecode))
 		eventually(t, 5*time.Second, "drain", func() bool { return cl.phase("e0") == wire.Phase_PHASE_DRAIN })
 		eventually(t, 15*time.Second, "move", func() bool { return cl.phase("e0") == wire.Phase_PHASE_MOVE })
-		eventually(t, 3*time.Minute, "put off", func() bool { return cl.phase("e0") == wire.Phase_PHASE_OPEN })
+		eventually(t, 3*time.Minute, "change postponed", func() bool { return cl.phase("e0") == wire.Phase_PHASE_OPEN })
 		assert.Equal(t, len(cl.engines["e0"].acceptedOrders()), 0)
 		cl.setInFlight("e0", 0)
 		eventually(t, time.Minute, "role", func() bool { return cl.role("e0") == driver.RoleDecode })
 	})
 }
 
-// Story: the holder is killed in the middle of a change. Another process takes
-// over, reads what the engine does, and finishes the change without a second
-// order of the same.
-func TestHolderDiesInMidChange(t *testing.T) {
+// The holder is killed during a change. Another process must take over, read the state of the
+// engine and finish the change without sending the same order again.
+func TestHolderKilledDuringChange(t *testing.T) {
 	for _, checksFence := range []bool{true, false} {
 		t.Run(fmt.Sprint("fences=", checksFence), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -127,10 +126,9 @@
 	}
 }
 
-// Story: an engine crashes in the middle of a role change and comes back in
-// its old role with nothing loaded. The change is found undone and is done
-// once more, and the weights are loaded again.
-func TestEngineCrashesInMidChange(t *testing.T) {
+// An engine crashes during a role change and restarts in its old role with nothing loaded. The
+// change must be found incomplete and repeated once, and the weights must be loaded again.
+func TestEngineCrashDuringChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newTestCluster(t, 1, true)
 		defer cl.close()
@@ -138,17 +136,17 @@
 		time.Sleep(10 * time.Second)
 		cl.engines["e0"].withLock(func() { cl.engines["e0"].crashDuringOrder = true })
 		cl.changeSheet(fixRole("e0", driver.RolePrefill))
-		eventually(t, time.Minute, "whole again", func() bool {
+		eventually(t, time.Minute, "desired state reached", func() bool {
 			st, _ := cl.engines["e0"].State(t.Context())
 			return st.Role == driver.RolePrefill && len(st.Loaded) == 1 && !st.Changing
 		})
-		assert.Equal(t, len(cl.engines["e0"].acceptedOrders()), 3, "the lost one, the load, the role")
+		assert.Equal(t, len(cl.engines["e0"].acceptedOrders()), 3, "the lost order, the load, the role")
 	})
 }
 
-// Story: the answer to an order is lost. Another order at once could cross the
-// first; the process waits for the engine's own word and sends no second one.
-func TestLostAnswerOfAnOrder(t *testing.T) {
+// The answer to an order is lost. Another order sent at once could arrive before the first; the
+// process must wait for the state that the engine reports and must not send a second order.
+func TestLostAnswerToOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newTestCluster(t, 1, false)
 		defer cl.close()
@@ -162,11 +160,10 @@
 	})
 }
 
-// Story: the holder is frozen with an order in its hand, one byte short. While
-// it sleeps another process takes over and changes the engine. The holder
-// wakes. Its order must change nothing, whether the engine checks tokens or
-// not.
-func TestFrozenHolderWakesWithAnOrder(t *testing.T) {
+// The holder freezes just before the last byte of an order. In the meantime another process takes
+// over and changes the engine. When the holder resumes, its order must have no effect, whether the
+// engine checks tokens or not.
+func TestFrozenHolderResumesWithOrder(t *testing.T) {
 	for _, checksFence := range []bool{true, false} {
 		for _, guarded := range []bool{true, false} {
 			t.Run(fmt.Sprintf("fences=%v/guarded=%v", checksFence, guarded), func(t *testing.T) {
@@ -190,12 +187,12 @@
 	stall := make(chan struct{})
 	e.withLock(func() { e.stallOrder = stall })
 	cl.changeSheet(fixRole("e0", driver.RolePrefill))
-	eventually(t, 10*time.Second, "order in hand", func() bool {
+	eventually(t, 10*time.Second, "order stalled", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		return e.stallOrder == nil
 	})
-	holder.log.setCut(true) // frozen: it renews nothing and reads nothing
+	holder.log.setCut(true) // frozen: no renewals, no reads
 	eventually(t, 20*time.Second, "the successor's order", func() bool { return len(e.acceptedOrders()) == 1 })
 	cl.changeSheet(fixRole("e0", driver.RoleDecode))
 	eventually(t, 20*time.Second, "the successor's second order", func() bool { return len(e.acceptedOrders()) == 2 })
@@ -204,16 +201,16 @@
 	violations := e.violations
 	e.violations = nil
 	if !guarded && !checksFence {
-		assert.Assert(t, len(violations) > 0, "without the guard the old order must be seen to count")
+		assert.Assert(t, len(violations) > 0, "with the guard disabled the old order must take effect")
 	} else {
 		assert.Equal(t, len(violations), 0, "%v", violations)
 		assert.Equal(t, cl.role("e0"), driver.RoleDecode)
 	}
 }
 
-// Story: the log is down for a minute. Leases lapse, nobody can claim. No
-// order may go out; what was in force stays in force; afterwards the sheet is
-// followed again.
+// The log is down for a minute, so that leases expire and nobody can claim. No order may be sent
+// and the current roles must stay in effect; after the outage the engines must follow the sheet
+// again.
 func TestLogDownStopsOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newTestCluster(t, 2, true)
@@ -231,10 +228,9 @@
 	})
 }
 
-// Story: a VM leaves in the middle of a change. It finishes the change, hands
-// its engines over and only then ends; the next process needn't wait for a
-// lease to lapse.
-func TestLeavingProcessHandsOver(t *testing.T) {
+// A VM leaves during a change. It must finish the change and release its engines before it stops,
+// so that the next process needn't wait for a lease to expire.
+func TestLeavingProcessReleasesEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newTestCluster(t, 4, false)
 		defer cl.close()
@@ -248,9 +244,9 @@
 		eventually(t, 10*time.Second, "order", func() bool { return len(cl.engines["e2"].acceptedOrders()) == 1 })
 		start := time.Now()
 		assert.NilError(t, holder.control.Drain(t.Context()))
-		took := time.Since(start)
+		drainTime := time.Since(start)
 		assert.Equal(t, cl.role("e2"), driver.RolePrefill)
-		gap := eventually(t, 5*time.Second, "handed over", func() bool {
+		gap := eventually(t, 5*time.Second, "taken over", func() bool {
 			for _, s := range other.control.Scopes() {
 				if !s.Held {
 					return false
@@ -258,6 +254,6 @@
 			}
 			return true
 		})
-		t.Logf("drain took %s, then %s", took, gap)
+		t.Logf("drain took %s, takeover %s", drainTime, gap)
 	})
 }
--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -11,21 +11,21 @@
 	"fescuestand/internal/wire"
 )
 
-// poolLoads is what one entry measured of every pool since its start.
+// entryTotals holds the totals that one entry has counted for each pool since its start.
 type entryTotals struct {
 	incarnation string
 	receivedAt  clock.Time
 	pools       map[string]*wire.PoolLoad
 }
 
-// hear takes what an entry says of its load. It is called by the gossip.
+// receiveLoad passes on the pool loads that an entry reports by gossip.
 func (c *Control) receiveLoad(g *wire.Gossip) {
 	if len(g.GetPools()) > 0 {
 		c.tryPost(loadReport{g, c.opt.Clock.Now()})
 	}
 }
 
-// loadHeard carries an entry's totals.
+// loadReport carries the totals of one entry.
 type loadReport struct {
 	gossip     *wire.Gossip
 	receivedAt clock.Time
@@ -48,23 +48,23 @@
 	}
 }
 
-// entryRate is the newest rate of one entry.
+// entryRate is the newest load rate of one entry.
 type entryRate struct {
 	measuredAt         clock.Time
-	promptTokensPerSec float64 // tokens a second
+	promptTokensPerSec float64
 	outputTokensPerSec float64
-	queuedPromptTokens float64 // prompt tokens queued
+	queuedPromptTokens float64
 }
 
-// planner drives the role planner of one pool.
+// poolPlanner runs the role planner of one pool.
 type poolPlanner struct {
 	roles      *roles.Planner
 	rates      map[string]entryRate // by entry VM
 	holdReason roles.HoldReason
 }
 
-// rateTimeout drops the rate of an entry that has gone silent: its callers
-// have gone to others, which count them.
+// maxRateAge is the age at which the rate of an unresponsive entry is discarded: its callers have
+// moved to other entries, which count them.
 const maxRateAge = 5 * time.Second
 
 func (p *poolPlanner) updateRate(vm string, before, after *wire.PoolLoad, from, to clock.Time) {
@@ -80,11 +80,11 @@
 	}
 }
 
-// expectedAway is how long a role change takes until one was measured: some
-// seconds of drain and some of the change.
+// defaultChangeDuration is the assumed duration of a role change until one has been measured:
+// several seconds each for the drain and for the change.
 const defaultChangeDuration = 10 * time.Second
 
-// planRoles lets the planner look at a pool and act.
+// planRoles runs the role planner on a pool and applies the planned changes.
 func (s *state) planRoles(p *pool) {
 	cfg := roles.Config{
 		Self: s.opt.VM, ChangeCost: p.spec.Roles.ChangePrice, MaxChangesPerHour: p.spec.Roles.MaxChangesPerHour,
@@ -105,11 +105,11 @@
 	}
 	if h := p.planner.roles.HoldReason(); h != p.planner.holdReason {
 		p.planner.holdReason = h
-		log.WithField("pool", p.spec.Name).WithField("hold", h).Debug("role planner")
+		log.WithField("pool", p.spec.Name).WithField("hold", h).Debug("role planner hold changed")
 	}
 }
 
-// mayMove keeps the sheet's word over the planner's.
+// roleChangeAllowed reports whether the sheet allows a planned role change.
 func (s *state) roleChangeAllowed(p *pool, c roles.Change) bool {
 	if _, fixed := p.spec.Roles.Fixed[c.Engine]; fixed {
 		return false
@@ -170,7 +170,7 @@
 	return roles.Mixed
 }
 
-// demand adds up the entries' newest rates.
+// demand sums the newest rates of all entries.
 func (p *poolPlanner) demand(now clock.Time) (a roles.Arrivals, q roles.Queues) {
 	oldest := clock.Time(0)
 	for vm, r := range p.rates {
@@ -192,12 +192,12 @@
 	return a, q
 }
 
-// defaultSlots is how many streams a decode engine is taken to carry at once
-// until it was seen full.
+// defaultSlots is the assumed number of concurrent streams of a decode engine that hasn't been seen
+// full.
 const defaultSlots = 32
 
-// noteSlots learns how many streams an engine carries: what runs while others
-// wait is all that it takes.
+// updateSlots estimates how many streams an engine can run at once: the number running while other
+// requests are queued is its capacity.
 func (e *engine) updateSlots() {
 	switch {
 	case e.state.Queued > 0 && e.state.Running > 0:
@@ -207,8 +207,7 @@
 	}
 }
 
-// decodeRate is what an engine generates a second when it is full, 0 if that
-// isn't known.
+// decodeRate returns the tokens per second that a full engine generates, 0 if unknown.
 func (e *engine) decodeRate() float64 {
 	if e.report == nil || e.report.DecodeStep <= 0 || e.state.Role == driver.RolePrefill {
 		return 0
@@ -220,7 +219,7 @@
 	return float64(slots) / e.report.DecodeStep.Seconds()
 }
 
-// ratesOf averages what the engines measured of themselves.
+// averageRates returns the averages of the rates that the engines report.
 func averageRates(s *state, p *pool) roles.Rates {
 	var out roles.Rates
 	var prefillEngines, decodeEngines float64
--- a/internal/control/directives.go
+++ b/internal/control/directives.go
@@ -8,12 +8,12 @@
 	"fescuestand/internal/wire"
 )
 
-// announcement is the newest directive about one engine and who knows it.
+// announcement is the newest directive about one engine and the state of its delivery.
 type announcement struct {
 	directive    *wire.Directive
-	acks         map[string]ack // entry VM to its newest acknowledgement
-	calling      map[string]bool
-	allDrainedAt clock.Time // since when every entry had acknowledged it with no work
+	acks         map[string]ack  // entry VM to its newest acknowledgement
+	calling      map[string]bool // entry VMs with a call in progress
+	allDrainedAt clock.Time      // since when every entry has acknowledged it with nothing in flight
 }
 
 type ack struct {
@@ -21,9 +21,9 @@
 	inFlight    uint32
 }
 
-// announce tells the entries what to do with the engines held: until each has
-// acknowledged it, and while an engine isn't open again and again, to learn
-// what is still in flight there.
+// sendDirectives sends the entries the directives of the engines held: until each entry has
+// acknowledged the directive and, while an engine isn't open, repeatedly, to poll the number of
+// requests in flight.
 func (s *state) sendDirectives() {
 	members := s.entries()
 	var all []*wire.Directive
@@ -43,14 +43,14 @@
 				continue
 			}
 			a.calling[m.Name] = true
-			addr, vm, inc, d := m.Peer, m.Name, m.Incarnation, a.directive
-			s.c.wg.Go(func() { s.c.sendDirective(s.ctx, e, d, addr, vm, inc) })
+			addr, vm, incarnation, d := m.Peer, m.Name, m.Incarnation, a.directive
+			s.c.wg.Go(func() { s.c.sendDirective(s.ctx, e, d, addr, vm, incarnation) })
 		}
 	}
 	s.c.directives.Store(&all)
 }
 
-// renewDirective makes a new directive when the phase or role has changed.
+// updateDirective creates a new directive when the phase or the role has changed.
 func (s *state) updateDirective(e *engine) {
 	a := &e.announcement
 	phase, role := e.phase(), string(s.pools[e.pool].role(e))
@@ -67,8 +67,8 @@
 	}
 }
 
-// entries returns the VMs whose entries may have work on an engine: all that
-// were heard and aren't gone, leaving and suspect ones too.
+// entries returns the VMs whose entries may have requests on an engine: all VMs that were observed
+// and aren't gone, including those that are leaving or suspect.
 func (s *state) entries() []membership.Member {
 	var out []membership.Member
 	for _, m := range s.opt.Replica.View().Members {
@@ -79,7 +79,7 @@
 	return out
 }
 
-// direct tells one entry and hears what it still has on the engine.
+// sendDirective sends a directive to one entry and receives its number of requests in flight.
 func (c *Control) sendDirective(ctx context.Context, e *engine, d *wire.Directive, addr, vm, incarnation string) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -91,7 +91,7 @@
 	_ = c.postBlocking(ctx, r)
 }
 
-// directed ends a call to an entry.
+// directiveSent is the result of a call to an entry.
 type directiveSent struct {
 	e           *engine
 	directive   *wire.Directive
@@ -118,8 +118,8 @@
 	}
 }
 
-// complete reports whether every entry knows the directive and has nothing
-// left on the engine. An entry that restarted has to be told again.
+// allDrained reports whether every entry has acknowledged the directive and has no requests left on
+// the engine. An entry that restarted must acknowledge it again.
 func (a *announcement) allDrained(entries []membership.Member) bool {
 	for _, m := range entries {
 		if !a.ackedBy(&m) || a.acks[m.Name].inFlight > 0 {
@@ -134,11 +134,12 @@
 	return ok && k.incarnation == m.Incarnation
 }
 
-// isOpen reports whether every entry knows that the engine takes work.
+// openEverywhere reports whether every entry has been notified that the engine accepts work.
 //
-// Failure: one engine's change ends, the next one's begins, and an entry hears
-// of the second first: for it more engines are away than the share allows. An
-// engine stays counted as away until all have heard that it is back.
+// It guards against this failure: the change of one engine ends, that of the next one starts, and
+// an entry receives the second directive first. This entry then sees more engines unavailable than
+// the limit allows. So an engine counts as unavailable until all entries have acknowledged that it
+// is open again.
 func (s *state) openEverywhere(e *engine) bool {
 	d := e.announcement.directive
 	if d == nil || d.Phase != wire.Phase_PHASE_OPEN || e.phase() != wire.Phase_PHASE_OPEN {
@@ -152,8 +153,8 @@
 	return true
 }
 
-// acked returns since when all entries have let go of an engine in its present
-// phase, 0 if one has not.
+// drainedSince returns since when all entries have had no requests on an engine in its current
+// phase, 0 if any entry still has.
 func (a *announcement) drainedSince(s *state, e *engine) clock.Time {
 	d := a.directive
 	if d == nil || d.Phase != e.phase() || a.allDrainedAt == 0 {
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -15,48 +15,47 @@
 	"fescuestand/internal/wire"
 )
 
-// leaseEnd is the authority over one engine as the goroutine of an order sees
-// it.
+// leaseState is the lease of one engine as the goroutines that send orders see it.
 type leaseState struct {
 	token uint64 // 0 if not held
 	until clock.Time
 }
 
-// engine is one engine of the sheet.
+// engine is the state of one engine of the sheet.
 type engine struct {
 	name string
 	pool string
 	spec sheet.Engine
-	conn driver.Engine // opened once it is held
+	conn driver.Engine // opened when the engine is first read
 
 	lease          atomic.Pointer[leaseState]
 	token          uint64
-	tokenSince     clock.Time // when the token was learnt
+	tokenSince     clock.Time // when the token was first seen
 	orderNotBefore clock.Time
 	claimableSince clock.Time // since when it could be claimed, 0 if it can't
-	releasingToken uint64     // token of a holding that was given up
-	releaseSeq     *uint64    // number of the release, nil until its append ended
+	releasingToken uint64     // token of the lease that is being released
+	releaseSeq     *uint64    // sequence number of the release, nil until its append has ended
 
 	reconciler    reconcile.Reconciler
 	lastStep      reconcile.Step
 	state         driver.EngineState
-	readStart     clock.Time // begin of the newest good read, 0 after a bad one
-	readEnd       clock.Time // end of the newest good read
+	readStart     clock.Time // start of the newest successful read, 0 after a failed one
+	readEnd       clock.Time // end of the newest successful read
 	report        *driver.LoadReport
 	reportAt      clock.Time
-	reservedLoad  driver.Loaded // the load that was counted at the weight store
-	slots         int           // streams carried at once, 0 until it was seen full
+	reservedLoad  driver.Loaded // the load that is reserved at the weight store
+	slots         int           // concurrent streams, 0 until the engine has been seen full
 	readInFlight  bool
 	orderInFlight bool
-	stateRead     bool // the state was read under the present token
-	// returned marks an engine that came back to the sheet while it was held:
-	// an order from before it left may be on its way.
+	stateRead     bool // the state was read under the current token
+	// readded marks an engine that was added to the sheet again while it was still held: an order
+	// from before its removal may still arrive.
 	readded bool
 
 	announcement announcement
 }
 
-// takeover forgets everything that was known under another token.
+// resetForToken discards what was recorded under the previous token.
 func (e *engine) resetForToken(now clock.Time, token uint64, orderNotBefore clock.Time) {
 	e.tokenSince, e.token, e.orderNotBefore = now, token, orderNotBefore
 	e.reconciler, e.lastStep = reconcile.Reconciler{}, reconcile.Step{}
@@ -64,7 +63,7 @@
 	e.announcement = announcement{}
 }
 
-// takeSheet follows the sheet in force.
+// applySheet updates pools and engines from the newest sheet.
 func (s *state) applySheet() {
 	v := s.opt.Replica.View()
 	if !v.Ready || v.Version == s.sheetVersion {
@@ -124,7 +123,7 @@
 	}
 }
 
-// held returns the engines that this process has the authority over, by name.
+// heldEngines returns the engines that this process holds, sorted by name.
 func (s *state) heldEngines() []*engine {
 	var out []*engine
 	for _, name := range s.authority.HeldBy(s.opt.Incarnation) {
@@ -135,8 +134,8 @@
 	return out
 }
 
-// readEngines asks the engines that this process holds for their state: each
-// tick while they change, less often while they rest.
+// readEngines starts reads of the engines that this process holds: every tick while they change,
+// less often while they are idle.
 func (s *state) readEngines() {
 	for i, e := range s.heldEngines() {
 		idle := e.stateRead && e.readStart != 0 && e.reconciler.Idle() && !e.state.Changing
@@ -163,7 +162,7 @@
 	return true
 }
 
-// read asks one engine for its state and, for the planner, its load.
+// readEngine reads the state of one engine and, for the planner, its load report.
 func (c *Control) readEngine(ctx context.Context, e *engine, conn driver.Engine, token uint64, start clock.Time, report bool) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -177,12 +176,12 @@
 	_ = c.postBlocking(ctx, r)
 }
 
-// engineRead ends a read of an engine.
+// engineReadDone is the result of a read of an engine.
 type engineReadDone struct {
 	e      *engine
 	conn   driver.Engine
 	token  uint64
-	start  clock.Time // when the read was begun
+	start  clock.Time // start of the read
 	state  driver.EngineState
 	report *driver.LoadReport
 	err    error
@@ -209,8 +208,8 @@
 	}
 }
 
-// reconcileAll takes the next step of every engine held. Those that serve
-// least go first, so that the weight store's rate brings back what is needed
+// reconcileAll runs the next step of every engine held. Engines of the pools with the fewest
+// serving engines go first, so that the limited rate of the weight store goes where it is needed
 // most.
 func (s *state) reconcileAll() {
 	held := s.heldEngines()
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -33,30 +33,29 @@
 	return nil
 }
 
-// bubbleClock follows the test's fake time; it can be held back, as the clock
-// of a process that doesn't count a suspension.
+// fakeClock returns the fake time of the test.
 type fakeClock struct{}
 
 func (fakeClock) Now() clock.Time { return clock.Time(time.Now().UnixNano()) }
 
 const changeDuration = 3 * time.Second
 
-// fakeEngine is an engine in memory that notes what must never happen.
+// fakeEngine is an in-memory engine that records violations of the guarantees of this package.
 type fakeEngine struct {
 	mu               sync.Mutex
 	name             string
 	checksFence      bool
 	state            driver.EngineState
 	restarts         int
-	orderEnd         time.Time // end of the order under way
+	orderEnd         time.Time // end of the executing order
 	executing        driver.Order
 	orders           []driver.Order
 	violations       []string
-	crashDuringOrder bool          // crash in the middle of the next order
-	loseAnswer       bool          // lose the answer of the next order
-	stallOrder       chan struct{} // an order stalls before its last byte
+	crashDuringOrder bool          // crash while executing the next order
+	loseAnswer       bool          // lose the answer to the next order
+	stallOrder       chan struct{} // stalls the next order before its last byte until closed
 	down             bool
-	streams          int // of entries, for the drain
+	streams          int // running streams, set by setInFlight
 }
 
 func newFakeEngine(name string, checksFence bool) *fakeEngine {
@@ -93,7 +92,7 @@
 	return s, nil
 }
 
-// link is one process's connection to an engine.
+// engineConn is the connection of one process to an engine.
 type engineConn struct {
 	*fakeEngine
 	killed <-chan struct{} // closed when the process is killed
@@ -117,7 +116,7 @@
 	return f.accept(ctx, o, loseAnswer)
 }
 
-// Order is for engines that nobody orders, in benchmarks.
+// Order implements driver.Engine for benchmarks, in which no orders are sent.
 func (f *fakeEngine) Order(context.Context, driver.Order, driver.Permit) error {
 	return driver.ErrRefused
 }
@@ -133,13 +132,13 @@
 		return driver.ErrStaleFence
 	}
 	if f.state.Changing {
-		f.violations = append(f.violations, fmt.Sprintf("%s while %s is under way", o.ID, f.executing.ID))
+		f.violations = append(f.violations, fmt.Sprintf("%s while %s is executing", o.ID, f.executing.ID))
 	}
 	if n := len(f.orders); n > 0 && f.orders[n-1].Fence > o.Fence {
-		f.violations = append(f.violations, fmt.Sprintf("%s after a later holder's %s", o.ID, f.orders[n-1].ID))
+		f.violations = append(f.violations, fmt.Sprintf("%s after %s of a later holder", o.ID, f.orders[n-1].ID))
 	}
 	if f.streams > 0 {
-		f.violations = append(f.violations, fmt.Sprintf("%s cuts %d streams", o.ID, f.streams))
+		f.violations = append(f.violations, fmt.Sprintf("%s aborts %d streams", o.ID, f.streams))
 	}
 	if f.checksFence {
 		f.state.Fence = o.Fence
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -11,8 +11,7 @@
 	"fescuestand/internal/wire"
 )
 
-// order sends one order. Its lease is looked at again by the driver, just
-// before the last byte.
+// sendOrder sends one order. The driver checks the lease again just before it sends the last byte.
 func (s *state) sendOrder(e *engine, o driver.Order) {
 	e.orderInFlight = true
 	if o.Kind == driver.OrderLoad {
@@ -34,7 +33,7 @@
 	})
 }
 
-// permit returns the check of the lease for orders under a token.
+// permit returns the lease check for orders under a token.
 func (c *Control) permit(e *engine, token uint64) driver.Permit {
 	return func() error {
 		if c.opt.skipPermit {
@@ -48,7 +47,7 @@
 	}
 }
 
-// ordered ends the sending of an order.
+// orderSent is the result of sending an order.
 type orderSent struct {
 	e     *engine
 	token uint64
@@ -71,7 +70,7 @@
 	}
 }
 
-// phase is what the entries should do with the engine.
+// phase returns the phase that the entries should apply to the engine.
 func (e *engine) phase() wire.Phase {
 	if !e.stateRead {
 		return wire.Phase_PHASE_OPEN
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -8,10 +8,10 @@
 	"fescuestand/internal/sheet"
 )
 
-// pool is one pool of the sheet.
+// pool is the state of one pool of the sheet.
 type pool struct {
 	spec         *sheet.Pool
-	plannedRoles map[string]driver.Role // by the planner, of engines not fixed
+	plannedRoles map[string]driver.Role // set by the planner, for engines without a fixed role
 	planner      *poolPlanner
 	counts       poolCounts
 }
@@ -26,9 +26,8 @@
 
 func (p *pool) rolesPlanned() bool { return p.spec.Roles.Planned }
 
-// lostAfter is the silence after which an engine counts as lost: it is neither
-// part of the pool nor away from it, so that a dead engine doesn't forbid every
-// planned change.
+// lostAfter is how long an engine must be unresponsive to count as lost. A lost engine is neither
+// part of the pool nor unavailable, so that a failed engine doesn't block every planned change.
 const lostAfter = 60 * time.Second
 
 func (s *state) lost(e *engine) bool {
@@ -36,17 +35,17 @@
 	return e.token != 0 && e.readStart == 0 && silence > lostAfter
 }
 
-// poolCount is how a pool stands.
+// poolCounts holds the numbers of engines of a pool.
 type poolCounts struct {
-	engines     int // that count: neither withdrawn nor lost
+	engines     int // neither withdrawn nor lost
 	unavailable int
 	serving     int
 }
 
-// count counts a pool's engines. Away are those that don't take work or may
-// not: those in a change, those that don't answer, and those that another
-// process holds and may be changing. So the share holds however the pool is
-// split between holders.
+// countEngines counts the engines of a pool. Unavailable are those that don't accept work or might
+// not: engines in a change, engines that don't answer, and engines that another process holds and
+// may be changing. So the limit of unavailable engines holds no matter how the pool is split
+// between holders.
 func (s *state) countEngines(p *pool) {
 	p.counts = poolCounts{}
 	for _, name := range p.spec.Engines {
@@ -63,13 +62,13 @@
 	}
 }
 
-// mayLeave reports whether one more engine of a pool may go.
+// changeAllowed reports whether one more engine of the pool may become unavailable.
 func (p *pool) changeAllowed() bool {
 	return p.counts.unavailable < reconcile.MaxUnavailable(p.counts.engines, p.spec.MaxAwayShare)
 }
 
-// role returns the role that an engine should have. An engine that the planner
-// hasn't moved keeps the role that it is in, so that a takeover moves nothing.
+// role returns the desired role of an engine. An engine without a planned role keeps its current
+// one, so that a takeover changes no roles.
 func (p *pool) role(e *engine) driver.Role {
 	if r, ok := p.spec.Roles.Fixed[e.name]; ok {
 		return r
@@ -83,12 +82,12 @@
 	return e.state.Role
 }
 
-// initialPrefill is the share of engines that prefill before anything was
-// measured: prefill is 43% of the work at the design size.
+// initialPrefillShare is the share of engines that start in the prefill role before any load has
+// been measured: prefill is 43% of the work at the design load.
 const initialPrefillShare = 0.43
 
-// split gives a role to the planned engines that have none of the two, and
-// keeps to the sheet's minima.
+// assignInitialRoles gives a role to planned engines that have neither prefill nor decode, and
+// enforces the minimums of the sheet.
 func (s *state) assignInitialRoles(p *pool) {
 	var movable []*engine
 	count := map[driver.Role]int{}
@@ -125,7 +124,7 @@
 	return max(r.MinPrefill, min(int(initialPrefillShare*float64(n)+0.5), n-r.MinDecode))
 }
 
-// raise moves engines to a role that is below its minimum.
+// enforceMinimum moves engines to a role that has fewer engines than its minimum.
 func (p *pool) enforceMinimum(movable []*engine, count map[driver.Role]int, to, from driver.Role, minimum int) {
 	for _, e := range movable {
 		if count[to] >= minimum {
@@ -139,7 +138,7 @@
 	}
 }
 
-// plan asks the planners of the pools that this process holds whole.
+// planPools runs the planners of the pools of which this process holds every engine.
 func (s *state) planPools() {
 	if s.ticks%ticksPerPlan != 0 || s.c.leaving.Load() {
 		return
@@ -152,14 +151,14 @@
 	}
 }
 
-// unreadAfter is how long an engine may leave a new holder without an answer
-// before the pool is planned without it: one dead engine must not stop the
-// planner for good, and engines just taken over must not be planned unread.
+// unreadTimeout is how long a new holder waits for the first answer of an engine before it plans
+// the pool without that engine: one failed engine must not stop the planner for good, and engines
+// that were just taken over must not be planned before they are read.
 const unreadTimeout = 10 * time.Second
 
-// holdsWhole reports whether this process holds every engine of a pool and
-// knows its state: two processes that plan for parts of a pool would both
-// answer the same shortage.
+// holdsWholePool reports whether this process holds every engine of a pool and has read the state of
+// each, or waited unreadTimeout for it: two processes that plan parts of one pool would both react to
+// the same shortage.
 func (s *state) holdsWholePool(p *pool) bool {
 	for _, name := range p.spec.Engines {
 		e := s.engines[name]
--- a/internal/control/preference.go
+++ b/internal/control/preference.go
@@ -6,6 +6,7 @@
 	"fescuestand/internal/clock"
 )
 
+// shouldRelease reports whether this process should release the engines of a pool to another process.
 func (s *state) shouldRelease(now clock.Time, pool string) bool {
 	if s.c.leaving.Load() {
 		return true
@@ -20,7 +21,7 @@
 	return best != "" && best != s.opt.VM && stable && s.tracker.Recent(now, best)
 }
 
-// live returns the VMs whose control processes can take engines.
+// liveVMs returns the VMs whose control processes can take over engines.
 func (s *state) liveVMs(now clock.Time) []string {
 	var out []string
 	for vm := range s.tracker.Live(now, s.authority.Holds) {
@@ -29,10 +30,9 @@
 	return out
 }
 
-// weight ranks VMs for a pool by rendezvous hashing: every process ranks them
-// alike, and a VM that comes or goes moves only its own pools. All engines of a
-// pool prefer one process, since planning the roles and keeping within the
-// away share need one mind.
+// rendezvousWeight ranks VMs for a pool by rendezvous hashing: all processes compute the same
+// ranking, and a VM that joins or leaves moves only its own pools. All engines of a pool prefer the
+// same process, as one process must plan the roles and enforce the limit of unavailable engines.
 func rendezvousWeight(vm, pool string) uint64 { return xxhash.Sum64String(pool + "\x00" + vm) }
 
 func preferredVM(pool string, live []string) string {
@@ -45,7 +45,7 @@
 	return best
 }
 
-// rankOf counts the live VMs that come before vm for a pool.
+// rankOf returns the number of live VMs that a pool prefers to vm.
 func rankOf(vm, pool string, live []string) int {
 	n := 0
 	for _, other := range live {
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -14,16 +14,15 @@
 	"fescuestand/internal/wire"
 )
 
-// slowStore gives ten seconds of its rate for a model.
+// slowStore needs ten seconds to deliver a model.
 type slowStore struct{}
 
 func (slowStore) Size(context.Context, string, string) (int64, error) { return 10 << 30, nil }
 func (slowStore) Rate(context.Context) (int64, error)                 { return 1 << 30, nil }
 
-// Story: an availability zone returns; its six engines are empty. If all asked
-// for their weights at once, the store would split its rate and none would
-// serve for a minute. They take turns.
-func TestEmptyEnginesTakeTurnsAtTheWeightStore(t *testing.T) {
+// A zone recovers with six empty engines. If all loaded their weights at once, the store would
+// divide its rate and none would serve for a minute. The loads must run one after the other.
+func TestLoadsOfEmptyEnginesAreSequential(t *testing.T) {
 	loadsIn15s := func(paced bool) (n int) {
 		synctest.Test(t, func(t *testing.T) {
 			cl := newTestCluster(t, 6, true)
@@ -42,8 +41,8 @@
 		})
 		return n
 	}
-	assert.Equal(t, loadsIn15s(true), 2, "loads begun in the first 15 s")
-	assert.Equal(t, loadsIn15s(false), 6, "without the pacing all at once")
+	assert.Equal(t, loadsIn15s(true), 2, "loads started in the first 15 s")
+	assert.Equal(t, loadsIn15s(false), 6, "all at once with pacing disabled")
 }
 
 func (cl *testCluster) loadsStarted() int {
@@ -54,10 +53,10 @@
 	return n
 }
 
-// Story: all control processes are gone for longer than the log keeps records.
-// Those that start afterwards find no state. They must not wait for ever, nor
-// claim while a holder from before might still give orders.
-func TestAuthorityBeginsAnewWhenNoRecordIsLeft(t *testing.T) {
+// All control processes are down for longer than the log keeps records, so that processes that
+// start later find no authority state. They must not wait forever, nor claim while a previous
+// holder could still send orders.
+func TestAuthorityResetWhenNoRecordIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newTestCluster(t, 3, false)
 		defer cl.close()
@@ -88,9 +87,9 @@
 	return len(scopes) > 0
 }
 
-// Story: operators withdraw one engine that still carries a stream and take
-// another off the sheet. The stream ends by itself, neither engine gets an
-// order, and the one withdrawn takes work again when the sheet says so.
+// Operators withdraw one engine that still runs a stream and remove another from the sheet. The
+// stream must end normally, neither engine may get an order, and the withdrawn one must accept work
+// again when the sheet says so.
 func TestWithdrawnAndRemovedEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newTestCluster(t, 3, true)
@@ -118,9 +117,9 @@
 	})
 }
 
-// Story: one engine of a planned pool is dead when a process takes the pool
-// over. The others must still be split between the roles.
-func TestDeadEngineDoesNotStopTheSplit(t *testing.T) {
+// One engine of a planned pool is down when a process takes over the pool. The other engines must
+// still be assigned to the roles.
+func TestFailedEngineDoesNotBlockRoleAssignment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newTestCluster(t, 4, true)
 		defer cl.close()
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -8,13 +8,13 @@
 	"fescuestand/internal/settings"
 )
 
-// Settings of fescue-control.
+// Settings are the settings of fescue-control.
 type Settings struct {
 	node.Settings
 	Changes ChangeSettings `json:"changes"`
 }
 
-// ChangeSettings are the times of a planned change of an engine.
+// ChangeSettings are the timeouts of a planned change of an engine.
 type ChangeSettings struct {
 	MoveAfter    settings.Duration `json:"move_after"`
 	DrainTimeout settings.Duration `json:"give_up"`
@@ -46,11 +46,11 @@
 	}
 }
 
-// idleRenewals is how many renewals a process without engines may miss before
-// it isn't counted as live.
+// maxMissedIdleRenewals is how many renewals a process that holds no engines may miss before it no
+// longer counts as live.
 const maxMissedIdleRenewals = 10
 
-// LeaseOptions returns the times of the leases.
+// LeaseOptions returns the lease options.
 func (s *Settings) LeaseOptions() lease.Options {
 	return lease.Options{
 		TTL:        s.Lease.TTL.D(),
@@ -60,7 +60,7 @@
 	}
 }
 
-// ChangeTimeouts returns the times of planned changes.
+// ChangeTimeouts returns the timeouts of planned changes.
 func (s *Settings) ChangeTimeouts() reconcile.Timeouts {
 	return reconcile.Timeouts{
 		MaxFlight:    s.Lease.MaxFlight.D(),
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -7,7 +7,7 @@
 	"fescuestand/internal/status"
 )
 
-// publish makes the authority over engines visible to operators.
+// publishStatus publishes the holders of all engines for the status page.
 func (s *state) publishStatus() {
 	now := s.now()
 	out := make([]status.Scope, 0, len(s.engines))
--- a/internal/control/weights.go
+++ b/internal/control/weights.go
@@ -11,24 +11,23 @@
 	"fescuestand/internal/reconcile"
 )
 
-// weightStore is what is known of the weight store.
+// weightStoreState is what this process has read from the weight store.
 type weightStoreState struct {
 	bytesPerSecond  int64
 	sizes           map[driver.Loaded]int64
 	querying        map[driver.Loaded]bool
-	lastQueryFailed bool // the newest question was not answered
+	lastQueryFailed bool // the newest query failed
 }
 
 const (
 	weightStoreTimeout = 2 * time.Second
-	// blindLoad is the time that a load is taken to need while the store
-	// doesn't tell sizes.
+	// assumedLoadTime is the assumed duration of a load while the size of its weights is unknown.
 	assumedLoadTime = 5 * time.Second
 )
 
-// mayLoad reports whether the weight store has room for a load. Its size is
-// asked for first, so that the engines of a whole availability zone that come
-// back empty don't all pass before the first size is known.
+// loadAllowed reports whether the weight store has capacity for a load. It queries the size first,
+// so that the engines of a whole availability zone that restart empty don't all start loading
+// before the first size is known.
 func (s *state) loadAllowed(now clock.Time, l driver.Loaded) bool {
 	if s.opt.Weights == nil {
 		return true
@@ -65,7 +64,7 @@
 	})
 }
 
-// sized carries what the weight store says.
+// weightSizeResult is the answer of the weight store to a query.
 type weightSizeResult struct {
 	load           driver.Loaded
 	size           int64
@@ -77,15 +76,16 @@
 	delete(s.weights.querying, e.load)
 	s.weights.lastQueryFailed = e.err != nil
 	if e.err != nil {
-		log.WithError(e.err).WithField("model", e.load.Model).Warn("weight store")
+		log.WithError(e.err).WithField("model", e.load.Model).Warn("weight store query failed")
 		return
 	}
 	s.weights.sizes[e.load], s.weights.bytesPerSecond = e.size, e.bytesPerSecond
 }
 
-// reserve counts a load against this process's share of the store's rate, a
-// pool's share of all pools, from the begin of the drain for it. Counted only
-// with the order, every engine that drains meanwhile would pass as well.
+// reserveLoad reserves this process's share of the store's rate for a load. The share is the number
+// of pools held divided by the number of all pools. The reservation starts with the drain for the
+// load: if it started with the order, all engines that drain in the meantime would be allowed to
+// load as well.
 func (s *state) reserveLoad(e *engine, l driver.Loaded) {
 	if s.opt.Weights == nil || e.reservedLoad == l {
 		return
@@ -104,8 +104,8 @@
 	s.loadPacer.Reserve(s.now(), size, share)
 }
 
-// firstLoad returns the load that an engine lacks first, none if it needs
-// something else first.
+// firstLoad returns the load that is the engine's next order, false if the next order is something
+// else.
 func firstLoad(desired *reconcile.DesiredState, state *driver.EngineState) (driver.Loaded, bool) {
 	orders := reconcile.Diff(desired, state, false)
 	if len(orders) == 0 || orders[0].Kind != driver.OrderLoad {
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -20,7 +20,7 @@
 	"fescuestand/internal/wire"
 )
 
-// world is a sheet, engines, entries and control processes around one log.
+// testCluster is a sheet, engines, one entry and control processes that share one log.
 type testCluster struct {
 	t       *testing.T
 	log     *logtest.Log
@@ -29,7 +29,7 @@
 	mu             sync.Mutex
 	view           *replica.View
 	changed        chan struct{}
-	directives     map[string]*wire.Directive // at the one entry
+	directives     map[string]*wire.Directive // newest directives received by the entry
 	inFlight       map[string]uint32
 	unresponsive   bool // the entry doesn't answer
 	maxUnavailable int
@@ -42,7 +42,7 @@
 	stop    func()
 }
 
-// cutLog cuts one process off the log.
+// cutLog is one process's connection to the log, which can be cut.
 type cutLog struct {
 	driver.Log
 	mu  sync.Mutex
@@ -110,7 +110,7 @@
 	cl.changed = make(chan struct{})
 }
 
-// change publishes a changed copy of the sheet.
+// changeSheet publishes a changed copy of the sheet.
 func (cl *testCluster) changeSheet(f func(s *sheet.Sheet)) {
 	s := *cl.View().Sheet
 	s.Engines = slices.Clone(s.Engines)
@@ -134,7 +134,7 @@
 func (cl *testCluster) Contribute(func(*wire.Gossip)) {}
 func (cl *testCluster) OnGossip(func(*wire.Gossip))   {}
 
-// Call is the one entry.
+// Call implements the entry: it records the directive and acknowledges it.
 func (cl *testCluster) Call(_ context.Context, _ string, req *wire.PeerRequest) (*wire.PeerResponse, error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -170,7 +170,7 @@
 	cl.engines[engine].withLock(func() { cl.engines[engine].streams = int(n) })
 }
 
-// start starts a control process.
+// startProcess starts a control process.
 func (cl *testCluster) startProcess(vm string, change ...func(*Options)) *process {
 	l := &cutLog{Log: cl.log}
 	killed := make(chan struct{})
@@ -207,13 +207,13 @@
 		p.stop()
 	}
 	for _, e := range cl.engines {
-		for _, bad := range e.violations {
-			cl.t.Errorf("%s: %s", e.name, bad)
+		for _, violation := range e.violations {
+			cl.t.Errorf("%s: %s", e.name, violation)
 		}
 	}
 }
 
-// holders counts the engines held by each VM, as p knows it.
+// holders returns the number of engines held by each VM, as p sees it.
 func (p *process) holders() map[string]int {
 	out := map[string]int{}
 	for _, s := range p.control.Scopes() {
