--- a/internal/reconcile/next.go
+++ b/internal/reconcile/next.go
@@ -98,7 +98,7 @@
 	}
 	if in.State.Changing {
 		r.Phase = wire.Phase_PHASE_AWAY
-		return r.keepPhase("engine is executing an order")
+		return r.keepPhase("carries out an order")
 	}
 	if in.Desired.Withdrawn {
 		return r.withdraw(in, t)
@@ -112,7 +112,7 @@
 		return r.openPhase(reason)
 	}
 	if in.Now < in.OrderNotBefore {
-		return r.keepPhase("waiting until no order of the previous holder can arrive")
+		return r.keepPhase("the former holder's orders may be on their way")
 	}
 	if !r.drained(in) && !t.disabled.drained {
 		return r.drain(in, t)
@@ -140,15 +140,15 @@
 	case p == nil || t.disabled.pending:
 		return ""
 	case in.ReadStart <= p.ReturnedAt:
-		return "waiting for a new read of the engine's state"
+		return "waits for the engine's state"
 	case in.State.Changing:
-		return "engine is executing " + describeOrder(&p.Order)
+		return "carries out " + describeOrder(&p.Order)
 	case in.State.LastOrder == p.Order.ID:
 		if !inEffect(&p.Order, &in.State) {
 			r.recordFailure(in.Now, t, &p.Order)
 		}
 	case in.ReadStart < p.ReturnedAt.Add(t.MaxFlight):
-		return "waiting: the last order may still arrive"
+		return "an order may be on its way"
 	}
 	r.Pending = nil
 	return ""
@@ -168,13 +168,13 @@
 func (r *Reconciler) blockedReason(in *Input, first *driver.Order) string {
 	switch {
 	case in.Now < r.ChangeNotBefore:
-		return "waiting to retry"
+		return "waits to try again"
 	case r.Phase != wire.Phase_PHASE_OPEN:
 		return ""
 	case !in.ChangeAllowed:
-		return "the pool's limit of unavailable engines is reached"
+		return "the pool's away share is used up"
 	case first.Kind == driver.OrderLoad && !in.LoadAllowed:
-		return "waiting for the weight store"
+		return "the weight store is busy"
 	}
 	return ""
 }
@@ -198,13 +198,13 @@
 	switch {
 	case elapsed > t.DrainTimeout && !in.Desired.Withdrawn:
 		r.ChangeNotBefore = in.Now.Add(t.RetryDelay)
-		return r.openPhase(fmt.Sprintf("change postponed: %d requests still running after %s", in.State.Running, t.DrainTimeout))
+		return r.openPhase(fmt.Sprintf("change postponed: %d requests still run after %s", in.State.Running, t.DrainTimeout))
 	case elapsed > t.MoveAfter:
 		r.Phase = wire.Phase_PHASE_MOVE
 	case r.Phase == wire.Phase_PHASE_AWAY:
 		r.Phase = wire.Phase_PHASE_DRAIN
 	}
-	return r.keepPhase(fmt.Sprintf("draining: %d running, %d queued", in.State.Running, in.State.Queued))
+	return r.keepPhase(fmt.Sprintf("drains: %d running, %d queued", in.State.Running, in.State.Queued))
 }
 
 func (r *Reconciler) withdraw(in *Input, t *Timeouts) Step {
