--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -11,59 +11,60 @@
 	"fescuestand/internal/wire"
 )
 
-// event is one input of the owner goroutine.
+// event is an input of the owner goroutine.
 type event interface{ apply(s *state) }
 
-// appended carries items of the control stream and when they were read.
-type appended struct {
-	items []logclient.Item
-	at    clock.Time
+// streamItems carries items read from the control stream and the time at which they were read.
+type streamItems struct {
+	items  []logclient.Item
+	readAt clock.Time
 }
 
-func (e appended) apply(s *state) {
-	known := s.auth.Established()
-	touched := map[string]bool{}
+func (e streamItems) apply(s *state) {
+	established := s.authority.Established()
+	affected := map[string]bool{}
 	for i := range e.items {
 		it := &e.items[i]
-		s.auth.Apply(*it)
-		s.tracker.Read(e.at, it)
-		known = known && !it.Gap
-		s.touch(touched, it)
+		s.authority.Apply(*it)
+		s.tracker.Read(e.readAt, it)
+		established = established && !it.Gap
+		s.addAffectedScopes(affected, it)
 	}
-	if !known {
-		s.takeAuthority()
+	if !established {
+		s.updateAllLeases()
 		return
 	}
-	for name := range touched {
-		s.takeScope(name)
+	for name := range affected {
+		s.updateLease(name)
 	}
 }
 
-// touch notes the scopes whose lease an item may change here. Renewals of
-// others change none, so that their cost doesn't grow with the fleet.
-func (s *state) touch(touched map[string]bool, it *logclient.Item) {
+// addAffectedScopes adds the scopes whose lease may change in this process because of an item.
+// Renewals of other processes change none; skipping them keeps their cost independent of the size
+// of the fleet.
+func (s *state) addAffectedScopes(affected map[string]bool, it *logclient.Item) {
 	for _, c := range it.Entry.GetClaim().GetScopes() {
-		touched[c.Scope] = true
+		affected[c.Scope] = true
 	}
 	for _, name := range it.Entry.GetRelease().GetScopes() {
-		touched[name] = true
+		affected[name] = true
 	}
 	if it.Writer == s.opt.Incarnation {
-		for _, name := range s.auth.HeldBy(it.Writer) {
-			touched[name] = true
+		for _, name := range s.authority.HeldBy(it.Writer) {
+			affected[name] = true
 		}
 	}
 }
 
-// beat is this process's renewal: one append carries the heartbeat with the
-// claims and releases of the moment.
-type beat struct {
-	last    clock.Time // when the newest append was begun
-	flying  bool
-	settled clock.Time // claims begin then: the other processes are known
-	live    []string   // VMs whose control processes can take engines
-	// prefers is since when another process is preferred for a pool.
-	prefers map[string]preference
+// renewalState is the state of this process's lease renewals. One append carries the heartbeat
+// together with the claims and releases that are due.
+type renewalState struct {
+	lastAppend     clock.Time // start of the newest append
+	appending      bool
+	claimNotBefore clock.Time // no claims before this time, as other processes aren't tracked yet
+	liveVMs        []string   // VMs whose control processes can take over engines
+	// preferences holds, by pool, the VM that the pool currently prefers.
+	preferences map[string]preference
 }
 
 type preference struct {
@@ -72,36 +73,34 @@
 }
 
 const (
-	// stableAfter is how long another process must be preferred before a pool
-	// is handed over to it: a process that starts and fails at once must not
-	// move engines twice.
-	stableAfter = 5 * time.Second
-	// rankDelay is how long each less preferred process waits longer with its
-	// claim, so that usually one claims.
-	rankDelay = time.Second
+	// minPreferenceAge is how long a pool must prefer another process before this one releases it:
+	// a process that starts and fails at once must not cause two moves of the engines.
+	minPreferenceAge = 5 * time.Second
+	// claimDelayPerRank is the additional delay of a claim for each process that the pool prefers
+	// to this one, so that usually only one process claims.
+	claimDelayPerRank = time.Second
 )
 
-// renewLeases appends a heartbeat when it is time, or when there is something
-// to claim or to hand over.
+// renewLeases appends a heartbeat when one is due or when there are scopes to claim or release.
 func (s *state) renewLeases() {
 	now := s.now()
-	if !s.auth.Established() || !s.opt.Log.Progress(s.opt.Stream).Read {
-		s.beat.settled = 0
+	if !s.authority.Established() || !s.opt.Log.Progress(s.opt.Stream).Read {
+		s.renewal.claimNotBefore = 0
 		return
 	}
-	if s.beat.settled == 0 {
-		s.beat.settled = now.Add(s.opt.Renew)
+	if s.renewal.claimNotBefore == 0 {
+		s.renewal.claimNotBefore = now.Add(s.opt.RenewInterval)
 	}
-	if s.beat.flying {
+	if s.renewal.appending {
 		return
 	}
-	s.beat.live = s.live(now)
-	every := s.opt.Renew
-	if !s.auth.Holds(s.opt.Incarnation) {
-		every = s.opt.Lease.IdleRenew(every)
+	s.renewal.liveVMs = s.liveVMs(now)
+	interval := s.opt.RenewInterval
+	if !s.authority.Holds(s.opt.Incarnation) {
+		interval = s.opt.Lease.IdleRenew(interval)
 	}
-	due := s.beat.last == 0 || now.Sub(s.beat.last) >= every
-	claims, releases := s.wantedClaims(now), s.wantedReleases(now)
+	due := s.renewal.lastAppend == 0 || now.Sub(s.renewal.lastAppend) >= interval
+	claims, releases := s.scopesToClaim(now), s.scopesToRelease(now)
 	if !due && len(claims)+len(releases) == 0 {
 		return
 	}
@@ -114,114 +113,116 @@
 	}
 	leaving := s.c.leaving.Load()
 	entries = append(entries, &wire.Entry{Kind: &wire.Entry_Heartbeat{Heartbeat: &wire.Heartbeat{Leaving: leaving}}})
-	s.beat.flying, s.beat.last = true, now
+	s.renewal.appending, s.renewal.lastAppend = true, now
 	s.c.wg.Go(func() {
 		r, err := s.opt.Log.Append(s.ctx, s.opt.Stream, entries...)
-		_ = s.c.postWait(s.ctx, beaten{at: now, seq: r.Seq, released: releases, err: err})
+		_ = s.c.postBlocking(s.ctx, renewalAppended{startedAt: now, seq: r.Seq, released: releases, err: err})
 	})
 }
 
-// beaten ends an append of the control stream.
-type beaten struct {
-	at       clock.Time
-	seq      uint64
-	released []string
-	err      error
+// renewalAppended is the result of an append to the control stream.
+type renewalAppended struct {
+	startedAt clock.Time
+	seq       uint64
+	released  []string
+	err       error
 }
 
-func (e beaten) apply(s *state) {
-	s.beat.flying = false
+func (e renewalAppended) apply(s *state) {
+	s.renewal.appending = false
 	for _, name := range e.released {
-		if one := s.engines[name]; one != nil {
-			one.releaseSeq = &e.seq
+		if released := s.engines[name]; released != nil {
+			released.releaseSeq = &e.seq
 		}
 	}
 	if e.seq > 0 {
-		s.tracker.Sent(e.seq, e.at)
-		for _, name := range s.auth.HeldBy(s.opt.Incarnation) {
-			s.takeScope(name)
+		s.tracker.Sent(e.seq, e.startedAt)
+		for _, name := range s.authority.HeldBy(s.opt.Incarnation) {
+			s.updateLease(name)
 		}
 	}
 	if e.err != nil {
-		log.WithError(e.err).WithField("stream", s.opt.Stream).Warn("renewal not confirmed")
+		log.WithError(e.err).WithField("stream", s.opt.Stream).Warn("lease renewal not confirmed")
 	}
 }
 
-// takeAuthority brings every engine's lease in line with the stream.
-func (s *state) takeAuthority() {
+// updateAllLeases updates the leases of all engines from the folded control stream.
+func (s *state) updateAllLeases() {
 	for name := range s.engines {
-		s.takeScope(name)
+		s.updateLease(name)
 	}
-	s.countHeld()
+	s.updateHeldCount()
 }
 
-// takeScope brings one engine's lease in line with the stream.
-func (s *state) takeScope(name string) {
+// updateLease updates the lease of one engine from the folded control stream.
+func (s *state) updateLease(name string) {
 	e := s.engines[name]
 	if e == nil {
 		return
 	}
-	h, _ := s.auth.Get(name)
+	h, _ := s.authority.Get(name)
 	until := s.tracker.Until(h)
-	if h.Writer != s.opt.Incarnation || h.Released || !s.auth.Established() {
+	if h.Writer != s.opt.Incarnation || h.Released || !s.authority.Established() {
 		until, h.Token = 0, 0
 	}
 	s.setLease(e, h.Token, until)
 }
 
-func (s *state) countHeld() { s.c.left.Store(int64(len(s.auth.HeldBy(s.opt.Incarnation)))) }
+func (s *state) updateHeldCount() {
+	s.c.heldScopes.Store(int64(len(s.authority.HeldBy(s.opt.Incarnation))))
+}
 
-// setLease notes an engine's token and the end of its lease. A new token is a
-// takeover: what was known of the engine before doesn't count any more.
+// setLease stores an engine's token and the end of its lease. A new token means a takeover, which
+// discards what was recorded about the engine.
 //
-// Failure: the answer to a release is lost and the process goes on giving
-// orders, while the release stands in the log and another process claims. From
-// the sending of a release on the engine counts as given up, until a later
-// renewal in the log proves that the release is dead.
+// It guards against this failure: the answer to a release is lost and the process continues to send
+// orders, while the release is in the log and another process claims the engine. So an engine
+// counts as released from the moment the release is sent, until a later renewal in the log proves
+// that the release can't take effect any more.
 func (s *state) setLease(e *engine, token uint64, until clock.Time) {
-	if e.releasing != 0 && token == e.releasing {
+	if e.releasingToken != 0 && token == e.releasingToken {
 		if e.releaseSeq != nil && s.tracker.Overtaken(*e.releaseSeq) {
-			e.releasing = 0
+			e.releasingToken = 0
 		} else {
 			token, until = 0, 0
 		}
 	}
-	e.lease.Store(&leaseEnd{token: token, until: until})
+	e.lease.Store(&leaseState{token: token, until: until})
 	if token == e.token {
 		return
 	}
 	log.WithField("engine", e.name).WithField("token", token).WithField("was", e.token).Info("authority")
 	now := s.now()
-	e.takeover(now, token, now.Add(s.orderWait(e)))
+	e.resetForToken(now, token, now.Add(s.firstOrderDelay(e)))
 }
 
-// orderWait is how long the first order waits after a takeover. At an engine
-// that ignores tokens the claim has waited already. At one that checks them
-// the former holder's last order is refused only once a newer one came, so
-// the first order of the new holder must not cross it.
-func (s *state) orderWait(e *engine) time.Duration {
-	if !e.spec.ChecksFence && !e.returned {
+// firstOrderDelay returns how long the first order waits after a takeover. For an engine that
+// ignores tokens the claim has already waited. An engine that checks them refuses the last order of
+// the previous holder only after it has received a newer token, so the first order of the new
+// holder must not race with that order.
+func (s *state) firstOrderDelay(e *engine) time.Duration {
+	if !e.spec.ChecksFence && !e.readded {
 		return 0
 	}
 	return s.opt.Lease.MaxFlight
 }
 
-// wantedClaims returns the scopes that this process should claim now.
-func (s *state) wantedClaims(now clock.Time) []*wire.ScopeClaim {
-	if s.c.leaving.Load() || now < s.beat.settled || s.beat.last == 0 {
+// scopesToClaim returns the scopes that this process should claim now.
+func (s *state) scopesToClaim(now clock.Time) []*wire.ScopeClaim {
+	if s.c.leaving.Load() || now < s.renewal.claimNotBefore || s.renewal.lastAppend == 0 {
 		return nil
 	}
 	var out []*wire.ScopeClaim
 	for name, e := range s.engines {
-		h, _ := s.auth.Get(name)
+		h, _ := s.authority.Get(name)
 		if h.Writer == s.opt.Incarnation && !h.Released || !s.tracker.Claimable(now, h, !e.spec.ChecksFence) {
-			e.claimable = 0
+			e.claimableSince = 0
 			continue
 		}
-		if e.claimable == 0 {
-			e.claimable = now
+		if e.claimableSince == 0 {
+			e.claimableSince = now
 		}
-		if rank := rankOf(s.opt.VM, e.pool, s.beat.live); now.Sub(e.claimable) >= time.Duration(rank)*rankDelay {
+		if rank := rankOf(s.opt.VM, e.pool, s.renewal.liveVMs); now.Sub(e.claimableSince) >= time.Duration(rank)*claimDelayPerRank {
 			out = append(out, &wire.ScopeClaim{Scope: name, SeenToken: h.Token, SeenRenewal: h.Renewal})
 		}
 	}
@@ -234,29 +235,28 @@
 	return out
 }
 
-// wantedReleases returns the scopes to hand over: those of engines that the
-// sheet no longer names, and those of pools that another process is preferred
-// for. Only engines at rest are handed over, since whoever claims a released
-// engine doesn't wait; one that left the sheet counts as at rest once no order
-// can be on its way.
-func (s *state) wantedReleases(now clock.Time) []string {
+// scopesToRelease returns the scopes to release: those of engines that were removed from the sheet,
+// and those of pools that prefer another process. Only idle engines are released, as the next
+// holder claims a released engine without waiting. An engine that was removed from the sheet counts
+// as idle once no order to it can be in flight.
+func (s *state) scopesToRelease(now clock.Time) []string {
 	var out []string
-	for _, name := range s.auth.HeldBy(s.opt.Incarnation) {
+	for _, name := range s.authority.HeldBy(s.opt.Incarnation) {
 		e := s.engines[name]
 		if e == nil {
-			if now.Sub(s.departed[name]) > s.opt.Lease.MaxFlight+orderTimeout {
+			if now.Sub(s.removedAt[name]) > s.opt.Lease.MaxFlight+orderTimeout {
 				out = append(out, name)
 			}
 			continue
 		}
-		h, _ := s.auth.Get(name)
-		if h.Token != e.releasing && e.memory.Idle() && !e.ordering && s.preferredElsewhere(now, e.pool) {
-			e.releasing, e.releaseSeq = h.Token, nil
+		h, _ := s.authority.Get(name)
+		if h.Token != e.releasingToken && e.reconciler.Idle() && !e.orderInFlight && s.shouldRelease(now, e.pool) {
+			e.releasingToken, e.releaseSeq = h.Token, nil
 			out = append(out, name)
 		}
 	}
 	for _, name := range out {
-		s.takeScope(name)
+		s.updateLease(name)
 	}
 	return out
 }
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -14,72 +14,71 @@
 	"fescuestand/internal/wire"
 )
 
-// slowStore gives ten seconds of its rate for a model.
+// slowStore needs ten seconds to deliver a model.
 type slowStore struct{}
 
 func (slowStore) Size(context.Context, string, string) (int64, error) { return 10 << 30, nil }
 func (slowStore) Rate(context.Context) (int64, error)                 { return 1 << 30, nil }
 
-// Story: an availability zone returns; its six engines are empty. If all asked
-// for their weights at once, the store would split its rate and none would
-// serve for a minute. They take turns.
-func TestEmptyEnginesTakeTurnsAtTheWeightStore(t *testing.T) {
-	begun := func(paced bool) (n int) {
+// A zone recovers with six empty engines. If all loaded their weights at once, the store would
+// divide its rate and none would serve for a minute. The loads must run one after the other.
+func TestLoadsOfEmptyEnginesAreSequential(t *testing.T) {
+	loadsIn15s := func(paced bool) (n int) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, 6, true)
-			defer w.close()
-			for _, e := range w.engines {
+			cl := newTestCluster(t, 6, true)
+			defer cl.close()
+			for _, e := range cl.engines {
 				e.state.Loaded = nil
 			}
-			w.start("vm0", func(o *Options) {
+			cl.startProcess("vm0", func(o *Options) {
 				if paced {
 					o.Weights = slowStore{}
 				}
 			})
-			eventually(t, 20*time.Second, "a load", func() bool { return w.loads() > 0 })
+			eventually(t, 20*time.Second, "a load", func() bool { return cl.loadsStarted() > 0 })
 			time.Sleep(15 * time.Second)
-			n = w.loads()
+			n = cl.loadsStarted()
 		})
 		return n
 	}
-	assert.Equal(t, begun(true), 2, "loads begun in the first 15 s")
-	assert.Equal(t, begun(false), 6, "without the pacing all at once")
+	assert.Equal(t, loadsIn15s(true), 2, "loads started in the first 15 s")
+	assert.Equal(t, loadsIn15s(false), 6, "all at once with pacing disabled")
 }
 
-func (w *world) loads() int {
+func (cl *testCluster) loadsStarted() int {
 	n := 0
-	for _, e := range w.engines {
-		n += len(e.ordersTaken())
+	for _, e := range cl.engines {
+		n += len(e.acceptedOrders())
 	}
 	return n
 }
 
-// Story: all control processes are gone for longer than the log keeps records.
-// Those that start afterwards find no state. They must not wait for ever, nor
-// claim while a holder from before might still give orders.
-func TestAuthorityBeginsAnewWhenNoRecordIsLeft(t *testing.T) {
+// All control processes are down for longer than the log keeps records, so that processes that
+// start later find no authority state. They must not wait forever, nor claim while a previous
+// holder could still send orders.
+func TestAuthorityResetWhenNoRecordIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, false)
-		defer w.close()
-		w.start("vm0")
-		eventually(t, 15*time.Second, "held", func() bool { return w.controls["vm0"].holdsAll() })
-		w.controls["vm0"].stop()
-		w.log.Expire("control", w.log.End("control"))
+		cl := newTestCluster(t, 3, false)
+		defer cl.close()
+		cl.startProcess("vm0")
+		eventually(t, 15*time.Second, "held", func() bool { return cl.processes["vm0"].holdsAll() })
+		cl.processes["vm0"].stop()
+		cl.log.Expire("control", cl.log.End("control"))
 		for i := range 2 {
-			w.start(fmt.Sprint("vm", i))
+			cl.startProcess(fmt.Sprint("vm", i))
 		}
-		time.Sleep(beginAfter)
-		assert.Assert(t, !w.controls["vm0"].holdsAll() && !w.controls["vm1"].holdsAll())
+		time.Sleep(resetAfter)
+		assert.Assert(t, !cl.processes["vm0"].holdsAll() && !cl.processes["vm1"].holdsAll())
 		eventually(t, time.Minute, "held again", func() bool {
-			return w.controls["vm0"].holdsAll() || w.controls["vm1"].holdsAll()
+			return cl.processes["vm0"].holdsAll() || cl.processes["vm1"].holdsAll()
 		})
 		time.Sleep(time.Minute)
-		assert.Assert(t, w.controls["vm0"].holdsAll() != w.controls["vm1"].holdsAll())
+		assert.Assert(t, cl.processes["vm0"].holdsAll() != cl.processes["vm1"].holdsAll())
 	})
 }
 
-func (p *proc) holdsAll() bool {
-	scopes := p.c.Scopes()
+func (p *process) holdsAll() bool {
+	scopes := p.control.Scopes()
 	for _, s := range scopes {
 		if !s.Held {
 			return false
@@ -88,51 +87,51 @@
 	return len(scopes) > 0
 }
 
-// Story: operators withdraw one engine that still carries a stream and take
-// another off the sheet. The stream ends by itself, neither engine gets an
-// order, and the one withdrawn takes work again when the sheet says so.
+// Operators withdraw one engine that still runs a stream and remove another from the sheet. The
+// stream must end normally, neither engine may get an order, and the withdrawn one must accept work
+// again when the sheet says so.
 func TestWithdrawnAndRemovedEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, true)
-		defer w.close()
-		p := w.start("vm0")
+		cl := newTestCluster(t, 3, true)
+		defer cl.close()
+		p := cl.startProcess("vm0")
 		eventually(t, 15*time.Second, "held", p.holdsAll)
 		time.Sleep(5 * time.Second)
-		w.setInFlight("e1", 1)
-		w.change(func(s *sheet.Sheet) {
+		cl.setInFlight("e1", 1)
+		cl.changeSheet(func(s *sheet.Sheet) {
 			s.Engines[1].Withdrawn = true
 			s.Engines = s.Engines[:2]
 			s.Pools[0].Engines = []string{"e0", "e1"}
 		})
-		eventually(t, 5*time.Second, "drain", func() bool { return w.phase("e1") == wire.Phase_PHASE_DRAIN })
+		eventually(t, 5*time.Second, "drain", func() bool { return cl.phase("e1") == wire.Phase_PHASE_DRAIN })
 		time.Sleep(5 * time.Second)
-		w.setInFlight("e1", 0)
-		eventually(t, 5*time.Second, "withdrawn", func() bool { return w.phase("e1") == wire.Phase_PHASE_WITHDRAWN })
+		cl.setInFlight("e1", 0)
+		eventually(t, 5*time.Second, "withdrawn", func() bool { return cl.phase("e1") == wire.Phase_PHASE_WITHDRAWN })
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, p.c.Left(), 2, "the removed engine was released")
-		w.change(func(s *sheet.Sheet) { s.Engines[1].Withdrawn = false })
-		eventually(t, 10*time.Second, "open", func() bool { return w.phase("e1") == wire.Phase_PHASE_OPEN })
-		for _, e := range w.engines {
-			assert.Equal(t, len(e.ordersTaken()), 0)
+		assert.Equal(t, p.control.Left(), 2, "the removed engine was released")
+		cl.changeSheet(func(s *sheet.Sheet) { s.Engines[1].Withdrawn = false })
+		eventually(t, 10*time.Second, "open", func() bool { return cl.phase("e1") == wire.Phase_PHASE_OPEN })
+		for _, e := range cl.engines {
+			assert.Equal(t, len(e.acceptedOrders()), 0)
 		}
 	})
 }
 
-// Story: one engine of a planned pool is dead when a process takes the pool
-// over. The others must still be split between the roles.
-func TestDeadEngineDoesNotStopTheSplit(t *testing.T) {
+// One engine of a planned pool is down when a process takes over the pool. The other engines must
+// still be assigned to the roles.
+func TestFailedEngineDoesNotBlockRoleAssignment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, true)
-		defer w.close()
-		w.engines["e3"].down = true
-		w.change(func(s *sheet.Sheet) {
+		cl := newTestCluster(t, 4, true)
+		defer cl.close()
+		cl.engines["e3"].down = true
+		cl.changeSheet(func(s *sheet.Sheet) {
 			s.Pools[0].Roles = sheet.Roles{Planned: true, MinPrefill: 1, MinDecode: 1}
 		})
-		w.start("vm0")
+		cl.startProcess("vm0")
 		eventually(t, 2*time.Minute, "split", func() bool {
 			n := map[driver.Role]int{}
 			for _, e := range []string{"e0", "e1", "e2"} {
-				n[w.role(e)]++
+				n[cl.role(e)]++
 			}
 			return n[driver.RolePrefill] == 1 && n[driver.RoleDecode] == 2
 		})
