--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -37,8 +37,8 @@
 	Leaving func() bool
 	// VMs is how many gateways share the endpoints.
 	VMs func() int
-	// Sent is told of each prefill that leaves for an engine.
-	Sent func(work time.Duration)
+	// OnPrefillSent is told of each prefill that leaves for an engine.
+	OnPrefillSent func(work time.Duration)
 	// Cached is told of each prefix that an engine has read for this VM.
 	Cached func(e *catalog.Endpoint, parts []place.Part)
 	// Leaves is told of each answer by which an endpoint says that it leaves.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -73,7 +73,7 @@
 	defer cancel()
 	s := &Send{Endpoint: e, Prefill: true, Fetch: sourceOf(plan)}
 	t := x.g.o.Planner.Begin(x.now(), e, plan.Job())
-	x.g.o.Sent(plan.Work)
+	x.g.o.OnPrefillSent(plan.Work)
 	resp, _, r := x.send(ctx, s)
 	var h *HandOver
 	if resp != nil {
