--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,8 +39,8 @@
 	VMs func() int
 	// OnPrefillSent is told of each prefill that leaves for an engine.
 	OnPrefillSent func(work time.Duration)
-	// Cached is told of each prefix that an engine has read for this VM.
-	Cached func(e *catalog.Endpoint, parts []place.Part)
+	// OnPrefixCached is told of each prefix that an engine has read for this VM.
+	OnPrefixCached func(e *catalog.Endpoint, parts []place.Part)
 	// Leaves is told of each answer by which an endpoint says that it leaves.
 	Leaves func(e *catalog.Endpoint)
 	// Crashed is told of each endpoint that a request may have crashed.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -119,7 +119,7 @@
 func (x *execution) cached(t *place.Ticket, e *catalog.Endpoint, pr *place.Prompt) {
 	x.g.o.Planner.PrefillDone(x.now(), t, pr.Parts)
 	if pr.SharedTokens() >= toldShared {
-		x.g.o.Cached(e, pr.Parts)
+		x.g.o.OnPrefixCached(e, pr.Parts)
 	}
 }
 
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -180,7 +180,7 @@
 	w.gateway = New(Options{
 		Codec: codec{}, Catalog: w.store, Planner: place.New("z", 1), Budget: w.budget, Crashes: w.crashes, Pressure: backpressure.New(1),
 		Pool: exchange.NewPool(), Clock: clock.Boot{}, Leaving: w.leaving.Load,
-		VMs: func() int { return 1 }, OnPrefillSent: func(time.Duration) {}, Cached: func(*catalog.Endpoint, []place.Part) {},
+		VMs: func() int { return 1 }, OnPrefillSent: func(time.Duration) {}, OnPrefixCached: func(*catalog.Endpoint, []place.Part) {},
 		Crashed: func(fingerprint uint64, endpoint string) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
