--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -41,8 +41,8 @@
 	OnPrefillSent func(work time.Duration)
 	// OnPrefixCached is told of each prefix that an engine has read for this VM.
 	OnPrefixCached func(e *catalog.Endpoint, parts []place.Part)
-	// Leaves is told of each answer by which an endpoint says that it leaves.
-	Leaves func(e *catalog.Endpoint)
+	// OnEndpointLeaving is told of each answer by which an endpoint says that it leaves.
+	OnEndpointLeaving func(e *catalog.Endpoint)
 	// Crashed is told of each endpoint that a request may have crashed.
 	Crashed func(fingerprint uint64, endpoint string)
 	// Keys says whether keys can be judged by what this VM knows.
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -15,7 +15,7 @@
 // heed takes what e said with its answer to the request id, which was sent at sentAt.
 func (g *Gateway) heed(e *catalog.Endpoint, sentAt clock.Time, id string, n backpressure.Notice) {
 	if n.Leaving {
-		g.o.Leaves(e)
+		g.o.OnEndpointLeaving(e)
 	}
 	g.o.Pressure.ObserveAnswer(g.o.Clock.Now(), sentAt, e, id, n)
 }
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -193,7 +193,7 @@
 		Changes: NewChanges(clock.Boot{}, keyedlog.New("fleet", nil)), Rate: w.gateway.Rate,
 		Ordered: func(string) {}, HeardConfig: func(string, uint64) {}, News: func() {},
 	}
-	w.gateway.o.Leaves = w.beats.Leaves
+	w.gateway.o.OnEndpointLeaving = w.beats.Leaves
 	w.gateway.o.Planner.Admits = w.gateway.o.Pressure.Admits
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
