--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -249,7 +249,7 @@
 	x.tried[e.ID] = true
 	x.g.o.Planner.End(x.now(), t, judgement(&r))
 	if r.outcome == lost && !x.started && errors.Is(r.err, driver.ErrCut) {
-		x.g.o.Crashed(x.c.Fingerprint, e.ID)
+		x.g.o.OnCrash(x.c.Fingerprint, e.ID)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -43,8 +43,8 @@
 	OnPrefixCached func(e *catalog.Endpoint, parts []place.Part)
 	// OnEndpointLeaving is told of each answer by which an endpoint says that it leaves.
 	OnEndpointLeaving func(e *catalog.Endpoint)
-	// Crashed is told of each endpoint that a request may have crashed.
-	Crashed func(fingerprint uint64, endpoint string)
+	// OnCrash is told of each endpoint that a request may have crashed.
+	OnCrash func(fingerprint uint64, endpoint string)
 	// Keys says whether keys can be judged by what this VM knows.
 	Keys func() freshness.Verdict
 	// Began is told of each request that an endpoint has begun to run.
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -181,7 +181,7 @@
 		Codec: codec{}, Catalog: w.store, Planner: place.New("z", 1), Budget: w.budget, Crashes: w.crashes, Pressure: backpressure.New(1),
 		Pool: exchange.NewPool(), Clock: clock.Boot{}, Leaving: w.leaving.Load,
 		VMs: func() int { return 1 }, OnPrefillSent: func(time.Duration) {}, OnPrefixCached: func(*catalog.Endpoint, []place.Part) {},
-		Crashed: func(fingerprint uint64, endpoint string) {
+		OnCrash: func(fingerprint uint64, endpoint string) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			w.crashed = append(w.crashed, endpoint)
