--- a/internal/gateway/authorize.go
+++ b/internal/gateway/authorize.go
@@ -65,5 +65,5 @@
 		return
 	}
 	x.counted = true
-	x.g.o.Began(at, x.c.Workspace)
+	x.g.o.OnRequestRunning(at, x.c.Workspace)
 }
--- a/internal/gateway/authorize_test.go
+++ b/internal/gateway/authorize_test.go
@@ -45,7 +45,7 @@
 		defer w.mu.Unlock()
 		return w.verdict
 	}
-	o.Began = func(_ clock.Time, s *workspace.Workspace) {
+	o.OnRequestRunning = func(_ clock.Time, s *workspace.Workspace) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.counted = append(w.counted, s.Name)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,8 +47,8 @@
 	OnCrash func(fingerprint uint64, endpoint string)
 	// Keys says whether keys can be judged by what this VM knows.
 	Keys func() freshness.Verdict
-	// Began is told of each request that an endpoint has begun to run.
-	Began func(at clock.Time, w *workspace.Workspace)
+	// OnRequestRunning is told of each request that an endpoint has begun to run.
+	OnRequestRunning func(at clock.Time, w *workspace.Workspace)
 }
 
 // Gateway is the handler of callers' requests.
