--- a/internal/gateway/authorize.go
+++ b/internal/gateway/authorize.go
@@ -24,7 +24,7 @@
 	if cfg.Workspaces == nil || r.Anonymous && !c.HasKey {
 		return nil
 	}
-	v := g.o.Keys()
+	v := g.o.KeyFreshness()
 	if v == freshness.Stale {
 		return staleKeys()
 	}
--- a/internal/gateway/authorize_test.go
+++ b/internal/gateway/authorize_test.go
@@ -40,7 +40,7 @@
 	w := &keyedWorld{world: newWorld(t), verdict: freshness.Judge}
 	o := &w.gateway.o
 	o.Codec = keyedCodec{}
-	o.Keys = func() freshness.Verdict {
+	o.KeyFreshness = func() freshness.Verdict {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return w.verdict
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -45,8 +45,8 @@
 	OnEndpointLeaving func(e *catalog.Endpoint)
 	// OnCrash is told of each endpoint that a request may have crashed.
 	OnCrash func(fingerprint uint64, endpoint string)
-	// Keys says whether keys can be judged by what this VM knows.
-	Keys func() freshness.Verdict
+	// KeyFreshness says whether keys can be judged by what this VM knows.
+	KeyFreshness func() freshness.Verdict
 	// OnRequestRunning is told of each request that an endpoint has begun to run.
 	OnRequestRunning func(at clock.Time, w *workspace.Workspace)
 }
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -162,7 +162,7 @@
 		Codec: a.Codec(), Catalog: n.catalog, Planner: n.planner, Budget: n.budget, Crashes: n.crashes,
 		Pressure: n.pressure, Pool: n.pool, Clock: c, Leaving: n.members.Leaving,
 		VMs: n.members.Serving, OnPrefillSent: n.sent, OnPrefixCached: n.cached, OnCrash: n.crashed, OnEndpointLeaving: n.leaves,
-		Keys: n.judgeKeys, OnRequestRunning: n.began,
+		KeyFreshness: n.judgeKeys, OnRequestRunning: n.began,
 	})
 	n.planner.Admits = n.pressure.Admits
 	n.pressure.Self = o.Self.Peer
