--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,8 +66,8 @@
 	return &Gateway{o: o, started: o.Clock.Now(), metrics: newMetrics()}
 }
 
-// Rate returns the requests a second, zero if they are not known yet.
-func (g *Gateway) Rate() float64 { return g.rate.Rate(g.o.Clock.Now()) }
+// RequestRate returns the requests a second, zero if they are not known yet.
+func (g *Gateway) RequestRate() float64 { return g.rate.Rate(g.o.Clock.Now()) }
 
 // Metrics returns the counters.
 func (g *Gateway) Metrics() *Metrics { return g.metrics }
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -166,11 +166,11 @@
 	})
 	n.planner.Admits = n.pressure.Admits
 	n.pressure.Self = o.Self.Peer
-	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.Rate, n.members.Serving
+	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.RequestRate, n.members.Serving
 	n.orders.Leaves = n.leaves
 	n.exchange = &gateway.Exchange{
 		Clock: c, Planner: n.planner, Pressure: n.pressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.changes,
-		Rate: n.gateway.Rate, Ordered: n.orders.Heard, HeardConfig: n.puller.Heard, News: n.news,
+		Rate: n.gateway.RequestRate, Ordered: n.orders.Heard, HeardConfig: n.puller.Heard, News: n.news,
 	}
 	if o.Usage.Window > 0 {
 		n.exchange.Time, n.exchange.Usage = n.time, n.usage
