--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -121,9 +121,9 @@
 	e.Info("request refused")
 }
 
-// Follow hands each new view to the planner until ctx ends, and closes kept
+// FollowCatalog hands each new view to the planner until ctx ends, and closes kept
 // connections that nobody will use.
-func (g *Gateway) Follow(ctx context.Context) error {
+func (g *Gateway) FollowCatalog(ctx context.Context) error {
 	for {
 		changed := g.o.Catalog.Changed()
 		v := g.o.Catalog.View()
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -197,7 +197,7 @@
 	w.gateway.o.Planner.Admits = w.gateway.o.Pressure.Admits
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); _ = w.gateway.Follow(ctx) }()
+	go func() { defer close(done); _ = w.gateway.FollowCatalog(ctx) }()
 	w.Server = httptest.NewServer(w.gateway)
 	t.Cleanup(func() { w.Close(); cancel(); <-done })
 	return w
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -102,7 +102,7 @@
 	n := f.n
 	group.Go(func() error { return n.config.Run(ctx) })
 	group.Go(func() error { return n.fleet.Run(ctx) })
-	group.Go(func() error { return n.gateway.Follow(ctx) })
+	group.Go(func() error { return n.gateway.FollowCatalog(ctx) })
 	group.Go(func() error { return f.settle(ctx) })
 	return group.Wait()
 }
