--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -15,9 +15,9 @@
 	"fescuestand/internal/wire"
 )
 
-// Exchange fills and takes the beats that gateways send each other. It
+// GossipContent fills and takes the beats that gateways send each other. It
 // implements gossip.Content.
-type Exchange struct {
+type GossipContent struct {
 	Clock    clock.Clock
 	Planner  *place.Planner
 	Pressure *backpressure.Tracker
@@ -42,7 +42,7 @@
 }
 
 // Fill implements gossip.Content.
-func (x *Exchange) Fill(b *wire.Beat) {
+func (x *GossipContent) Fill(b *wire.Beat) {
 	if c := x.Catalog.View().Config; c != nil {
 		b.ConfigVersion = c.Version
 	}
@@ -90,7 +90,7 @@
 }
 
 // FillNews implements gossip.Content.
-func (x *Exchange) FillNews(b *wire.Beat) {
+func (x *GossipContent) FillNews(b *wire.Beat) {
 	if c := x.Catalog.View().Config; c != nil {
 		b.ConfigVersion = c.Version
 	}
@@ -100,7 +100,7 @@
 }
 
 // Totals implements gossip.Content.
-func (x *Exchange) Totals() []*wire.UsageWindow {
+func (x *GossipContent) Totals() []*wire.UsageWindow {
 	if x.Usage == nil {
 		return nil
 	}
@@ -108,7 +108,7 @@
 }
 
 // takeTotals takes the time of day and the counts of another VM.
-func (x *Exchange) takeTotals(from string, b *wire.Beat) {
+func (x *GossipContent) takeTotals(from string, b *wire.Beat) {
 	if b.GetWallMs() != 0 {
 		x.Time.Heard(from, time.UnixMilli(b.GetWallMs()))
 	}
@@ -119,14 +119,14 @@
 func ProcessName(vm, incarnation string) string { return vm + " " + incarnation }
 
 // Crashed has a crash told to all VMs.
-func (x *Exchange) Crashed(c *wire.Crash) { x.crashes.add(x.Clock.Now(), c) }
+func (x *GossipContent) Crashed(c *wire.Crash) { x.crashes.add(x.Clock.Now(), c) }
 
 // Leaves takes an endpoint's own word that it leaves, and has it told to all VMs.
-func (x *Exchange) Leaves(e *catalog.Endpoint) {
+func (x *GossipContent) Leaves(e *catalog.Endpoint) {
 	x.takeLeaving(&wire.LeavingEndpoint{Id: e.ID, Born: e.Born})
 }
 
-func (x *Exchange) takeLeaving(l *wire.LeavingEndpoint) {
+func (x *GossipContent) takeLeaving(l *wire.LeavingEndpoint) {
 	if x.Catalog.SetLeaving(l.GetId(), l.GetBorn()) {
 		x.leaving.add(x.Clock.Now(), l)
 		x.News()
@@ -134,7 +134,7 @@
 }
 
 // Take implements gossip.Content.
-func (x *Exchange) Take(from string, b *wire.Beat) {
+func (x *GossipContent) Take(from string, b *wire.Beat) {
 	if b.GetProbe() == nil {
 		x.takeLoad(from, b)
 		if x.Usage != nil {
@@ -156,7 +156,7 @@
 }
 
 // takeLoad takes what only VMs of the active set tell.
-func (x *Exchange) takeLoad(from string, b *wire.Beat) {
+func (x *GossipContent) takeLoad(from string, b *wire.Beat) {
 	now := x.Clock.Now()
 	reports := make([]place.Report, 0, len(b.GetOutstanding()))
 	for _, o := range b.GetOutstanding() {
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -166,7 +166,7 @@
 	budget  *repeat.Budget
 	crashes *crash.Register
 	leaving atomic.Bool
-	beats   *Exchange
+	beats   *GossipContent
 
 	mu      sync.Mutex
 	crashed []string
@@ -188,7 +188,7 @@
 			w.crashes.RecordCrash(clock.Boot{}.Now(), fingerprint, endpoint)
 		},
 	})
-	w.beats = &Exchange{
+	w.beats = &GossipContent{
 		Clock: clock.Boot{}, Planner: w.gateway.o.Planner, Pressure: w.gateway.o.Pressure, Crashes: w.crashes, Catalog: w.store,
 		Changes: NewChanges(clock.Boot{}, keyedlog.New("fleet", nil)), Rate: w.gateway.RequestRate,
 		Ordered: func(string) {}, HeardConfig: func(string, uint64) {}, News: func() {},
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -125,7 +125,7 @@
 	pressure *backpressure.Tracker
 	gateway  *gateway.Gateway
 	gossip   *gossip.Unit
-	exchange *gateway.Exchange
+	exchange *gateway.GossipContent
 	pool     *exchange.Pool
 	duty     *authority.Authority
 	orders   *orders.Unit
@@ -168,7 +168,7 @@
 	n.pressure.Self = o.Self.Peer
 	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.RequestRate, n.members.Serving
 	n.orders.Leaves = n.leaves
-	n.exchange = &gateway.Exchange{
+	n.exchange = &gateway.GossipContent{
 		Clock: c, Planner: n.planner, Pressure: n.pressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.changes,
 		Rate: n.gateway.RequestRate, Ordered: n.orders.Heard, HeardConfig: n.puller.Heard, News: n.news,
 	}
