--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -24,8 +24,8 @@
 	Crashes  *crash.Register
 	Catalog  *catalog.Store
 	Changes  *Changes
-	// Rate is how many requests a second this VM gets.
-	Rate func() float64
+	// RequestRate is how many requests a second this VM gets.
+	RequestRate func() float64
 	// Ordered is told of each engine that another VM has ordered to change.
 	Ordered func(id string)
 	// HeardConfig is told which version of the configuration a VM serves by.
@@ -50,7 +50,7 @@
 		b.WallMs = x.Time.Own().UnixMilli()
 	}
 	x.Changes.fill(b)
-	b.Requests = uint32(math.Ceil(x.Rate()))
+	b.Requests = uint32(math.Ceil(x.RequestRate()))
 	d := x.Planner.Demand(x.Clock.Now())
 	b.Demand = &wire.Demand{PrefillMs: uint32(1000 * d.Prefill), CentiStreams: uint32(100 * d.Streams)}
 	b.LeavingEndpoints = x.leaving.tell(x.Clock.Now())
