--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -26,8 +26,8 @@
 	Changes  *Changes
 	// RequestRate is how many requests a second this VM gets.
 	RequestRate func() float64
-	// Ordered is told of each engine that another VM has ordered to change.
-	Ordered func(id string)
+	// OnOrder is told of each engine that another VM has ordered to change.
+	OnOrder func(id string)
 	// HeardConfig is told which version of the configuration a VM serves by.
 	HeardConfig func(vm string, version uint64)
 	// News is called when there is something that all VMs must know.
@@ -172,7 +172,7 @@
 	x.Pressure.MergeReports(now, from, float64(b.GetRequests()), toldOf(b.GetNotices()))
 	for _, id := range b.GetChanging() {
 		x.Planner.MarkChangingStage(now, id)
-		x.Ordered(id)
+		x.OnOrder(id)
 	}
 	for _, c := range b.GetCached() {
 		x.Planner.RecordCached(c.GetEndpoint(), cachesync.Parts(c))
