--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -28,8 +28,8 @@
 	RequestRate func() float64
 	// OnOrder is told of each engine that another VM has ordered to change.
 	OnOrder func(id string)
-	// HeardConfig is told which version of the configuration a VM serves by.
-	HeardConfig func(vm string, version uint64)
+	// OnPeerConfigVersion is told which version of the configuration a VM serves by.
+	OnPeerConfigVersion func(vm string, version uint64)
 	// News is called when there is something that all VMs must know.
 	News func()
 	// Time estimates the time of day, and Usage counts requests by it. Both are nil
@@ -142,7 +142,7 @@
 		}
 	}
 	x.Changes.take(b)
-	x.HeardConfig(from, b.GetConfigVersion())
+	x.OnPeerConfigVersion(from, b.GetConfigVersion())
 	for _, l := range b.GetLeavingEndpoints() {
 		x.takeLeaving(l)
 	}
