--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -30,8 +30,8 @@
 	OnOrder func(id string)
 	// OnPeerConfigVersion is told which version of the configuration a VM serves by.
 	OnPeerConfigVersion func(vm string, version uint64)
-	// News is called when there is something that all VMs must know.
-	News func()
+	// OnChange is called when there is something that all VMs must know.
+	OnChange func()
 	// Time estimates the time of day, and Usage counts requests by it. Both are nil
 	// where requests aren't counted.
 	Time  *truetime.Estimator
@@ -129,7 +129,7 @@
 func (x *GossipContent) takeLeaving(l *wire.LeavingEndpoint) {
 	if x.Catalog.SetLeaving(l.GetId(), l.GetBorn()) {
 		x.leaving.add(x.Clock.Now(), l)
-		x.News()
+		x.OnChange()
 	}
 }
 
@@ -150,7 +150,7 @@
 	for _, c := range b.GetCrashes() {
 		if x.Crashes.RecordCrash(now, c.GetRequest(), c.GetEndpoint()) {
 			x.crashes.add(now, c)
-			x.News()
+			x.OnChange()
 		}
 	}
 }
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -191,7 +191,7 @@
 	w.beats = &GossipContent{
 		Clock: clock.Boot{}, Planner: w.gateway.o.Planner, Pressure: w.gateway.o.Pressure, Crashes: w.crashes, Catalog: w.store,
 		Changes: NewChanges(clock.Boot{}, keyedlog.New("fleet", nil)), RequestRate: w.gateway.RequestRate,
-		OnOrder: func(string) {}, OnPeerConfigVersion: func(string, uint64) {}, News: func() {},
+		OnOrder: func(string) {}, OnPeerConfigVersion: func(string, uint64) {}, OnChange: func() {},
 	}
 	w.gateway.o.OnEndpointLeaving = w.beats.Leaves
 	w.gateway.o.Planner.Admits = w.gateway.o.Pressure.Admits
