--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -118,8 +118,8 @@
 // ProcessName tells the processes of a VM apart.
 func ProcessName(vm, incarnation string) string { return vm + " " + incarnation }
 
-// Crashed has a crash told to all VMs.
-func (x *GossipContent) Crashed(c *wire.Crash) { x.crashes.add(x.Clock.Now(), c) }
+// AnnounceCrash has a crash told to all VMs.
+func (x *GossipContent) AnnounceCrash(c *wire.Crash) { x.crashes.add(x.Clock.Now(), c) }
 
 // Leaves takes an endpoint's own word that it leaves, and has it told to all VMs.
 func (x *GossipContent) Leaves(e *catalog.Endpoint) {
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -283,7 +283,7 @@
 	c := &wire.Crash{Request: fingerprint, Endpoint: endpoint}
 	n.gossip.Tell(func(b *wire.Beat) { b.Crashes = append(b.Crashes, c) })
 	n.gossip.Soon()
-	n.exchange.Crashed(c)
+	n.exchange.AnnounceCrash(c)
 	n.news()
 }
 
