--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -121,8 +121,8 @@
 // AnnounceCrash has a crash told to all VMs.
 func (x *GossipContent) AnnounceCrash(c *wire.Crash) { x.crashes.add(x.Clock.Now(), c) }
 
-// Leaves takes an endpoint's own word that it leaves, and has it told to all VMs.
-func (x *GossipContent) Leaves(e *catalog.Endpoint) {
+// AnnounceLeaving takes an endpoint's own word that it leaves, and has it told to all VMs.
+func (x *GossipContent) AnnounceLeaving(e *catalog.Endpoint) {
 	x.takeLeaving(&wire.LeavingEndpoint{Id: e.ID, Born: e.Born})
 }
 
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -193,7 +193,7 @@
 		Changes: NewChanges(clock.Boot{}, keyedlog.New("fleet", nil)), RequestRate: w.gateway.RequestRate,
 		OnOrder: func(string) {}, OnPeerConfigVersion: func(string, uint64) {}, OnChange: func() {},
 	}
-	w.gateway.o.OnEndpointLeaving = w.beats.Leaves
+	w.gateway.o.OnEndpointLeaving = w.beats.AnnounceLeaving
 	w.gateway.o.Planner.Admits = w.gateway.o.Pressure.Admits
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -288,7 +288,7 @@
 }
 
 // leaves takes an endpoint's own word that it leaves.
-func (n *Node) leaves(e *catalog.Endpoint) { n.exchange.Leaves(e) }
+func (n *Node) leaves(e *catalog.Endpoint) { n.exchange.AnnounceLeaving(e) }
 
 // news has something told that all VMs must know.
 func (n *Node) news() { n.gossip.Push() }
