--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -74,9 +74,9 @@
 	return &Changes{clock: c, fleet: fleet, previous: map[int64]int64{}, heard: map[int64]struct{}{}, missing: map[int64]*missing{}, Reads: func() bool { return true }}
 }
 
-// Know notes a change that is in force here and passes it on. What a VM reads at its
+// RecordApplied notes a change that is in force here and passes it on. What a VM reads at its
 // start is no news to the others.
-func (x *Changes) Know(e keyedlog.Entry) {
+func (x *Changes) RecordApplied(e keyedlog.Entry) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.note(e.Offset)
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -58,8 +58,8 @@
 	c := &clock.Manual{T: 1}
 	reader := NewChanges(c, nil)
 	x, applied, reads := listener(t, c)
-	reader.Know(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3})
-	reader.Know(keyedlog.Entry{Key: "b", Offset: 4, Kept: time.Second})
+	reader.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3})
+	reader.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Kept: time.Second})
 	told := beatOf(reader)
 	assert.Equal(t, told.GetChanges()[1].GetKeptMs(), uint32(1000))
 	x.take(told)
@@ -73,7 +73,7 @@
 func TestWhatIsReadAtAStartIsNotTold(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	x := NewChanges(c, nil)
-	x.Know(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3, Newest: true})
+	x.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3, Newest: true})
 	b := beatOf(x)
 	assert.Equal(t, len(b.GetChanges()), 0)
 	assert.Equal(t, b.GetLastChange(), uint64(3))
@@ -84,11 +84,11 @@
 	c := &clock.Manual{T: 1}
 	x := NewChanges(c, nil)
 	x.Reads = func() bool { return false }
-	x.Know(keyedlog.Entry{Key: "a", Offset: 3})
+	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 3})
 	b := beatOf(x)
 	assert.Equal(t, len(b.GetChanges()), 0)
 	assert.Equal(t, b.GetLastChange(), uint64(3))
-	x.Know(keyedlog.Entry{Key: "b", Offset: 4, Heard: true})
+	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Heard: true})
 	x.pass(b)
 	assert.Equal(t, len(b.GetChanges()), 1, "what was heard is passed on")
 }
@@ -98,7 +98,7 @@
 	c := &clock.Manual{T: 1}
 	x := NewChanges(c, nil)
 	for i := range 3000 {
-		x.Know(keyedlog.Entry{Key: fmt.Sprint(i), Offset: int64(i + 1)})
+		x.RecordApplied(keyedlog.Entry{Key: fmt.Sprint(i), Offset: int64(i + 1)})
 	}
 	assert.Equal(t, len(x.recent), mostTold)
 	assert.Equal(t, beatOf(x).GetLastChange(), uint64(3000))
@@ -130,7 +130,7 @@
 func TestAGapBelowTheNewestChangeIsSeen(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	x, _, reads := listener(t, c)
-	x.Know(keyedlog.Entry{Key: "a", Offset: 2, Newest: true})
+	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 2, Newest: true})
 	pass := func(changes ...*wire.Change) { x.take(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
 	pass(&wire.Change{Key: "d", Offset: 9, Previous: 2})
 	pass(&wire.Change{Key: "b", Offset: 6, Previous: 5})
@@ -160,16 +160,16 @@
 	c := &clock.Manual{T: 1}
 	reader := NewChanges(c, nil)
 	x, applied, reads := listener(t, c)
-	reader.Know(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3})
-	reader.Know(keyedlog.Entry{Key: "b", Value: []byte("1"), Offset: 4})
+	reader.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3})
+	reader.RecordApplied(keyedlog.Entry{Key: "b", Value: []byte("1"), Offset: 4})
 	told := beatOf(reader)
 	told.Probe = &wire.Probe{}
 	first, second := told.GetChanges()[0], told.GetChanges()[1]
 	pass := func(changes ...*wire.Change) { x.take(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
 	pass(second)
-	x.Know(keyedlog.Entry{Key: "b", Offset: 4, Heard: true})
+	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Heard: true})
 	pass(first)
-	x.Know(keyedlog.Entry{Key: "a", Offset: 3, Heard: true})
+	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 3, Heard: true})
 	c.T = c.T.Add(behindFor)
 	pass()
 	assert.DeepEqual(t, applied, map[string]string{"a": "1", "b": "1"})
@@ -200,10 +200,10 @@
 	c := &clock.Manual{T: 1}
 	reader := NewChanges(c, nil)
 	x, _, reads := listener(t, c)
-	reader.Know(keyedlog.Entry{Key: "first", Offset: 1})
+	reader.RecordApplied(keyedlog.Entry{Key: "first", Offset: 1})
 	x.take(beatOf(reader))
 	for i := range 2 * maxChanges {
-		reader.Know(keyedlog.Entry{Key: fmt.Sprint(i), Offset: int64(i + 2)})
+		reader.RecordApplied(keyedlog.Entry{Key: fmt.Sprint(i), Offset: int64(i + 2)})
 	}
 	x.take(beatOf(reader))
 	awaitRead(t, reads)
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -175,7 +175,7 @@
 		return
 	}
 	if n.catalog.SetEndpoint(ep) {
-		n.changes.Know(e)
+		n.changes.RecordApplied(e)
 		n.news()
 	}
 }
@@ -190,7 +190,7 @@
 		changed, e.Kept = n.catalog.RemoveEndpoint(e.Key)
 	}
 	if changed {
-		n.changes.Know(e)
+		n.changes.RecordApplied(e)
 		n.news()
 	}
 }
