--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -198,8 +198,8 @@
 	maps.DeleteFunc(x.heard, func(offset int64, _ struct{}) bool { return offset <= x.read })
 }
 
-// HaveRead notes that this VM has read the store up to the offset end itself.
-func (x *Changes) HaveRead(end int64) {
+// RecordRead notes that this VM has read the store up to the offset end itself.
+func (x *Changes) RecordRead(end int64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.hadBefore(end - 1)
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -119,7 +119,7 @@
 	c.T = c.T.Add(behindFor)
 	pass()
 	awaitRead(t, reads) // the change may not have been there yet
-	x.HaveRead(9)
+	x.RecordRead(9)
 	c.T = c.T.Add(behindFor)
 	pass()
 	assert.Equal(t, len(reads), 0)
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -51,7 +51,7 @@
 	n.fleet.Pause, n.fleet.Lost = n.members.ReadPause, n.catalog.Unreachable
 	n.fleet.Read = func(clock.Time) {
 		n.members.HaveRead()
-		n.changes.HaveRead(n.fleet.Next())
+		n.changes.RecordRead(n.fleet.Next())
 	}
 	n.changes = gateway.NewChanges(n.clock, n.fleet)
 	n.changes.Reads = n.members.Reads
