--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -40,9 +40,9 @@
 type Changes struct {
 	clock clock.Clock
 	fleet *keyedlog.Follower
-	// Reads tells whether this VM reads the store for all. What another one has
+	// IsReader tells whether this VM reads the store for all. What another one has
 	// read for itself the others know, or will read too.
-	Reads func() bool
+	IsReader func() bool
 
 	mu     sync.Mutex
 	recent []told
@@ -71,7 +71,7 @@
 
 // NewChanges returns the exchange of fleet's changes.
 func NewChanges(c clock.Clock, fleet *keyedlog.Follower) *Changes {
-	return &Changes{clock: c, fleet: fleet, previous: map[int64]int64{}, heard: map[int64]struct{}{}, missing: map[int64]*missing{}, Reads: func() bool { return true }}
+	return &Changes{clock: c, fleet: fleet, previous: map[int64]int64{}, heard: map[int64]struct{}{}, missing: map[int64]*missing{}, IsReader: func() bool { return true }}
 }
 
 // RecordApplied notes a change that is in force here and passes it on. What a VM reads at its
@@ -80,7 +80,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.note(e.Offset)
-	if e.Newest || !e.Heard && !x.Reads() {
+	if e.Newest || !e.Heard && !x.IsReader() {
 		x.last = max(x.last, e.Offset)
 		return
 	}
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -83,7 +83,7 @@
 func TestOnlyReadersTellWhatTheyRead(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	x := NewChanges(c, nil)
-	x.Reads = func() bool { return false }
+	x.IsReader = func() bool { return false }
 	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 3})
 	b := beatOf(x)
 	assert.Equal(t, len(b.GetChanges()), 0)
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -54,7 +54,7 @@
 		n.changes.RecordRead(n.fleet.Next())
 	}
 	n.changes = gateway.NewChanges(n.clock, n.fleet)
-	n.changes.Reads = n.members.Reads
+	n.changes.IsReader = n.members.Reads
 }
 
 // configWait is how long a read of the configuration waits for a newer one.
