--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -43,13 +43,13 @@
 	Left      time.Duration // until the caller has no use for an answer
 	Urgency   int           // 0 is first
 	Prefill   bool          // prefill only, and keep the KV cache
-	KV        *HandOver     // KV cache to go on from
+	KV        *Handoff     // KV cache to go on from
 	Fetch     string        // address of the engine from which to fetch what it has of the prompt
 	LastEvent string        // the stream goes on after this event
 }
 
-// HandOver names a KV cache that waits at an engine.
-type HandOver struct {
+// Handoff names a KV cache that waits at an engine.
+type Handoff struct {
 	Holder *catalog.Endpoint
 	Handle string
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -33,7 +33,7 @@
 
 // decode has a decode engine go on from a KV cache. An engine that doesn't run
 // the request leaves the cache where it is, so that another one can.
-func (x *execution) decode(kv *HandOver, pr *place.Prompt, plan *place.Plan) result {
+func (x *execution) decode(kv *Handoff, pr *place.Prompt, plan *place.Plan) result {
 	r := result{outcome: notSent, code: code.NoEndpoint}
 	for range maxRefusals {
 		// A prefill may wait for seconds, in which engines leave: the choice
@@ -67,7 +67,7 @@
 
 // prefill has the plan's prefill engine read the prompt. It can be repeated at
 // another engine whatever became of it.
-func (x *execution) prefill(plan *place.Plan, pr *place.Prompt) (*HandOver, result) {
+func (x *execution) prefill(plan *place.Plan, pr *place.Prompt) (*Handoff, result) {
 	e := plan.Prefill
 	ctx, cancel := context.WithTimeout(x.ctx, silentFirst+firstFactor*(plan.Wait+plan.Fetch+plan.Work))
 	defer cancel()
@@ -75,7 +75,7 @@
 	t := x.g.o.Planner.Begin(x.now(), e, plan.Job())
 	x.g.o.OnPrefillSent(plan.Work)
 	resp, _, r := x.send(ctx, s)
-	var h *HandOver
+	var h *Handoff
 	if resp != nil {
 		h, r = x.readHandOver(resp, e)
 	}
@@ -96,7 +96,7 @@
 	return plan.Source.Address
 }
 
-func (x *execution) readHandOver(resp *exchange.Response, e *catalog.Endpoint) (*HandOver, result) {
+func (x *execution) readHandOver(resp *exchange.Response, e *catalog.Endpoint) (*Handoff, result) {
 	defer resp.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHandOver))
 	if err != nil {
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, result{outcome: failed, code: code.BadAnswer, err: err}
 	}
-	return &HandOver{e, handle}, result{outcome: answered}
+	return &Handoff{e, handle}, result{outcome: answered}
 }
 
 // maxHandOver bounds the answer to a prefill, a line of JSON.
@@ -227,7 +227,7 @@
 const releaseTimeout = time.Second
 
 // release frees a KV cache that nobody will use.
-func (g *Gateway) release(h HandOver) {
+func (g *Gateway) release(h Handoff) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	method, target := g.o.Codec.Release(h.Handle)
