--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -62,8 +62,8 @@
 	Header(c *Call, s *Send) http.Header
 	// Answer reads what an endpoint's response says of itself.
 	Answer(c *Call, status int, h http.Header) Answer
-	// HandOver reads the answer to a prefill.
-	HandOver(body []byte) (handle string, err error)
+	// ParseHandoff reads the answer to a prefill.
+	ParseHandoff(body []byte) (handle string, err error)
 	// Release returns the request that frees a KV cache which nobody will use.
 	Release(handle string) (method, target string)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -105,7 +105,7 @@
 	if resp.Status != http.StatusOK {
 		return nil, result{outcome: failed, code: code.EndpointFailed}
 	}
-	handle, err := x.g.o.Codec.HandOver(body)
+	handle, err := x.g.o.Codec.ParseHandoff(body)
 	if err != nil {
 		return nil, result{outcome: failed, code: code.BadAnswer, err: err}
 	}
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func (codec) HandOver(body []byte) (string, error) {
+func (codec) ParseHandoff(body []byte) (string, error) {
 	var handle string
 	return handle, json.Unmarshal(body, &handle)
 }
