--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -37,8 +37,8 @@
 	Workspace *workspace.Workspace // that holds the key, nil where requests need none
 }
 
-// Send is one exchange with an endpoint.
-type Send struct {
+// EndpointRequest is one exchange with an endpoint.
+type EndpointRequest struct {
 	Endpoint  *catalog.Endpoint
 	Left      time.Duration // until the caller has no use for an answer
 	Urgency   int           // 0 is first
@@ -59,7 +59,7 @@
 	// Decode reads what the headers of r say. An error is the caller's.
 	Decode(r *http.Request) (*Call, error)
 	// Header returns the headers of the request that c becomes at an endpoint.
-	Header(c *Call, s *Send) http.Header
+	Header(c *Call, s *EndpointRequest) http.Header
 	// Answer reads what an endpoint's response says of itself.
 	Answer(c *Call, status int, h http.Header) Answer
 	// ParseHandoff reads the answer to a prefill.
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -132,7 +132,7 @@
 
 // send does one exchange up to the response's header and says what an error
 // means.
-func (x *execution) send(ctx context.Context, s *Send) (*exchange.Response, Answer, result) {
+func (x *execution) send(ctx context.Context, s *EndpointRequest) (*exchange.Response, Answer, result) {
 	if r, ok := x.authorized(); !ok {
 		return nil, Answer{}, r
 	}
@@ -207,7 +207,7 @@
 
 // arrived counts an arrival at an endpoint. The first call that only prefills
 // is none if the engine accepts it.
-func (x *execution) arrived(s *Send, accepted bool) {
+func (x *execution) arrived(s *EndpointRequest, accepted bool) {
 	if s.Prefill && accepted && !x.prefilled {
 		x.prefilled = true
 		return
@@ -218,7 +218,7 @@
 // ran counts an exchange in which the request may have run; reading a prompt
 // isn't running it. A plain endpoint begins when the request reaches it, an engine
 // with the first event.
-func (x *execution) ran(s *Send, sentAt clock.Time) {
+func (x *execution) ran(s *EndpointRequest, sentAt clock.Time) {
 	if s.Prefill {
 		return
 	}
@@ -228,7 +228,7 @@
 	}
 }
 
-func (x *execution) sendFailed(s *Send, sentAt clock.Time, err error) result {
+func (x *execution) sendFailed(s *EndpointRequest, sentAt clock.Time, err error) result {
 	if errors.Is(err, driver.ErrNotSent) {
 		if x.ctx.Err() != nil {
 			return result{outcome: gone, err: err}
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -56,7 +56,7 @@
 	t := x.g.o.Planner.Begin(x.now(), ep, place.Job{})
 	ctx, cancel := x.callContext()
 	defer cancel()
-	resp, ans, r := x.send(ctx, &Send{Endpoint: ep})
+	resp, ans, r := x.send(ctx, &EndpointRequest{Endpoint: ep})
 	if resp != nil {
 		r = x.readAnswer(resp, ans)
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -22,7 +22,7 @@
 		return r
 	}
 	if plan.Prefill == nil {
-		return x.stream(&Send{Endpoint: plan.Engine, Fetch: sourceOf(&plan)}, pr, &plan)
+		return x.stream(&EndpointRequest{Endpoint: plan.Engine, Fetch: sourceOf(&plan)}, pr, &plan)
 	}
 	kv, r := x.prefill(&plan, pr)
 	if kv == nil {
@@ -42,7 +42,7 @@
 		if e == nil || x.ctx.Err() != nil {
 			break
 		}
-		r = x.stream(&Send{Endpoint: e, KV: kv}, pr, plan)
+		r = x.stream(&EndpointRequest{Endpoint: e, KV: kv}, pr, plan)
 		if r.outcome != notRun && r.outcome != notSent || r.code == code.RetryBudgetSpent {
 			break
 		}
@@ -71,7 +71,7 @@
 	e := plan.Prefill
 	ctx, cancel := context.WithTimeout(x.ctx, silentFirst+firstFactor*(plan.Wait+plan.Fetch+plan.Work))
 	defer cancel()
-	s := &Send{Endpoint: e, Prefill: true, Fetch: sourceOf(plan)}
+	s := &EndpointRequest{Endpoint: e, Prefill: true, Fetch: sourceOf(plan)}
 	t := x.g.o.Planner.Begin(x.now(), e, plan.Job())
 	x.g.o.OnPrefillSent(plan.Work)
 	resp, _, r := x.send(ctx, s)
@@ -128,7 +128,7 @@
 const toldShared = 400
 
 // stream does one exchange of a stream with its engine.
-func (x *execution) stream(s *Send, pr *place.Prompt, plan *place.Plan) result {
+func (x *execution) stream(s *EndpointRequest, pr *place.Prompt, plan *place.Plan) result {
 	s.LastEvent = x.lastEvent
 	job := plan.Job()
 	if s.KV != nil {
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -28,7 +28,7 @@
 // watch starts a watchdog for an exchange with s.Endpoint. A silent engine is left
 // only if another one can go on and the budget allows it; else the stream may
 // still come, and ending it would cut off an answer that is being made.
-func (x *execution) watch(cancel func(), t *place.Ticket, s *Send, plan *place.Plan) *watchdog {
+func (x *execution) watch(cancel func(), t *place.Ticket, s *EndpointRequest, plan *place.Plan) *watchdog {
 	repeat := x.route.Repeatable() && x.runs+1 < x.route.MaxAttempts
 	others := map[string]bool{s.Endpoint.ID: true}
 	maps.Copy(others, x.tried)
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -53,7 +53,7 @@
 	return c, nil
 }
 
-func (codec) Header(c *Call, s *Send) http.Header {
+func (codec) Header(c *Call, s *EndpointRequest) http.Header {
 	h := c.Header.Clone()
 	h.Set("Left", strconv.FormatInt(s.Left.Milliseconds(), 10))
 	h.Set("To", s.Endpoint.ID)
