--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -25,7 +25,7 @@
 	Header      http.Header // to be passed on
 	Body        []byte
 	Arrived     clock.Time
-	Patience    time.Duration // how long the caller waits, zero if it didn't say
+	CallerTimeout    time.Duration // how long the caller waits, zero if it didn't say
 	Tokens      int           // of the prompt, zero for a call of a plain service
 	MaxOutput   int           // tokens
 	Parts       []place.Part
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -93,7 +93,7 @@
 		return
 	}
 	c.Arrived = arrived
-	patience := c.Patience
+	patience := c.CallerTimeout
 	if patience <= 0 {
 		patience = defaultPatience
 	}
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -41,7 +41,7 @@
 		return nil, errors.New("bad id")
 	}
 	ms, _ := strconv.Atoi(r.Header.Get("Patience"))
-	c.Patience = time.Duration(ms) * time.Millisecond
+	c.CallerTimeout = time.Duration(ms) * time.Millisecond
 	c.Tokens, _ = strconv.Atoi(r.Header.Get("Tokens"))
 	for _, part := range strings.Fields(r.Header.Get("Parts")) {
 		var p place.Part
