--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -26,7 +26,7 @@
 	Body        []byte
 	Arrived     clock.Time
 	CallerTimeout    time.Duration // how long the caller waits, zero if it didn't say
-	Tokens      int           // of the prompt, zero for a call of a plain service
+	PromptTokens      int           // of the prompt, zero for a call of a plain service
 	MaxOutput   int           // tokens
 	Parts       []place.Part
 	LastEvent   string // the caller has the events of a stream up to this one
--- a/internal/gateway/finish.go
+++ b/internal/gateway/finish.go
@@ -80,7 +80,7 @@
 	}
 	if x.predicted > 0 {
 		e = e.WithField("predicted_ms", x.predicted.Milliseconds()).WithField("first_ms", x.first.Milliseconds()).
-			WithField("prefill_ms", x.prefillEnd.Milliseconds()).WithField("tokens", x.c.Tokens).WithField("shared", x.sharedTokens).
+			WithField("prefill_ms", x.prefillEnd.Milliseconds()).WithField("tokens", x.c.PromptTokens).WithField("shared", x.sharedTokens).
 			WithField("cached", x.cachedTokens).WithField("held", x.held)
 	}
 	if last.code != 0 {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -16,7 +16,7 @@
 // streamAttempt starts a stream at an engine, or goes on with one that broke
 // off, and passes its events on.
 func (x *execution) streamAttempt() result {
-	pr := &place.Prompt{Parts: x.c.Parts, Tokens: x.c.Tokens}
+	pr := &place.Prompt{Parts: x.c.Parts, Tokens: x.c.PromptTokens}
 	plan, r, ok := x.place(pr)
 	if !ok {
 		return r
