--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -27,7 +27,7 @@
 	Arrived     clock.Time
 	CallerTimeout    time.Duration // how long the caller waits, zero if it didn't say
 	PromptTokens      int           // of the prompt, zero for a call of a plain service
-	MaxOutput   int           // tokens
+	MaxOutputTokens   int           // tokens
 	Parts       []place.Part
 	LastEvent   string // the caller has the events of a stream up to this one
 	Fingerprint uint64 // what repeats of one request by its caller have in common
