--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -29,7 +29,7 @@
 	PromptTokens      int           // of the prompt, zero for a call of a plain service
 	MaxOutputTokens   int           // tokens
 	Parts       []place.Part
-	LastEvent   string // the caller has the events of a stream up to this one
+	LastEventID   string // the caller has the events of a stream up to this one
 	Fingerprint uint64 // what repeats of one request by its caller have in common
 
 	HasKey    bool // the caller sent an API key
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -105,7 +105,7 @@
 	x := &execution{
 		g: g, ctx: ctx, c: c, route: route, view: view, w: w, caller: r.Context(),
 		deadline: arrived.Add(patience), service: route.Service(rand.Uint64()),
-		tried: map[string]bool{}, lastEvent: c.LastEvent,
+		tried: map[string]bool{}, lastEvent: c.LastEventID,
 	}
 	x.run()
 }
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -35,7 +35,7 @@
 func (codec) Decode(r *http.Request) (*Call, error) {
 	c := &Call{
 		ID: r.Header.Get("Id"), Method: r.Method, Target: r.RequestURI, Path: r.URL.Path, Host: r.Host,
-		Header: r.Header.Clone(), LastEvent: r.Header.Get("Last"),
+		Header: r.Header.Clone(), LastEventID: r.Header.Get("Last"),
 	}
 	if c.ID == "bad" {
 		return nil, errors.New("bad id")
