--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -45,7 +45,7 @@
 	Prefill   bool          // prefill only, and keep the KV cache
 	KV        *Handoff     // KV cache to go on from
 	Fetch     string        // address of the engine from which to fetch what it has of the prompt
-	LastEvent string        // the stream goes on after this event
+	LastEventID string        // the stream goes on after this event
 }
 
 // Handoff names a KV cache that waits at an engine.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -129,7 +129,7 @@
 
 // stream does one exchange of a stream with its engine.
 func (x *execution) stream(s *EndpointRequest, pr *place.Prompt, plan *place.Plan) result {
-	s.LastEvent = x.lastEvent
+	s.LastEventID = x.lastEvent
 	job := plan.Job()
 	if s.KV != nil {
 		job = place.Job{HandoffTokens: pr.Tokens}
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -64,8 +64,8 @@
 	if s.KV != nil {
 		h.Set("Kv", s.KV.Holder.Address+"/"+s.KV.Handle)
 	}
-	if s.LastEvent != "" {
-		h.Set("Last", s.LastEvent)
+	if s.LastEventID != "" {
+		h.Set("Last", s.LastEventID)
 	}
 	return h
 }
