--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -40,7 +40,7 @@
 // EndpointRequest is one exchange with an endpoint.
 type EndpointRequest struct {
 	Endpoint  *catalog.Endpoint
-	Left      time.Duration // until the caller has no use for an answer
+	RemainingTime      time.Duration // until the caller has no use for an answer
 	Urgency   int           // 0 is first
 	Prefill   bool          // prefill only, and keep the KV cache
 	KV        *Handoff     // KV cache to go on from
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -55,7 +55,7 @@
 
 func (codec) Header(c *Call, s *EndpointRequest) http.Header {
 	h := c.Header.Clone()
-	h.Set("Left", strconv.FormatInt(s.Left.Milliseconds(), 10))
+	h.Set("Left", strconv.FormatInt(s.RemainingTime.Milliseconds(), 10))
 	h.Set("To", s.Endpoint.ID)
 	h.Del("Content-Length")
 	if s.Prefill {
