--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -41,7 +41,7 @@
 type EndpointRequest struct {
 	Endpoint  *catalog.Endpoint
 	RemainingTime      time.Duration // until the caller has no use for an answer
-	Urgency   int           // 0 is first
+	UrgencyRank   int           // 0 is first
 	Prefill   bool          // prefill only, and keep the KV cache
 	KV        *Handoff     // KV cache to go on from
 	Fetch     string        // address of the engine from which to fetch what it has of the prompt
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -143,7 +143,7 @@
 		x.keepPermit()
 		return nil, Answer{}, r
 	}
-	s.RemainingTime, s.Urgency = x.left(), x.urgency()
+	s.RemainingTime, s.UrgencyRank = x.left(), x.urgency()
 	req := &exchange.Request{
 		Method: x.c.Method, Target: x.c.Target, Host: x.c.Host,
 		Header: x.g.o.Codec.Header(x.c, s), Body: x.c.Body, Once: !x.route.Repeatable(),
