--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -42,7 +42,7 @@
 	Endpoint  *catalog.Endpoint
 	RemainingTime      time.Duration // until the caller has no use for an answer
 	UrgencyRank   int           // 0 is first
-	Prefill   bool          // prefill only, and keep the KV cache
+	PrefillOnly   bool          // prefill only, and keep the KV cache
 	KV        *Handoff     // KV cache to go on from
 	Fetch     string        // address of the engine from which to fetch what it has of the prompt
 	LastEventID string        // the stream goes on after this event
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -208,7 +208,7 @@
 // arrived counts an arrival at an endpoint. The first call that only prefills
 // is none if the engine accepts it.
 func (x *execution) arrived(s *EndpointRequest, accepted bool) {
-	if s.Prefill && accepted && !x.prefilled {
+	if s.PrefillOnly && accepted && !x.prefilled {
 		x.prefilled = true
 		return
 	}
@@ -219,7 +219,7 @@
 // isn't running it. A plain endpoint begins when the request reaches it, an engine
 // with the first event.
 func (x *execution) ran(s *EndpointRequest, sentAt clock.Time) {
-	if s.Prefill {
+	if s.PrefillOnly {
 		return
 	}
 	x.runs++
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -71,7 +71,7 @@
 	e := plan.Prefill
 	ctx, cancel := context.WithTimeout(x.ctx, silentFirst+firstFactor*(plan.Wait+plan.Fetch+plan.Work))
 	defer cancel()
-	s := &EndpointRequest{Endpoint: e, Prefill: true, Fetch: sourceOf(plan)}
+	s := &EndpointRequest{Endpoint: e, PrefillOnly: true, Fetch: sourceOf(plan)}
 	t := x.g.o.Planner.Begin(x.now(), e, plan.Job())
 	x.g.o.OnPrefillSent(plan.Work)
 	resp, _, r := x.send(ctx, s)
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -58,7 +58,7 @@
 	h.Set("Left", strconv.FormatInt(s.RemainingTime.Milliseconds(), 10))
 	h.Set("To", s.Endpoint.ID)
 	h.Del("Content-Length")
-	if s.Prefill {
+	if s.PrefillOnly {
 		h.Set("Only", "prefill")
 	}
 	if s.KV != nil {
