--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -43,7 +43,7 @@
 	RemainingTime      time.Duration // until the caller has no use for an answer
 	UrgencyRank   int           // 0 is first
 	PrefillOnly   bool          // prefill only, and keep the KV cache
-	KV        *Handoff     // KV cache to go on from
+	Handoff        *Handoff     // KV cache to go on from
 	Fetch     string        // address of the engine from which to fetch what it has of the prompt
 	LastEventID string        // the stream goes on after this event
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -42,7 +42,7 @@
 		if e == nil || x.ctx.Err() != nil {
 			break
 		}
-		r = x.stream(&EndpointRequest{Endpoint: e, KV: kv}, pr, plan)
+		r = x.stream(&EndpointRequest{Endpoint: e, Handoff: kv}, pr, plan)
 		if r.outcome != notRun && r.outcome != notSent || r.code == code.RetryBudgetSpent {
 			break
 		}
@@ -131,7 +131,7 @@
 func (x *execution) stream(s *EndpointRequest, pr *place.Prompt, plan *place.Plan) result {
 	s.LastEventID = x.lastEvent
 	job := plan.Job()
-	if s.KV != nil {
+	if s.Handoff != nil {
 		job = place.Job{HandoffTokens: pr.Tokens}
 	}
 	t := x.g.o.Planner.Begin(x.now(), s.Endpoint, job)
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -61,8 +61,8 @@
 	if s.PrefillOnly {
 		h.Set("Only", "prefill")
 	}
-	if s.KV != nil {
-		h.Set("Kv", s.KV.Holder.Address+"/"+s.KV.Handle)
+	if s.Handoff != nil {
+		h.Set("Kv", s.Handoff.Holder.Address+"/"+s.Handoff.Handle)
 	}
 	if s.LastEventID != "" {
 		h.Set("Last", s.LastEventID)
