--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -44,7 +44,7 @@
 	UrgencyRank   int           // 0 is first
 	PrefillOnly   bool          // prefill only, and keep the KV cache
 	Handoff        *Handoff     // KV cache to go on from
-	Fetch     string        // address of the engine from which to fetch what it has of the prompt
+	FetchFrom     string        // address of the engine from which to fetch what it has of the prompt
 	LastEventID string        // the stream goes on after this event
 }
 
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -22,7 +22,7 @@
 		return r
 	}
 	if plan.Prefill == nil {
-		return x.stream(&EndpointRequest{Endpoint: plan.Engine, Fetch: sourceOf(&plan)}, pr, &plan)
+		return x.stream(&EndpointRequest{Endpoint: plan.Engine, FetchFrom: sourceOf(&plan)}, pr, &plan)
 	}
 	kv, r := x.prefill(&plan, pr)
 	if kv == nil {
@@ -71,7 +71,7 @@
 	e := plan.Prefill
 	ctx, cancel := context.WithTimeout(x.ctx, silentFirst+firstFactor*(plan.Wait+plan.Fetch+plan.Work))
 	defer cancel()
-	s := &EndpointRequest{Endpoint: e, PrefillOnly: true, Fetch: sourceOf(plan)}
+	s := &EndpointRequest{Endpoint: e, PrefillOnly: true, FetchFrom: sourceOf(plan)}
 	t := x.g.o.Planner.Begin(x.now(), e, plan.Job())
 	x.g.o.OnPrefillSent(plan.Work)
 	resp, _, r := x.send(ctx, s)
