--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -71,7 +71,7 @@
 // Answer is what an endpoint's response says of itself.
 type Answer struct {
 	NotRun   bool // the endpoint says that it didn't run the request
-	Gone     bool // with NotRun: nor will it run any, as another process, or stage, has the address
+	Misdirected     bool // with NotRun: nor will it run any, as another process, or stage, has the address
 	Sealed   bool // it bears the endpoint's signature
 	Foreign  bool // it belongs to another request
 	Requests int  // running and waiting at the endpoint, -1 if it doesn't say
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -165,7 +165,7 @@
 		return nil, ans, result{outcome: lost, code: code.BadAnswer, err: errForeign}
 	case ans.NotRun:
 		resp.Close()
-		if ans.Gone {
+		if ans.Misdirected {
 			x.g.o.Planner.MarkStale(x.now(), s.Endpoint)
 		}
 		return nil, ans, result{outcome: notRun, code: code.EndpointRefused, err: errRefused}
