--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -124,7 +124,7 @@
 	a := &plainAnswer{resp.Status, resp.Header, body}
 	success := resp.Status >= 200 && resp.Status < 300
 	switch {
-	case success && !ans.Sealed:
+	case success && !ans.Signed:
 		return result{outcome: lost, code: code.BadAnswer, err: errSeal}
 	case success:
 		a.write(x.w)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -158,7 +158,7 @@
 		return x.streamRefused(resp)
 	case resp.Header.Get("Content-Encoding") != "":
 		return result{outcome: lost, code: code.BadAnswer, err: errEncoded}
-	case !ans.Sealed:
+	case !ans.Signed:
 		return result{outcome: lost, code: code.BadAnswer, err: errSeal}
 	}
 	rd := newEventReader(resp.Body)
