--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -73,7 +73,7 @@
 	NotRun   bool // the endpoint says that it didn't run the request
 	Misdirected     bool // with NotRun: nor will it run any, as another process, or stage, has the address
 	Signed   bool // it bears the endpoint's signature
-	Foreign  bool // it belongs to another request
+	OtherRequest  bool // it belongs to another request
 	Requests int  // running and waiting at the endpoint, -1 if it doesn't say
 	Notice   backpressure.Notice
 }
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -155,11 +155,11 @@
 	}
 	ans := x.g.o.Codec.Answer(x.c, resp.Status, resp.Header)
 	x.arrived(s, !ans.NotRun)
-	if !ans.Foreign {
+	if !ans.OtherRequest {
 		x.g.heed(s.Endpoint, sentAt, x.c.ID, ans.Notice)
 	}
 	switch {
-	case ans.Foreign:
+	case ans.OtherRequest:
 		resp.Close()
 		x.ran(s, sentAt)
 		return nil, ans, result{outcome: lost, code: code.BadAnswer, err: errForeign}
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -73,7 +73,7 @@
 func (codec) Answer(c *Call, _ int, h http.Header) Answer {
 	return Answer{
 		NotRun: h.Get("Not-Run")+h.Get("Gone") != "", Misdirected: h.Get("Gone") != "", Signed: h.Get("Seal") != "",
-		Foreign: h.Get("Id") != "" && h.Get("Id") != c.ID, Requests: -1, Notice: backpressure.Parse(backpressure.Fields{Limit: h.Get("Limit"), Leaving: h.Get("Leaving"), RetryAfter: h.Get("Retry-After")}),
+		OtherRequest: h.Get("Id") != "" && h.Get("Id") != c.ID, Requests: -1, Notice: backpressure.Parse(backpressure.Fields{Limit: h.Get("Limit"), Leaving: h.Get("Leaving"), RetryAfter: h.Get("Retry-After")}),
 	}
 }
 
