--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -15,27 +15,27 @@
 	"fescuestand/internal/policy/ontime"
 )
 
-// refusal is a final answer of this VM's own.
+// refusal is a final answer that this VM gives itself instead of an endpoint's.
 type refusal struct {
-	code  code.Code
-	why   string
-	again time.Duration // when to come back, zero for no advice
-	run   code.Run
+	code       code.Code
+	reason     string
+	retryAfter time.Duration // Retry-After delay, zero for none
+	run        code.Run
 }
 
-// status is the refusal's HTTP status. Statuses that promise a request hasn't
-// run are given only where that is certain.
+// status is the refusal's HTTP status. A status that tells the caller that the request hasn't run
+// is returned only if that is certain.
 func (f *refusal) status() int {
 	s := f.code.Info().Status
-	if f.run != code.NotRun && promises(s) {
+	if f.run != code.NotRun && promisesNotRun(s) {
 		return http.StatusBadGateway
 	}
 	return s
 }
 
-// promises tells whether callers take a status for the promise that the request
-// has not run and never will.
-func promises(status int) bool {
+// promisesNotRun reports whether callers conclude from a status that the request hasn't run and
+// never will.
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -47,31 +47,31 @@
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	status := f.status()
-	if f.again > 0 && promises(status) {
-		h.Set("Retry-After", strconv.FormatFloat(f.again.Seconds(), 'f', 3, 64))
+	if f.retryAfter > 0 && promisesNotRun(status) {
+		h.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	body := strconv.Itoa(int(f.code)) + " " + f.code.String() + ": " + f.why + "\n"
+	body := strconv.Itoa(int(f.code)) + " " + f.code.String() + ": " + f.reason + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	// A caller that has gone needs no answer.
+	// A failed write means that the caller has disconnected.
 	_, _ = io.WriteString(w, body)
 }
 
-func refuse(c code.Code, why string) *refusal {
-	return &refusal{code: c, why: why, run: code.NotRun}
+func refuse(c code.Code, reason string) *refusal {
+	return &refusal{code: c, reason: reason, run: code.NotRun}
 }
 
-// quarantineAgain is when to come back with a request that is believed to crash
-// its endpoints: as late as callers come back at all.
-const quarantineAgain = 10 * time.Second
+// quarantineRetryAfter is the Retry-After delay for a request that is assumed to crash its
+// endpoints: the longest delay after which callers retry at all.
+const quarantineRetryAfter = 10 * time.Second
 
-// accept reads the request and finds its route. The call of a request that is
-// refused says no more than its headers; it is nil if they can't be read.
+// accept reads the request and finds its route. If it refuses the request, the returned call holds
+// only what was read from the headers, and is nil if they can't be decoded.
 func (g *Gateway) accept(w http.ResponseWriter, r *http.Request, v *catalog.View) (*Call, *catalog.Route, *refusal) {
 	c, err := g.o.Codec.Decode(r)
 	if v.Config == nil {
 		f := refuse(code.NotReady, "no configuration is known yet")
-		f.again = ontime.StartingRetryAfter(g.o.Clock.Now().Sub(g.started), rand.Uint64())
+		f.retryAfter = ontime.StartingRetryAfter(g.o.Clock.Now().Sub(g.startedAt), rand.Uint64())
 		return c, nil, f
 	}
 	if err != nil {
@@ -92,17 +92,17 @@
 	c.Fingerprint = fingerprint(c)
 	if g.o.Crashes.ShouldRefuse(g.o.Clock.Now(), c.Fingerprint) {
 		f := refuse(code.Quarantined, "endpoints broke off while they ran this request")
-		f.again = quarantineAgain
+		f.retryAfter = quarantineRetryAfter
 		return c, nil, f
 	}
 	return c, route, nil
 }
 
-// fingerprint is what a request has in common with its repeats: its id is new
-// each time.
+// fingerprint returns a hash that is the same for all retries of a request by its caller. The
+// request's id isn't part of it, as it is new for each retry.
 func fingerprint(c *Call) uint64 {
 	d := xxhash.New()
-	// A hash takes every write.
+	// Writes to a hash never fail.
 	_, _ = d.WriteString(c.Host + c.Target)
 	_, _ = d.Write(c.Body)
 	return d.Sum64()
@@ -122,8 +122,8 @@
 		body = make([]byte, n)
 		_, err = io.ReadFull(rd, body)
 		if err == nil {
-			// The end of the body must be seen for the server to notice
-			// that the caller closes its connection.
+			// net/http detects that the caller closes its connection only after the
+			// body has been read to EOF.
 			_, err = rd.Read(make([]byte, 1))
 			if errors.Is(err, io.EOF) {
 				err = nil
--- a/internal/gateway/again_test.go
+++ b/internal/gateway/again_test.go
@@ -11,22 +11,22 @@
 	"fescuestand/internal/catalog"
 )
 
-// Guards against an endpoint that has turned a request away and asked for time, and that the VM
-// asks again at once.
-func TestAnEndpointThatAsksForTimeIsLeftAlone(t *testing.T) {
+// Guards against requests that are sent at once to an endpoint that has rejected one with a
+// Retry-After header.
+func TestEndpointIsNotUsedBeforeItsRetryAfter(t *testing.T) {
 	for name, route := range map[string]catalog.Route{
 		"call":   {Kind: catalog.NonIdempotent, Target: time.Second},
 		"stream": {Kind: catalog.Stream, Target: time.Second, Gap: time.Second},
 	} {
-		w := newWorld(t)
-		w.route(route)
+		w := newTestGateway(t)
+		w.setRoute(route)
 		full := serve(t, func(_ *backend, _ int, _ *http.Request, c net.Conn) bool {
 			return respond(c, 503, "", "Not-Run: 1", "Retry-After: 30")
 		})
-		w.endpoint("i-1", catalog.Decode, full)
-		w.endpoint("i-2", catalog.Decode, serve(t, stays))
+		w.addEndpoint("i-1", catalog.Decode, full)
+		w.addEndpoint("i-2", catalog.Decode, serve(t, answerStaying))
 		for range 40 {
-			w.get(t)
+			w.mustGet(t)
 		}
 		assert.Assert(t, full.arrivals.Load() <= 1, "%s: %d arrivals", name, full.arrivals.Load())
 	}
--- a/internal/gateway/authorize_test.go
+++ b/internal/gateway/authorize_test.go
@@ -16,7 +16,7 @@
 	"fescuestand/internal/workspace"
 )
 
-// keyedCodec reads keys too.
+// keyedCodec is a codec that also reads API keys.
 type keyedCodec struct{ codec }
 
 func (k keyedCodec) Decode(r *http.Request) (*Call, error) {
@@ -27,17 +27,17 @@
 	return c, err
 }
 
-// keyedWorld is a gateway whose callers need keys.
-type keyedWorld struct {
-	*world
-	mu      sync.Mutex
-	verdict freshness.Verdict
-	counted []string
+// keyedGateway is a gateway whose callers need API keys.
+type keyedGateway struct {
+	*testGateway
+	mu         sync.Mutex
+	verdict    freshness.Verdict
+	workspaces []string
 }
 
-func newKeyedWorld(t *testing.T, r catalog.Route) *keyedWorld {
+func newKeyedGateway(t *testing.T, r catalog.Route) *keyedGateway {
 	t.Helper()
-	w := &keyedWorld{world: newWorld(t), verdict: freshness.Judge}
+	w := &keyedGateway{testGateway: newTestGateway(t), verdict: freshness.Judge}
 	o := &w.gateway.o
 	o.Codec = keyedCodec{}
 	o.KeyFreshness = func() freshness.Verdict {
@@ -48,16 +48,16 @@
 	o.OnRequestRunning = func(_ clock.Time, s *workspace.Workspace) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.counted = append(w.counted, s.Name)
+		w.workspaces = append(w.workspaces, s.Name)
 	}
-	w.keys(t, r, "k1")
+	w.setKeys(t, r, "k1")
 	return w
 }
 
-// keys puts a route in force, and the keys of the only workspace.
-func (w *keyedWorld) keys(t *testing.T, r catalog.Route, keys ...string) {
+// setKeys installs a configuration with one route and one workspace with the given keys.
+func (w *keyedGateway) setKeys(t *testing.T, r catalog.Route, keys ...string) {
 	t.Helper()
-	w.route(r)
+	w.setRoute(r)
 	c := *w.store.View().Config
 	c.Version++
 	var err error
@@ -66,22 +66,23 @@
 	w.store.SetConfig(&c)
 }
 
-func (w *keyedWorld) judge(v freshness.Verdict) {
+func (w *keyedGateway) setVerdict(v freshness.Verdict) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.verdict = v
 }
 
-func (w *keyedWorld) runs() []string {
+func (w *keyedGateway) countedWorkspaces() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string(nil), w.counted...)
+	return append([]string(nil), w.workspaces...)
 }
 
-// Guards against keys that are judged by knowledge which may miss the configuration that brought or took them.
-func TestKeysAreJudgedByFreshKnowledge(t *testing.T) {
-	open := payment
-	open.Anonymous = true
+// Guards against keys that are accepted or rejected by a configuration that may be too old to
+// contain their creation or revocation.
+func TestKeyVerificationNeedsFreshConfiguration(t *testing.T) {
+	anonymousRoute := commitRoute
+	anonymousRoute.Anonymous = true
 	for _, tc := range []struct {
 		name    string
 		route   catalog.Route
@@ -89,82 +90,83 @@
 		verdict freshness.Verdict
 		status  int
 	}{
-		{"known", payment, "k1", freshness.Judge, 200},
-		{"known, older knowledge", payment, "k1", freshness.Accept, 200},
-		{"known, stale knowledge", payment, "k1", freshness.Stale, 503},
-		{"unknown", payment, "k2", freshness.Judge, 401},
-		{"unknown, older knowledge", payment, "k2", freshness.Accept, 503},
-		{"unknown, stale knowledge", payment, "k2", freshness.Stale, 503},
-		{"none", payment, "", freshness.Judge, 401},
-		{"none on an anonymous route", open, "", freshness.Stale, 200},
-		{"unknown on an anonymous route", open, "k2", freshness.Judge, 401},
+		{"known", commitRoute, "k1", freshness.Judge, 200},
+		{"known key, older configuration", commitRoute, "k1", freshness.Accept, 200},
+		{"known key, stale configuration", commitRoute, "k1", freshness.Stale, 503},
+		{"unknown", commitRoute, "k2", freshness.Judge, 401},
+		{"unknown key, older configuration", commitRoute, "k2", freshness.Accept, 503},
+		{"unknown key, stale configuration", commitRoute, "k2", freshness.Stale, 503},
+		{"none", commitRoute, "", freshness.Judge, 401},
+		{"no key on an anonymous route", anonymousRoute, "", freshness.Stale, 200},
+		{"unknown key on an anonymous route", anonymousRoute, "k2", freshness.Judge, 401},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newKeyedWorld(t, tc.route)
-			w.endpoint("a", catalog.Whole, serve(t, sealed))
-			w.judge(tc.verdict)
+			w := newKeyedGateway(t, tc.route)
+			w.addEndpoint("a", catalog.Whole, serve(t, answerSigned))
+			w.setVerdict(tc.verdict)
 			resp, _, err := w.request(t, "POST", "/x/", "", "Key", tc.key)
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, tc.status)
 			assert.Equal(t, resp.Header.Get("Retry-After") != "", tc.status == 503)
 			if tc.status == 200 && tc.key != "" {
-				assert.DeepEqual(t, w.runs(), []string{"north"})
+				assert.DeepEqual(t, w.countedWorkspaces(), []string{"north"})
 			} else {
-				assert.Equal(t, len(w.runs()), 0)
+				assert.Equal(t, len(w.countedWorkspaces()), 0)
 			}
 		})
 	}
 }
 
-// Guards against a request that waits while its key is taken away and is sent all the same.
-func TestAKeyThatIsTakenAwayBetweenTwoAttemptsIsNotUsed(t *testing.T) {
-	w := newKeyedWorld(t, lookup)
+// Guards against a retry that is sent although the request's key was revoked after the first
+// attempt.
+func TestKeyRevokedBetweenAttemptsIsRejected(t *testing.T) {
+	w := newKeyedGateway(t, lookupRoute)
 	b := serve(t, func(_ *backend, _ int, _ *http.Request, _ net.Conn) bool {
-		w.keys(t, lookup, "k2")
+		w.setKeys(t, lookupRoute, "k2")
 		return false
 	})
-	w.endpoint("a", catalog.Whole, b)
-	w.endpoint("b", catalog.Whole, b)
+	w.addEndpoint("a", catalog.Whole, b)
+	w.addEndpoint("b", catalog.Whole, b)
 	resp, _, err := w.request(t, "GET", "/x/", "", "Key", "k1")
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, 401)
 	assert.Equal(t, b.arrivals.Load(), int32(1))
 }
 
-// Guards against a stream that is cut because its key goes while it runs.
-func TestAStreamThatHasBegunOutlivesItsKey(t *testing.T) {
+// Guards against a stream that is cut off because its key is revoked while it runs.
+func TestRunningStreamContinuesAfterKeyRevocation(t *testing.T) {
 	r := catalog.Route{Kind: catalog.Stream, Resumable: true, MaxAttempts: 2}
-	w := newKeyedWorld(t, r)
+	w := newKeyedGateway(t, r)
 	b := serve(t, func(_ *backend, n int, _ *http.Request, c net.Conn) bool {
 		if n == 1 {
 			events(c, 1, 3, false)
-			w.keys(t, r, "k2")
+			w.setKeys(t, r, "k2")
 			return false
 		}
 		return events(c, 4, 6, true)
 	})
-	w.endpoint("a", catalog.Whole, b)
-	w.endpoint("b", catalog.Whole, b)
+	w.addEndpoint("a", catalog.Whole, b)
+	w.addEndpoint("b", catalog.Whole, b)
 	resp, body, err := w.request(t, "GET", "/x/", "", "Key", "k1", "Tokens", "10")
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, 200)
-	assert.Equal(t, ids(body), "1 2 3 4 5 6")
-	assert.DeepEqual(t, w.runs(), []string{"north"}) // once, however often it runs
+	assert.Equal(t, eventIDs(body), "1 2 3 4 5 6")
+	assert.DeepEqual(t, w.countedWorkspaces(), []string{"north"}) // once, though it ran twice
 }
 
-// Guards against requests that are counted though no endpoint has begun to run them.
+// Guards against requests that are counted for their workspace although no endpoint has run them.
 func TestRequestsThatDidNotRunAreNotCounted(t *testing.T) {
-	w := newKeyedWorld(t, payment)
-	w.endpoint("a", catalog.Whole, serve(t, notRunBy))
+	w := newKeyedGateway(t, commitRoute)
+	w.addEndpoint("a", catalog.Whole, serve(t, rejectRequest))
 	resp, _, err := w.request(t, "POST", "/x/", "", "Key", "k1")
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, 503)
-	assert.Equal(t, len(w.runs()), 0)
+	assert.Equal(t, len(w.countedWorkspaces()), 0)
 }
 
-// Guards against keys in the answers that this VM gives of its own.
-func TestRefusalsDoNotRepeatTheKey(t *testing.T) {
-	w := newKeyedWorld(t, payment)
+// Guards against API keys in the refusals that this VM sends.
+func TestRefusalsDoNotContainTheKey(t *testing.T) {
+	w := newKeyedGateway(t, commitRoute)
 	resp, err := http.DefaultClient.Do(func() *http.Request {
 		req, err := http.NewRequestWithContext(t.Context(), "POST", w.URL+"/x/", nil)
 		assert.NilError(t, err)
@@ -180,11 +182,11 @@
 	assert.Equal(t, string(body), "1020 unknown-api-key: no workspace holds the request's API key\n")
 }
 
-// The priority of a workspace goes before that of the route where callers hope for no certain time.
-func TestAWorkspacesPriorityGoesFirst(t *testing.T) {
+// The priority of a workspace takes precedence over that of a route without a target.
+func TestWorkspacePriorityOverridesRoutePriority(t *testing.T) {
 	high := 0
-	x := &execution{route: &catalog.Route{Priority: 4}, c: &Call{Arrived: clock.Time(time.Second)}}
-	assert.Equal(t, x.urgency(), 4)
-	x.c.Workspace = &workspace.Workspace{Priority: &high}
-	assert.Equal(t, x.urgency(), 0)
+	x := &execution{route: &catalog.Route{Priority: 4}, call: &Call{Arrived: clock.Time(time.Second)}}
+	assert.Equal(t, x.urgencyRank(), 4)
+	x.call.Workspace = &workspace.Workspace{Priority: &high}
+	assert.Equal(t, x.urgencyRank(), 0)
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -1,7 +1,23 @@
-// Package gateway serves opaque requests: it finds the route, admits, chooses
-// endpoints, sends, repeats what may be repeated and passes answers on whole.
-// Bodies and answers are bytes that it doesn't look into; what it needs to know
-// of a request a Codec reads from the headers.
+// Package gateway is the HTTP handler for callers' requests. It finds the route, admits the
+// request, chooses endpoints, sends the request, retries it where that is safe and returns the
+// answer.
+//
+// Request and answer bodies are opaque bytes. A Codec reads the metadata that the gateway needs
+// from the headers. Streams are the exception: they are split into server-sent events, so that only
+// whole events are forwarded and a stream can be resumed at another engine.
+//
+// Guarantees:
+//   - A request that may have run is retried only if its route allows that, and within the retry
+//     budget.
+//   - A caller gets a status that says that its request hasn't run only if that is certain.
+//   - Only signed answers to the caller's own request are returned as successes.
+//   - Each send of a call is preceded by a check of the endpoint's catalog entry and announced
+//     limit.
+//
+// Concurrency: each call runs in the goroutine of its HTTP request. State that calls share has
+// locks of its own.
+//
+// The package also holds what gateways exchange by gossip (GossipContent, Changes).
 package gateway
 
 import (
@@ -17,63 +33,64 @@
 
 // Call is one request of a caller.
 type Call struct {
-	ID          string // of this sending; a repeat by the caller has another
-	Method      string
-	Target      string // path and query, byte for byte
-	Path        string
-	Host        string
-	Header      http.Header // to be passed on
-	Body        []byte
-	Arrived     clock.Time
-	CallerTimeout    time.Duration // how long the caller waits, zero if it didn't say
-	PromptTokens      int           // of the prompt, zero for a call of a plain service
-	MaxOutputTokens   int           // tokens
-	Parts       []place.Part
-	LastEventID   string // the caller has the events of a stream up to this one
-	Fingerprint uint64 // what repeats of one request by its caller have in common
+	ID              string // unique to this request; a retry by the caller has another one
+	Method          string
+	Target          string // path and query, unchanged
+	Path            string
+	Host            string
+	Header          http.Header // to be sent to the endpoint
+	Body            []byte
+	Arrived         clock.Time
+	CallerTimeout   time.Duration // how long the caller waits, zero if it didn't say so
+	PromptTokens    int           // zero for a call of a plain service
+	MaxOutputTokens int           // tokens
+	Parts           []place.Part
+	LastEventID     string // the last event of the stream that the caller has received
+	Fingerprint     uint64 // the same for all retries of a request by its caller
 
 	HasKey    bool // the caller sent an API key
 	Key       workspace.Digest
-	Workspace *workspace.Workspace // that holds the key, nil where requests need none
+	Workspace *workspace.Workspace // to which the key belongs, nil if the request needs no key
 }
 
-// EndpointRequest is one exchange with an endpoint.
+// EndpointRequest describes one request to an endpoint.
 type EndpointRequest struct {
-	Endpoint  *catalog.Endpoint
-	RemainingTime      time.Duration // until the caller has no use for an answer
-	UrgencyRank   int           // 0 is first
-	PrefillOnly   bool          // prefill only, and keep the KV cache
-	Handoff        *Handoff     // KV cache to go on from
-	FetchFrom     string        // address of the engine from which to fetch what it has of the prompt
-	LastEventID string        // the stream goes on after this event
+	Endpoint      *catalog.Endpoint
+	RemainingTime time.Duration // until the call's deadline
+	UrgencyRank   int           // requests of rank 0 are served first
+	PrefillOnly   bool          // prefill only, and keep the KV cache for a transfer
+	Handoff       *Handoff      // KV cache to fetch and continue from
+	FetchFrom     string        // address of the engine from which to fetch cached parts of the prompt
+	LastEventID   string        // the stream resumes after this event
 }
 
-// Handoff names a KV cache that waits at an engine.
+// Handoff identifies a KV cache that an engine keeps for a transfer.
 type Handoff struct {
 	Holder *catalog.Endpoint
 	Handle string
 }
 
-// Codec translates between calls and the platform's HTTP.
+// Codec translates between calls and the platform's HTTP headers and bodies.
 type Codec interface {
-	// Decode reads what the headers of r say. An error is the caller's.
+	// Decode reads a call from the headers of r. An error means that the caller sent invalid
+	// headers.
 	Decode(r *http.Request) (*Call, error)
-	// Header returns the headers of the request that c becomes at an endpoint.
+	// Header returns the headers of the request to the endpoint.
 	Header(c *Call, s *EndpointRequest) http.Header
-	// Answer reads what an endpoint's response says of itself.
+	// Answer reads the metadata in the headers of an endpoint's response.
 	Answer(c *Call, status int, h http.Header) Answer
-	// ParseHandoff reads the answer to a prefill.
+	// ParseHandoff reads the KV cache's handle from the body of the answer to a prefill.
 	ParseHandoff(body []byte) (handle string, err error)
-	// Release returns the request that frees a KV cache which nobody will use.
+	// Release returns the request that releases a KV cache that no engine will use.
 	Release(handle string) (method, target string)
 }
 
-// Answer is what an endpoint's response says of itself.
+// Answer is the metadata of an endpoint's response.
 type Answer struct {
-	NotRun   bool // the endpoint says that it didn't run the request
-	Misdirected     bool // with NotRun: nor will it run any, as another process, or stage, has the address
-	Signed   bool // it bears the endpoint's signature
-	OtherRequest  bool // it belongs to another request
-	Requests int  // running and waiting at the endpoint, -1 if it doesn't say
-	Notice   backpressure.Notice
+	NotRun       bool // the endpoint says that it didn't run the request
+	Misdirected  bool // with NotRun: the address now belongs to another process or stage
+	Signed       bool // the response has the endpoint's signature
+	OtherRequest bool // the response belongs to another request
+	Requests     int  // running and waiting at the endpoint, -1 if it doesn't say
+	Notice       backpressure.Notice
 }
--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -12,121 +12,123 @@
 )
 
 const (
-	// tellFor is how long a change is told with each beat: several beats in a
-	// row may be lost.
-	tellFor = 1200 * time.Millisecond
-	// maxChanges is how many changes a beat carries; VMs that miss others read
-	// them from the store.
-	maxChanges = 32
-	// mostTold changes within tellFor are told. More come when a whole fleet starts
-	// or is replaced; the others then read them from the store at once.
-	mostTold = 4 * maxChanges
-	// passOn is how many messages to other VMs carry a change from each VM that
-	// comes to know it: each VM gets it as often in the mean.
-	passOn = 10
-	// behindFor is how long a peer may know of a change that was not told here
-	// before it is read from the store.
-	behindFor = 500 * time.Millisecond
-	// mostReads is how often the store is read for one missing change: a record that was
-	// replaced by a newer one of its key never comes.
-	mostReads = 3
-	// mostHeard bounds the changes that are remembered as heard.
-	mostHeard = 8 * maxChanges
+	// announceFor is how long a change is included in each beat, as several beats in a row may be
+	// lost.
+	announceFor = 1200 * time.Millisecond
+	// maxChangesPerBeat bounds the changes in a beat. VMs that miss the others read them from the
+	// store.
+	maxChangesPerBeat = 32
+	// maxRecentChanges bounds the changes that are announced within announceFor. There are more
+	// when a whole fleet starts or is replaced; the other VMs then read them from the store at
+	// once.
+	maxRecentChanges = 4 * maxChangesPerBeat
+	// forwardsPerChange is the number of messages to other VMs in which each VM that has a change
+	// forwards it. On average each VM receives the change as often.
+	forwardsPerChange = 10
+	// maxLag is the time for which a peer may have a change that this VM hasn't received, before
+	// this VM reads it from the store.
+	maxLag = 500 * time.Millisecond
+	// maxReadsPerChange bounds the reads of the store for one missing change: a record that was
+	// replaced by a newer one of its key is never found.
+	maxReadsPerChange = 3
+	// maxReceivedOffsets bounds the offsets of received changes that are kept.
+	maxReceivedOffsets = 8 * maxChangesPerBeat
 )
 
-// Changes passes the changes of the endpoints' entries on that this VM reads or
-// hears of, and takes those that the others tell. With them a VM needs the store
-// only to make sure that it has missed nothing: two read it for all.
+// Changes spreads changes of the endpoints' log entries between VMs. It announces those that this
+// VM has read from the store, forwards those that it has received, and applies those that peers
+// send. A VM then needs the store only to find changes that it has missed. Two VMs, the readers,
+// read it for all.
 type Changes struct {
-	clock clock.Clock
-	fleet *keyedlog.Follower
-	// IsReader tells whether this VM reads the store for all. What another one has
-	// read for itself the others know, or will read too.
+	clock    clock.Clock
+	follower *keyedlog.Follower
+	// IsReader reports whether this VM reads the store for all VMs. A change that another VM has
+	// read for itself isn't announced: the other VMs have it, or will read it too.
 	IsReader func() bool
 
-	mu     sync.Mutex
-	recent []told
-	last   int64      // offset of the newest change known here
-	behind clock.Time // since when a peer has known a newer one, zero if none
-	newer  int64      // its offset
+	mu           sync.Mutex
+	recent       []announcedChange
+	newestOffset int64      // offset of the newest change that this VM has
+	behindSince  clock.Time // since when a peer has had a newer one, zero if none has
+	peerOffset   int64      // the peer's newest offset at that time
 
-	previous map[int64]int64    // offsets of the changes before those being heard, by offset
-	read     int64              // offset up to which changes are known, or missing
-	heard    map[int64]struct{} // offsets after it that were told here
-	missing  map[int64]*missing // offsets of changes that others know and that weren't
+	previous map[int64]int64          // predecessor of each change being received, by offset
+	readUpTo int64                    // offset up to which each change is either here or in missing
+	received map[int64]struct{}       // offsets after readUpTo whose changes this VM has
+	missing  map[int64]*missingChange // changes that peers have and this VM lacks, by offset
 }
 
-// missing is a change that other VMs know.
-type missing struct {
-	at    clock.Time // since when, or when the store was last read for it
+// missingChange is a change that other VMs have and this VM hasn't received.
+type missingChange struct {
+	since clock.Time // when it was found missing, or when the store was last read for it
 	reads int
 }
 
-type told struct {
-	change *wire.Change
-	at     clock.Time
-	heard  bool // of another VM
-	left   int  // messages to VMs outside the active set that carry it
+type announcedChange struct {
+	change       *wire.Change
+	at           clock.Time
+	fromPeer     bool // received from a peer, not read from the store
+	forwardsLeft int  // messages to VMs outside the active set that still carry it
 }
 
-// NewChanges returns the exchange of fleet's changes.
-func NewChanges(c clock.Clock, fleet *keyedlog.Follower) *Changes {
-	return &Changes{clock: c, fleet: fleet, previous: map[int64]int64{}, heard: map[int64]struct{}{}, missing: map[int64]*missing{}, IsReader: func() bool { return true }}
+// NewChanges returns a Changes that passes received changes to follower.
+func NewChanges(c clock.Clock, follower *keyedlog.Follower) *Changes {
+	return &Changes{clock: c, follower: follower, previous: map[int64]int64{}, received: map[int64]struct{}{}, missing: map[int64]*missingChange{}, IsReader: func() bool { return true }}
 }
 
-// RecordApplied notes a change that is in force here and passes it on. What a VM reads at its
-// start is no news to the others.
+// RecordApplied records a change that this VM has applied, and announces it to other VMs. Entries
+// that a VM reads at its start aren't announced, as the other VMs have them.
 func (x *Changes) RecordApplied(e keyedlog.Entry) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.note(e.Offset)
+	x.markReceived(e.Offset)
 	if e.Newest || !e.Heard && !x.IsReader() {
-		x.last = max(x.last, e.Offset)
+		x.newestOffset = max(x.newestOffset, e.Offset)
 		return
 	}
-	c := &wire.Change{Key: e.Key, Value: e.Value, Offset: uint64(e.Offset), Previous: uint64(x.last), KeptMs: uint32(max(e.Kept, 0).Milliseconds())}
+	c := &wire.Change{Key: e.Key, Value: e.Value, Offset: uint64(e.Offset), Previous: uint64(x.newestOffset), KeptMs: uint32(max(e.Kept, 0).Milliseconds())}
 	if e.Heard {
 		c.Previous = uint64(x.previous[e.Offset])
 	}
 	now := x.clock.Now()
-	x.recent = slices.DeleteFunc(x.recent, func(t told) bool { return now.Sub(t.at) >= tellFor })
-	if len(x.recent) < mostTold {
-		x.recent = append(x.recent, told{c, now, e.Heard, passOn})
+	x.recent = slices.DeleteFunc(x.recent, func(t announcedChange) bool { return now.Sub(t.at) >= announceFor })
+	if len(x.recent) < maxRecentChanges {
+		x.recent = append(x.recent, announcedChange{c, now, e.Heard, forwardsPerChange})
 	}
-	x.last = max(x.last, e.Offset)
+	x.newestOffset = max(x.newestOffset, e.Offset)
 }
 
-// fill adds the changes of the last moments that this VM has read from the store to a
-// beat for the active set.
-func (x *Changes) fill(b *wire.Beat) {
-	x.add(b, func(t *told) bool { return !t.heard })
+// fillRead adds the recent changes that this VM has read from the store to a beat for the active
+// set.
+func (x *Changes) fillRead(b *wire.Beat) {
+	x.appendChanges(b, func(t *announcedChange) bool { return !t.fromPeer })
 }
 
-// pass adds those to be passed on from VM to VM, heard or read.
-func (x *Changes) pass(b *wire.Beat) {
-	x.add(b, func(t *told) bool {
-		t.left--
-		return t.left >= 0
+// fillForwarded adds the recent changes that are forwarded from VM to VM, received or read.
+func (x *Changes) fillForwarded(b *wire.Beat) {
+	x.appendChanges(b, func(t *announcedChange) bool {
+		t.forwardsLeft--
+		return t.forwardsLeft >= 0
 	})
 }
 
-func (x *Changes) add(b *wire.Beat, wanted func(t *told) bool) {
+func (x *Changes) appendChanges(b *wire.Beat, include func(t *announcedChange) bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := x.clock.Now()
-	x.recent = slices.DeleteFunc(x.recent, func(t told) bool { return now.Sub(t.at) >= tellFor })
-	for i := len(x.recent) - 1; i >= 0 && len(b.GetChanges()) < maxChanges; i-- {
-		if wanted(&x.recent[i]) {
+	x.recent = slices.DeleteFunc(x.recent, func(t announcedChange) bool { return now.Sub(t.at) >= announceFor })
+	for i := len(x.recent) - 1; i >= 0 && len(b.GetChanges()) < maxChangesPerBeat; i-- {
+		if include(&x.recent[i]) {
 			b.Changes = append(b.Changes, x.recent[i].change)
 		}
 	}
 	slices.Reverse(b.Changes)
-	b.LastChange = uint64(x.last)
+	b.LastChange = uint64(x.newestOffset)
 }
 
-// take applies what a peer tells.
-func (x *Changes) take(b *wire.Beat) {
-	x.hearing(b.GetChanges())
+// receive applies the changes in a peer's beat, and has the store read if changes are missing.
+func (x *Changes) receive(b *wire.Beat) {
+	x.recordIncoming(b.GetChanges())
 	for _, c := range b.GetChanges() {
 		e := keyedlog.Entry{
 			Key: c.GetKey(), Offset: int64(c.GetOffset()), Kept: time.Duration(c.GetKeptMs()) * time.Millisecond,
@@ -134,110 +136,113 @@
 		if len(c.GetValue()) > 0 {
 			e.Value = c.GetValue()
 		}
-		x.fleet.Hear(e)
+		x.follower.Hear(e)
 	}
-	gap := x.gaps(b.GetChanges()) && b.GetProbe() == nil
-	if gap || x.behindPeer(int64(b.GetLastChange())) || x.overdue() {
-		x.fleet.Nudge()
+	gap := x.findGaps(b.GetChanges()) && b.GetProbe() == nil
+	if gap || x.lagsBehindPeer(int64(b.GetLastChange())) || x.missingOverdue() {
+		x.follower.Nudge()
 	}
 }
 
-// hearing notes which changes are being heard.
-func (x *Changes) hearing(changes []*wire.Change) {
+// recordIncoming records changes that are being received, before they are applied.
+func (x *Changes) recordIncoming(changes []*wire.Change) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, c := range changes {
 		x.previous[int64(c.GetOffset())] = int64(c.GetPrevious())
-		x.note(int64(c.GetOffset()))
-		x.last = max(x.last, int64(c.GetOffset()))
+		x.markReceived(int64(c.GetOffset()))
+		x.newestOffset = max(x.newestOffset, int64(c.GetOffset()))
 	}
 }
 
-// note notes that a change is known.
-func (x *Changes) note(offset int64) {
+// markReceived records that this VM has the change at offset.
+func (x *Changes) markReceived(offset int64) {
 	delete(x.missing, offset)
-	if offset > x.read {
-		x.heard[offset] = struct{}{}
+	if offset > x.readUpTo {
+		x.received[offset] = struct{}{}
 	}
 }
 
-// gaps notes the changes that came before those that were heard and that weren't. It returns
-// whether there are new ones: more changes at a time than a beat carries, or a lost beat. An
-// endpoint whose leaving was missed so would get work for as long as the store isn't read. Of
-// changes that are passed on from VM to VM the earlier one may come by another way a moment later.
-func (x *Changes) gaps(changes []*wire.Change) (found bool) {
+// findGaps records the predecessors of received changes that this VM lacks, and reports whether it
+// found new ones. They are lost with a beat, or if there are more changes at a time than a beat
+// carries. If the missing change says that an endpoint leaves, the endpoint gets requests until the
+// store is read. When changes are forwarded from VM to VM, an earlier one may still arrive by
+// another path shortly after.
+func (x *Changes) findGaps(changes []*wire.Change) (found bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, c := range changes {
 		delete(x.previous, int64(c.GetOffset()))
 		before := int64(c.GetPrevious())
-		_, heard := x.heard[before]
-		if before <= x.read || heard || x.missing[before] != nil {
+		_, isReceived := x.received[before]
+		if before <= x.readUpTo || isReceived || x.missing[before] != nil {
 			continue
 		}
-		x.missing[before] = &missing{at: x.clock.Now()}
+		x.missing[before] = &missingChange{since: x.clock.Now()}
 		found = true
 	}
-	x.forget()
+	x.evictReceived()
 	return found
 }
 
-// forget keeps what is remembered as heard bounded. What is older counts as known, but for what
-// is missing.
-func (x *Changes) forget() {
-	if len(x.heard) <= mostHeard {
+// evictReceived bounds the number of received offsets. Older changes count as received, unless they
+// are in missing.
+func (x *Changes) evictReceived() {
+	if len(x.received) <= maxReceivedOffsets {
 		return
 	}
-	offsets := slices.Sorted(maps.Keys(x.heard))
-	x.hadBefore(offsets[len(offsets)-mostHeard/2])
+	offsets := slices.Sorted(maps.Keys(x.received))
+	x.advanceRead(offsets[len(offsets)-maxReceivedOffsets/2])
 }
 
-// hadBefore notes that changes up to an offset need not be remembered as heard.
-func (x *Changes) hadBefore(offset int64) {
-	x.read = max(x.read, offset)
-	maps.DeleteFunc(x.heard, func(offset int64, _ struct{}) bool { return offset <= x.read })
+// advanceRead sets readUpTo to at least offset and drops the received offsets up to it.
+func (x *Changes) advanceRead(offset int64) {
+	x.readUpTo = max(x.readUpTo, offset)
+	maps.DeleteFunc(x.received, func(offset int64, _ struct{}) bool { return offset <= x.readUpTo })
 }
 
-// RecordRead notes that this VM has read the store up to the offset end itself.
+// RecordRead records that this VM has itself read the store up to the offset end, exclusive.
 func (x *Changes) RecordRead(end int64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.hadBefore(end - 1)
-	maps.DeleteFunc(x.missing, func(offset int64, _ *missing) bool { return offset < end })
+	x.advanceRead(end - 1)
+	maps.DeleteFunc(x.missing, func(offset int64, _ *missingChange) bool { return offset < end })
 }
 
-// overdue tells whether the store is to be read for a change that has been missing for too long.
-func (x *Changes) overdue() (due bool) {
+// missingOverdue reports whether the store must be read because a change has been missing for
+// maxLag.
+func (x *Changes) missingOverdue() (due bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := x.clock.Now()
 	for offset, m := range x.missing {
-		if now.Sub(m.at) < behindFor {
+		if now.Sub(m.since) < maxLag {
 			continue
 		}
-		m.at, due = now, true
-		if m.reads++; m.reads == mostReads {
+		m.since, due = now, true
+		if m.reads++; m.reads == maxReadsPerChange {
 			delete(x.missing, offset)
 		}
 	}
 	return due
 }
 
-// behindPeer tells whether a peer has known a newer change for too long.
-func (x *Changes) behindPeer(last int64) bool {
+// lagsBehindPeer reports whether a peer has had a change newer than this VM's newest one for
+// maxLag.
+func (x *Changes) lagsBehindPeer(last int64) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := x.clock.Now()
 	switch {
-	case last <= x.last:
+	case last <= x.newestOffset:
 		return false
-	case x.behind == 0 || x.last >= x.newer:
-		x.behind, x.newer = now, last
+	case x.behindSince == 0 || x.newestOffset >= x.peerOffset:
+		x.behindSince, x.peerOffset = now, last
 		return false
-	case now.Sub(x.behind) < behindFor:
+	case now.Sub(x.behindSince) < maxLag:
 		return false
 	}
-	x.behind = 0
-	x.last = last // read once for it
+	x.behindSince = 0
+	x.newestOffset = last // one read of the store is enough for it
 	return true
 }
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -13,7 +13,7 @@
 	"fescuestand/internal/wire"
 )
 
-// emptyLog is a source without records, which counts its reads.
+// emptyLog is a source without records that reports each read on a channel.
 type emptyLog struct{ reads chan struct{} }
 
 func (l emptyLog) Newest(context.Context) ([]keyedlog.Entry, int64, error) { return nil, 0, nil }
@@ -23,8 +23,9 @@
 	return nil, 0, nil
 }
 
-// listener is a VM that reads the store only when it is nudged.
-func listener(t *testing.T, c clock.Clock) (*Changes, map[string]string, chan struct{}) {
+// startFollower runs a follower that reads the store only when it is nudged. It returns its
+// changes, the values that it has applied, and a channel that receives its reads.
+func startFollower(t *testing.T, c clock.Clock) (*Changes, map[string]string, chan struct{}) {
 	t.Helper()
 	applied := map[string]string{}
 	src := emptyLog{make(chan struct{}, 8)}
@@ -48,174 +49,172 @@
 	}
 }
 
-func beatOf(x *Changes) *wire.Beat {
+func nextBeat(x *Changes) *wire.Beat {
 	b := &wire.Beat{}
-	x.fill(b)
+	x.fillRead(b)
 	return b
 }
 
-func TestChangesAreToldForAWhile(t *testing.T) {
+func TestChangesAreAnnouncedForALimitedTime(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	reader := NewChanges(c, nil)
-	x, applied, reads := listener(t, c)
+	x, applied, reads := startFollower(t, c)
 	reader.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3})
 	reader.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Kept: time.Second})
-	told := beatOf(reader)
-	assert.Equal(t, told.GetChanges()[1].GetKeptMs(), uint32(1000))
-	x.take(told)
+	sent := nextBeat(reader)
+	assert.Equal(t, sent.GetChanges()[1].GetKeptMs(), uint32(1000))
+	x.receive(sent)
 	assert.DeepEqual(t, applied, map[string]string{"a": "1", "b": ""})
 	assert.Equal(t, len(reads), 0)
-	c.T = c.T.Add(tellFor)
-	assert.Equal(t, len(beatOf(reader).GetChanges()), 0)
+	c.T = c.T.Add(announceFor)
+	assert.Equal(t, len(nextBeat(reader).GetChanges()), 0)
 }
 
-// Guards against hundreds of VMs that start together and tell each other all endpoints.
-func TestWhatIsReadAtAStartIsNotTold(t *testing.T) {
+// Guards against hundreds of VMs that start together and announce all endpoints to each other.
+func TestEntriesReadAtStartAreNotAnnounced(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	x := NewChanges(c, nil)
 	x.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3, Newest: true})
-	b := beatOf(x)
+	b := nextBeat(x)
 	assert.Equal(t, len(b.GetChanges()), 0)
 	assert.Equal(t, b.GetLastChange(), uint64(3))
 }
 
-// Guards against hundreds of VMs that each tell what each has read for itself.
-func TestOnlyReadersTellWhatTheyRead(t *testing.T) {
+// Guards against hundreds of VMs that each announce what each has read for itself.
+func TestOnlyReadersAnnounceChangesTheyRead(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	x := NewChanges(c, nil)
 	x.IsReader = func() bool { return false }
 	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 3})
-	b := beatOf(x)
+	b := nextBeat(x)
 	assert.Equal(t, len(b.GetChanges()), 0)
 	assert.Equal(t, b.GetLastChange(), uint64(3))
 	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Heard: true})
-	x.pass(b)
-	assert.Equal(t, len(b.GetChanges()), 1, "what was heard is passed on")
+	x.fillForwarded(b)
+	assert.Equal(t, len(b.GetChanges()), 1, "a received change is forwarded")
 }
 
-// Guards against beats full of changes for as long as thousands of endpoints start.
-func TestAFleetThatStartsIsNotToldChangeByChange(t *testing.T) {
+// Guards against beats that are full of changes while thousands of endpoints start.
+func TestAnnouncedChangesAreBoundedWhenAFleetStarts(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	x := NewChanges(c, nil)
 	for i := range 3000 {
 		x.RecordApplied(keyedlog.Entry{Key: fmt.Sprint(i), Offset: int64(i + 1)})
 	}
-	assert.Equal(t, len(x.recent), mostTold)
-	assert.Equal(t, beatOf(x).GetLastChange(), uint64(3000))
+	assert.Equal(t, len(x.recent), maxRecentChanges)
+	assert.Equal(t, nextBeat(x).GetLastChange(), uint64(3000))
 }
 
-// Guards against an endpoint that gets work for half a minute after its leaving: two changes are
-// missing, and when the first of them comes the other one is forgotten.
-func TestEachMissingChangeIsReadOrHeard(t *testing.T) {
+// Guards against an endpoint that gets requests for half a minute after it has left: two changes
+// were missing, and when the first one arrived the other was no longer tracked.
+func TestEachMissingChangeIsReadOrReceived(t *testing.T) {
 	c := &clock.Manual{T: 1}
-	x, _, reads := listener(t, c)
-	pass := func(changes ...*wire.Change) { x.take(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
-	pass(&wire.Change{Key: "a", Offset: 5, Previous: 4})
-	pass(&wire.Change{Key: "b", Offset: 8, Previous: 7})
-	pass(&wire.Change{Key: "c", Offset: 4})
-	c.T = c.T.Add(behindFor)
-	pass()
+	x, _, reads := startFollower(t, c)
+	forward := func(changes ...*wire.Change) { x.receive(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
+	forward(&wire.Change{Key: "a", Offset: 5, Previous: 4})
+	forward(&wire.Change{Key: "b", Offset: 8, Previous: 7})
+	forward(&wire.Change{Key: "c", Offset: 4})
+	c.T = c.T.Add(maxLag)
+	forward()
 	awaitRead(t, reads)
-	c.T = c.T.Add(behindFor)
-	pass()
-	awaitRead(t, reads) // the change may not have been there yet
+	c.T = c.T.Add(maxLag)
+	forward()
+	awaitRead(t, reads) // read again, as the store may not have had the change at the first read
 	x.RecordRead(9)
-	c.T = c.T.Add(behindFor)
-	pass()
+	c.T = c.T.Add(maxLag)
+	forward()
 	assert.Equal(t, len(reads), 0)
 }
 
-// Guards against a change that is missed because a later one was heard first: an older one than
-// that doesn't look like a gap.
-func TestAGapBelowTheNewestChangeIsSeen(t *testing.T) {
+// Guards against a missing change that isn't noticed because a newer one was received first.
+func TestGapBelowTheNewestChangeIsFound(t *testing.T) {
 	c := &clock.Manual{T: 1}
-	x, _, reads := listener(t, c)
+	x, _, reads := startFollower(t, c)
 	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 2, Newest: true})
-	pass := func(changes ...*wire.Change) { x.take(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
-	pass(&wire.Change{Key: "d", Offset: 9, Previous: 2})
-	pass(&wire.Change{Key: "b", Offset: 6, Previous: 5})
-	c.T = c.T.Add(behindFor)
-	pass()
+	forward := func(changes ...*wire.Change) { x.receive(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
+	forward(&wire.Change{Key: "d", Offset: 9, Previous: 2})
+	forward(&wire.Change{Key: "b", Offset: 6, Previous: 5})
+	c.T = c.T.Add(maxLag)
+	forward()
 	awaitRead(t, reads)
 }
 
-// Guards against a missing change that is forgotten among the many that follow it.
-func TestAMissingChangeIsNotForgottenAmongMany(t *testing.T) {
+// Guards against a missing change that is no longer tracked after many later ones were received.
+func TestMissingChangeSurvivesEvictionOfReceivedOffsets(t *testing.T) {
 	c := &clock.Manual{T: 1}
-	x, _, reads := listener(t, c)
-	pass := func(changes ...*wire.Change) { x.take(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
-	pass(&wire.Change{Key: "a", Offset: 5, Previous: 4})
-	for i := range uint64(4 * mostHeard) {
-		pass(&wire.Change{Key: "b", Offset: 6 + i, Previous: 5 + i})
+	x, _, reads := startFollower(t, c)
+	forward := func(changes ...*wire.Change) { x.receive(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
+	forward(&wire.Change{Key: "a", Offset: 5, Previous: 4})
+	for i := range uint64(4 * maxReceivedOffsets) {
+		forward(&wire.Change{Key: "b", Offset: 6 + i, Previous: 5 + i})
 	}
-	assert.Assert(t, len(x.heard) <= mostHeard)
-	c.T = c.T.Add(behindFor)
-	pass()
+	assert.Assert(t, len(x.received) <= maxReceivedOffsets)
+	c.T = c.T.Add(maxLag)
+	forward()
 	awaitRead(t, reads)
 }
 
-// Guards against hundreds of VMs that read the store because a change, passed on from VM
-// to VM, overtook the one before it.
-func TestAChangeThatOvertakesAnotherIsNoReasonToRead(t *testing.T) {
+// Guards against hundreds of VMs that read the store because a change that was forwarded from VM to
+// VM arrived before its predecessor.
+func TestReorderedChangesCauseNoRead(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	reader := NewChanges(c, nil)
-	x, applied, reads := listener(t, c)
+	x, applied, reads := startFollower(t, c)
 	reader.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3})
 	reader.RecordApplied(keyedlog.Entry{Key: "b", Value: []byte("1"), Offset: 4})
-	told := beatOf(reader)
-	told.Probe = &wire.Probe{}
-	first, second := told.GetChanges()[0], told.GetChanges()[1]
-	pass := func(changes ...*wire.Change) { x.take(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
-	pass(second)
+	sent := nextBeat(reader)
+	sent.Probe = &wire.Probe{}
+	first, second := sent.GetChanges()[0], sent.GetChanges()[1]
+	forward := func(changes ...*wire.Change) { x.receive(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
+	forward(second)
 	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Heard: true})
-	pass(first)
+	forward(first)
 	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 3, Heard: true})
-	c.T = c.T.Add(behindFor)
-	pass()
+	c.T = c.T.Add(maxLag)
+	forward()
 	assert.DeepEqual(t, applied, map[string]string{"a": "1", "b": "1"})
 	assert.Equal(t, len(reads), 0)
 
-	pass(&wire.Change{Key: "d", Offset: 6, Previous: 5})
-	c.T = c.T.Add(behindFor)
-	pass()
+	forward(&wire.Change{Key: "d", Offset: 6, Previous: 5})
+	c.T = c.T.Add(maxLag)
+	forward()
 	awaitRead(t, reads)
 }
 
-// Guards against a read of the store by each VM for each change: what a VM once lacked
-// and then heard must not count against it when the next change comes.
-func TestAChangeThatWasHeardInTimeIsNotRead(t *testing.T) {
+// Guards against a read of the store by each VM for each change: the time for which a VM lacked a
+// change that it then received must not count towards the next change.
+func TestChangesReceivedInTimeCauseNoRead(t *testing.T) {
 	c := &clock.Manual{T: 1}
-	x, _, reads := listener(t, c)
+	x, _, reads := startFollower(t, c)
 	for offset := range uint64(5) {
-		x.take(&wire.Beat{LastChange: offset + 1})
-		x.take(&wire.Beat{Changes: []*wire.Change{{Key: "e", Offset: offset + 1, Previous: offset}}, LastChange: offset + 1})
-		c.T = c.T.Add(2 * behindFor)
+		x.receive(&wire.Beat{LastChange: offset + 1})
+		x.receive(&wire.Beat{Changes: []*wire.Change{{Key: "e", Offset: offset + 1, Previous: offset}}, LastChange: offset + 1})
+		c.T = c.T.Add(2 * maxLag)
 	}
 	assert.Equal(t, len(reads), 0)
 }
 
-// Guards against work sent to endpoints that left in a moment of more changes than a beat
-// carries.
-func TestAChangeThatNoBeatCarriedIsReadFromTheStore(t *testing.T) {
+// Guards against requests to endpoints that left while there were more changes than a beat carries.
+func TestChangesDroppedFromBeatsAreReadFromTheStore(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	reader := NewChanges(c, nil)
-	x, _, reads := listener(t, c)
+	x, _, reads := startFollower(t, c)
 	reader.RecordApplied(keyedlog.Entry{Key: "first", Offset: 1})
-	x.take(beatOf(reader))
-	for i := range 2 * maxChanges {
+	x.receive(nextBeat(reader))
+	for i := range 2 * maxChangesPerBeat {
 		reader.RecordApplied(keyedlog.Entry{Key: fmt.Sprint(i), Offset: int64(i + 2)})
 	}
-	x.take(beatOf(reader))
+	x.receive(nextBeat(reader))
 	awaitRead(t, reads)
 }
 
-// Guards against a change whose beats were all lost.
-func TestAChangeThatWasNotHeardIsReadAfterAWhile(t *testing.T) {
+// Guards against a change that is never applied because all beats with it were lost.
+func TestChangeThatIsNotReceivedIsReadAfterMaxLag(t *testing.T) {
 	c := &clock.Manual{T: 1}
-	x, _, reads := listener(t, c)
-	x.take(&wire.Beat{LastChange: 9})
+	x, _, reads := startFollower(t, c)
+	x.receive(&wire.Beat{LastChange: 9})
 	assert.Equal(t, len(reads), 0)
-	c.T = c.T.Add(behindFor)
-	x.take(&wire.Beat{LastChange: 9})
+	c.T = c.T.Add(maxLag)
+	x.receive(&wire.Beat{LastChange: 9})
 	awaitRead(t, reads)
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -6,44 +6,44 @@
 	"io"
 )
 
-// eventReader splits a stream of server-sent events into whole events. What is
-// passed on to a caller always ends with a whole event, so that a stream which
-// breaks off in the middle of one can go on at another endpoint.
+// eventReader splits a stream of server-sent events into whole events. Only whole events are
+// forwarded to the caller, so that a stream that breaks off inside an event can be resumed at
+// another endpoint.
 type eventReader struct {
-	rd   io.Reader
-	buf  []byte
-	used int // bytes of buf that hold data
-	end  error
+	rd      io.Reader
+	buf     []byte
+	filled  int // number of bytes of buf that hold data
+	readErr error
 }
 
-// eventBuffer holds the usual few events of one read.
-const eventBuffer = 4 << 10
+// eventBufferBytes is the initial buffer size, enough for the few events of a typical read.
+const eventBufferBytes = 4 << 10
 
-// maxEvent bounds an event: an endpoint that never ends one is broken.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the buffer, as an endpoint that never ends an event is faulty.
+const maxEventBytes = 1 << 20
 
 var errEventTooLong = errors.New("an event has no end")
 
 func newEventReader(rd io.Reader) *eventReader {
-	return &eventReader{rd: rd, buf: make([]byte, eventBuffer)}
+	return &eventReader{rd: rd, buf: make([]byte, eventBufferBytes)}
 }
 
 // eventEnd is the empty line after an event.
 var eventEnd = []byte("\n\n")
 
-// next returns all whole events that have arrived, waiting for one. The bytes
-// are valid until the next call. At a clean end it returns io.EOF; an end in the
-// middle of an event is io.ErrUnexpectedEOF.
+// next returns all whole events that have arrived, and waits if there is none. The bytes are valid
+// until the next call. It returns io.EOF if the stream ends after a whole event, and
+// io.ErrUnexpectedEOF if it ends inside one.
 func (r *eventReader) next() ([]byte, error) {
 	for {
-		if n := bytes.LastIndex(r.buf[:r.used], eventEnd); n >= 0 {
-			return r.cut(n + len(eventEnd)), nil
+		if n := bytes.LastIndex(r.buf[:r.filled], eventEnd); n >= 0 {
+			return r.takeEvents(n + len(eventEnd)), nil
 		}
-		if r.end != nil {
-			if errors.Is(r.end, io.EOF) && r.used > 0 {
+		if r.readErr != nil {
+			if errors.Is(r.readErr, io.EOF) && r.filled > 0 {
 				return nil, io.ErrUnexpectedEOF
 			}
-			return nil, r.end
+			return nil, r.readErr
 		}
 		if err := r.fill(); err != nil {
 			return nil, err
@@ -51,29 +51,29 @@
 	}
 }
 
-// cut takes the first n bytes out of the buffer.
-func (r *eventReader) cut(n int) []byte {
+// takeEvents removes the first n bytes from the buffer and returns them.
+func (r *eventReader) takeEvents(n int) []byte {
 	out := make([]byte, n)
 	copy(out, r.buf[:n])
-	r.used = copy(r.buf, r.buf[n:r.used])
+	r.filled = copy(r.buf, r.buf[n:r.filled])
 	return out
 }
 
 func (r *eventReader) fill() error {
-	if r.used == len(r.buf) {
-		if len(r.buf) >= maxEvent {
+	if r.filled == len(r.buf) {
+		if len(r.buf) >= maxEventBytes {
 			return errEventTooLong
 		}
 		r.buf = append(r.buf, make([]byte, len(r.buf))...)
 	}
-	n, err := r.rd.Read(r.buf[r.used:])
-	r.used += n
-	r.end = err
+	n, err := r.rd.Read(r.buf[r.filled:])
+	r.filled += n
+	r.readErr = err
 	return nil
 }
 
-// lastID returns the id of the last event in events, or "" if none has one.
-func lastID(events []byte) string {
+// lastEventID returns the id of the last event in events, or "" if none has one.
+func lastEventID(events []byte) string {
 	id := ""
 	for line := range bytes.Lines(events) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -15,39 +15,39 @@
 	"fescuestand/internal/policy/place"
 )
 
-// execution is one call's way through the gateway.
+// execution carries one call from its arrival to its final answer, over all attempts.
 type execution struct {
-	g        *Gateway
-	ctx      context.Context // ends with the caller or the deadline
-	caller   context.Context // ends with the caller
-	c        *Call
-	route    *catalog.Route
-	view     *catalog.View
-	w        http.ResponseWriter
-	deadline clock.Time
-	service  string
+	g         *Gateway
+	ctx       context.Context // done when the caller disconnects or the deadline passes
+	callerCtx context.Context // done when the caller disconnects
+	call      *Call
+	route     *catalog.Route
+	view      *catalog.View
+	w         http.ResponseWriter
+	deadline  clock.Time
+	service   string
 
-	arrivals     int             // requests that have reached endpoints
-	runs         int             // those that may have run
-	prepaid      atomic.Int32    // repeats that were taken from the budget and not sent yet
-	prefilled    bool            // the prefill that counts as no arrival is used
-	tried        map[string]bool // endpoints not to be used again
-	lastEvent    string          // passed on to the caller
-	failure      *plainAnswer    // newest failure that an endpoint answered
-	started      bool            // the answer's header has been sent
-	counted      bool            // as one that an endpoint has begun to run
-	held         bool            // it has waited for an idle engine, or for room
-	queued       queued
-	cachedTokens int           // tokens believed to be cached, at the first placement
-	sharedTokens int           // tokens of the prompt's shared parts
-	prefillEnd   time.Duration // from the arrival to the hand-over, zero without one
-	work         time.Duration // of the prefill, by the newest placement
-	predicted    time.Duration // to the first event, at the first placement
-	first        time.Duration // from the arrival to the first event
-	trace        []attemptTrace
+	arrivals              int             // requests that have reached endpoints, except the first prefill
+	runs                  int             // arrivals in which the request may have run
+	prepaidRetries        atomic.Int32    // taken from the retry budget and not sent yet; also set by the watchdog
+	prefillDone           bool            // an engine has accepted the prefill that is no arrival
+	tried                 map[string]bool // ids of endpoints that further attempts exclude
+	lastEventID           string          // id of the last event that was sent to the caller
+	endpointFailure       *bufferedAnswer // the latest failure that an endpoint answered with
+	headerSent            bool            // the answer's header has been sent to the caller
+	workspaceCounted      bool            // the request has been counted for its workspace
+	waited                bool            // for an idle engine or for endpoint capacity
+	queueSlot             queueSlot
+	predictedCachedTokens int           // at the first placement
+	sharedTokens          int           // tokens of the prompt's shared parts
+	handoffTime           time.Duration // arrival to end of a separate prefill, zero without one
+	prefillWork           time.Duration // predicted at the newest placement
+	predictedFirstEvent   time.Duration // predicted time to the first event at the first placement
+	firstEventTime        time.Duration // from the arrival to the first event
+	attempts              []attemptTrace
 }
 
-// attemptTrace is what the log says of an attempt.
+// attemptTrace is the record of one attempt for the request's log line.
 type attemptTrace struct {
 	endpoint string
 	outcome  string
@@ -55,31 +55,31 @@
 
 func (x *execution) now() clock.Time { return x.g.o.Clock.Now() }
 
-func (x *execution) left() time.Duration { return x.deadline.Sub(x.now()) }
+func (x *execution) remainingTime() time.Duration { return x.deadline.Sub(x.now()) }
 
-// maxDials bounds the endpoints that can't be reached before a request is given
-// up: each costs the caller a connect's timeout.
-const maxDials = 3
+// maxUnreachableEndpoints is the number of endpoints that can't be reached after which a request
+// fails: each of them costs the caller a connect timeout.
+const maxUnreachableEndpoints = 3
 
-// maxRefusals bounds the endpoints that refuse the work: more full endpoints
-// mean that the service is full.
-const maxRefusals = 2
+// maxRejections is the number of endpoints that reject a request after which it fails: if that many
+// endpoints are full, the service is taken to be full.
+const maxRejections = 2
 
-// run makes attempts until one decides the answer.
+// run makes attempts until one of them succeeds or no further attempt is allowed.
 func (x *execution) run() {
 	x.g.o.Budget.CountRequest(x.now(), x.service)
-	defer func() { x.queued.leave() }()
+	defer func() { x.queueSlot.leave() }()
 	var last result
 	for tries := 0; ; tries++ {
-		if tries > 0 && !x.mayRepeat(&last) {
+		if tries > 0 && !x.mayRetry(&last) {
 			break
 		}
 		last = x.attempt()
 		if last.answer != nil {
-			x.failure = last.answer
+			x.endpointFailure = last.answer
 		}
 		if last.outcome == answered {
-			x.g.o.Crashes.RecordSuccess(x.now(), x.c.Fingerprint)
+			x.g.o.Crashes.RecordSuccess(x.now(), x.call.Fingerprint)
 		}
 		if last.outcome == answered || last.outcome == gone || last.outcome == refused {
 			break
@@ -89,7 +89,7 @@
 }
 
 func (x *execution) attempt() result {
-	if x.left() <= 0 || x.ctx.Err() != nil {
+	if x.remainingTime() <= 0 || x.ctx.Err() != nil {
 		return result{outcome: gone}
 	}
 	if x.route.Kind == catalog.Stream {
@@ -98,15 +98,15 @@
 	return x.callAttempt()
 }
 
-// mayRepeat tells whether another attempt is allowed after last.
-func (x *execution) mayRepeat(last *result) bool {
+// mayRetry reports whether another attempt is allowed after last.
+func (x *execution) mayRetry(last *result) bool {
 	switch last.outcome {
 	case notSent:
-		if len(x.trace) >= maxDials+x.arrivals {
+		if len(x.attempts) >= maxUnreachableEndpoints+x.arrivals {
 			return false
 		}
 	case notRun:
-		if x.arrivals-x.runs >= maxRefusals {
+		if x.arrivals-x.runs >= maxRejections {
 			return false
 		}
 	case failed, lost:
@@ -120,143 +120,147 @@
 		return false
 	}
 	if x.arrivals == 0 {
-		return true // no endpoint has been bothered yet
+		return true // no endpoint has received the request, so a retry adds no load
 	}
 	return x.runs == 0 || x.route.Repeatable() && x.runs < max(x.route.MaxAttempts, 1)
 }
 
-// open returns the endpoints of the service in the newest view.
-func (x *execution) open() []*catalog.Endpoint {
+// openEndpoints returns the service's endpoints that accept requests, by the catalog's newest view.
+func (x *execution) openEndpoints() []*catalog.Endpoint {
 	return x.g.o.Catalog.View().Open(x.service)
 }
 
-// send does one exchange up to the response's header and says what an error
-// means.
+// send sends the request to an endpoint and reads the response's header. It returns a response only
+// if the endpoint may have run the request; otherwise the result says what the failure means.
 func (x *execution) send(ctx context.Context, s *EndpointRequest) (*exchange.Response, Answer, result) {
-	if r, ok := x.authorized(); !ok {
+	if r, ok := x.reauthorize(); !ok {
 		return nil, Answer{}, r
 	}
-	if !x.permit() {
-		return nil, Answer{}, result{outcome: notSent, code: code.RetryBudgetSpent, err: errBudget}
+	if !x.takeRetryBudget() {
+		return nil, Answer{}, result{outcome: notSent, code: code.RetryBudgetSpent, err: errBudgetSpent}
 	}
-	if r, ok := x.mayGo(s.Endpoint); !ok {
-		x.keepPermit()
+	if r, ok := x.acquireEndpoint(s.Endpoint); !ok {
+		x.keepRetryBudget()
 		return nil, Answer{}, r
 	}
-	s.RemainingTime, s.UrgencyRank = x.left(), x.urgency()
+	s.RemainingTime, s.UrgencyRank = x.remainingTime(), x.urgencyRank()
 	req := &exchange.Request{
-		Method: x.c.Method, Target: x.c.Target, Host: x.c.Host,
-		Header: x.g.o.Codec.Header(x.c, s), Body: x.c.Body, Once: !x.route.Repeatable(),
+		Method: x.call.Method, Target: x.call.Target, Host: x.call.Host,
+		Header: x.g.o.Codec.Header(x.call, s), Body: x.call.Body, Once: !x.route.Repeatable(),
 	}
 	sentAt := x.now()
 	resp, err := x.g.o.Pool.Do(ctx, s.Endpoint.Address, req)
 	if err != nil {
-		return nil, Answer{}, x.sendFailed(s, sentAt, err)
+		return nil, Answer{}, x.classifySendError(s, sentAt, err)
 	}
-	ans := x.g.o.Codec.Answer(x.c, resp.Status, resp.Header)
-	x.arrived(s, !ans.NotRun)
+	ans := x.g.o.Codec.Answer(x.call, resp.Status, resp.Header)
+	x.countArrival(s, !ans.NotRun)
 	if !ans.OtherRequest {
-		x.g.heed(s.Endpoint, sentAt, x.c.ID, ans.Notice)
+		x.g.applyNotice(s.Endpoint, sentAt, x.call.ID, ans.Notice)
 	}
 	switch {
 	case ans.OtherRequest:
 		resp.Close()
-		x.ran(s, sentAt)
-		return nil, ans, result{outcome: lost, code: code.BadAnswer, err: errForeign}
+		x.countRun(s, sentAt)
+		return nil, ans, result{outcome: lost, code: code.BadAnswer, err: errOtherRequest}
 	case ans.NotRun:
 		resp.Close()
 		if ans.Misdirected {
 			x.g.o.Planner.MarkStale(x.now(), s.Endpoint)
 		}
-		return nil, ans, result{outcome: notRun, code: code.EndpointRefused, err: errRefused}
+		return nil, ans, result{outcome: notRun, code: code.EndpointRefused, err: errNotRun}
 	}
-	x.ran(s, sentAt)
+	x.countRun(s, sentAt)
 	return resp, ans, result{}
 }
 
-// permit takes an arrival beyond the request's first from the budget.
-func (x *execution) permit() bool {
+// takeRetryBudget takes the next arrival from the retry budget, unless it is the request's first.
+// It returns false if the budget is exhausted.
+func (x *execution) takeRetryBudget() bool {
 	if x.arrivals == 0 {
 		return true
 	}
-	if x.prepaid.Load() > 0 {
-		x.prepaid.Add(-1)
+	if x.prepaidRetries.Load() > 0 {
+		x.prepaidRetries.Add(-1)
 		return true
 	}
 	return x.g.o.Budget.Take(x.now(), x.service)
 }
 
-// mayGo tells whether e takes the request at this moment: what a VM knew when it chose e may be
-// over. No request leaves without it.
-func (x *execution) mayGo(e *catalog.Endpoint) (result, bool) {
+// acquireEndpoint checks that e still accepts requests and counts the request against e's limit.
+// The catalog or the limit may have changed since e was chosen, so it is called before each send.
+func (x *execution) acquireEndpoint(e *catalog.Endpoint) (result, bool) {
 	switch {
 	case !x.g.o.Catalog.View().Takes(e):
-		return result{outcome: notSent, code: code.EndpointLeft, err: errLeft}, false
+		return result{outcome: notSent, code: code.EndpointLeft, err: errEndpointLeft}, false
 	case !x.g.o.Pressure.TryAcquire(x.now(), e):
-		return result{outcome: notSent, code: code.EndpointsLimited, err: errLimited}, false
+		return result{outcome: notSent, code: code.EndpointsLimited, err: errEndpointsLimited}, false
 	}
 	return result{}, true
 }
 
-// keepPermit keeps what permit took for the next arrival.
-func (x *execution) keepPermit() {
+// keepRetryBudget keeps the retry that takeRetryBudget took for the next arrival, as this one
+// wasn't sent.
+func (x *execution) keepRetryBudget() {
 	if x.arrivals > 0 {
-		x.prepaid.Add(1)
+		x.prepaidRetries.Add(1)
 	}
 }
 
-// arrived counts an arrival at an endpoint. The first call that only prefills
-// is none if the engine accepts it.
-func (x *execution) arrived(s *EndpointRequest, accepted bool) {
-	if s.PrefillOnly && accepted && !x.prefilled {
-		x.prefilled = true
+// countArrival counts a request that has reached an endpoint. The first prefill that an engine
+// accepts isn't counted.
+func (x *execution) countArrival(s *EndpointRequest, accepted bool) {
+	if s.PrefillOnly && accepted && !x.prefillDone {
+		x.prefillDone = true
 		return
 	}
 	x.arrivals++
 }
 
-// ran counts an exchange in which the request may have run; reading a prompt
-// isn't running it. A plain endpoint begins when the request reaches it, an engine
-// with the first event.
-func (x *execution) ran(s *EndpointRequest, sentAt clock.Time) {
+// countRun counts an exchange in which the request may have run. A prefill doesn't count as a run.
+// For the workspace's count, a plain endpoint starts to run the request when it arrives, and an
+// engine when it sends the first event.
+func (x *execution) countRun(s *EndpointRequest, sentAt clock.Time) {
 	if s.PrefillOnly {
 		return
 	}
 	x.runs++
 	if x.route.Kind != catalog.Stream {
-		x.began(sentAt)
+		x.countForWorkspace(sentAt)
 	}
 }
 
-func (x *execution) sendFailed(s *EndpointRequest, sentAt clock.Time, err error) result {
+// classifySendError returns the result of a request for which the endpoint sent no response header.
+func (x *execution) classifySendError(s *EndpointRequest, sentAt clock.Time, err error) result {
 	if errors.Is(err, driver.ErrNotSent) {
 		if x.ctx.Err() != nil {
 			return result{outcome: gone, err: err}
 		}
 		return result{outcome: notSent, code: code.EndpointCut, err: err}
 	}
-	x.arrived(s, false)
-	x.ran(s, sentAt)
+	x.countArrival(s, false)
+	x.countRun(s, sentAt)
 	if x.ctx.Err() != nil {
 		return result{outcome: gone, err: err}
 	}
 	return result{outcome: lost, code: code.EndpointCut, err: err}
 }
 
-// note remembers an attempt for the log and the endpoint's record.
-func (x *execution) note(e *catalog.Endpoint, t *place.Ticket, r result) {
-	x.trace = append(x.trace, attemptTrace{e.ID, r.outcome.String()})
+// recordAttempt records an attempt for the log and reports its outcome to the planner, and a
+// possible crash of the endpoint to the crash register.
+func (x *execution) recordAttempt(e *catalog.Endpoint, t *place.Ticket, r result) {
+	x.attempts = append(x.attempts, attemptTrace{e.ID, r.outcome.String()})
 	x.tried[e.ID] = true
-	x.g.o.Planner.End(x.now(), t, judgement(&r))
-	if r.outcome == lost && !x.started && errors.Is(r.err, driver.ErrCut) {
-		x.g.o.OnCrash(x.c.Fingerprint, e.ID)
+	x.g.o.Planner.End(x.now(), t, placementOutcome(&r))
+	if r.outcome == lost && !x.headerSent && errors.Is(r.err, driver.ErrCut) {
+		x.g.o.OnCrash(x.call.Fingerprint, e.ID)
 	}
 }
 
-// judgement is what r says of its endpoint.
-func judgement(r *result) place.Outcome {
+// placementOutcome returns the outcome that the planner records for the endpoint of r.
+func placementOutcome(r *result) place.Outcome {
 	if r.outcome == notSent && r.code != code.EndpointCut {
-		return place.Ignored // it wasn't asked
+		return place.Ignored // this VM decided not to send the request
 	}
 	switch r.outcome {
 	case answered:
--- a/internal/gateway/finish.go
+++ b/internal/gateway/finish.go
@@ -9,22 +9,22 @@
 	"fescuestand/internal/code"
 )
 
-// finish gives the final answer if none has been passed on, and logs.
+// finish sends the final answer if none has been sent, and logs the request.
 func (x *execution) finish(last *result) {
 	defer x.log(last)
-	if last.outcome == gone && x.caller.Err() != nil {
+	if last.outcome == gone && x.callerCtx.Err() != nil {
 		last.code = code.CallerGone
 	}
 	switch {
 	case last.outcome == answered:
 		return
-	case x.started:
-		// The caller must see that the stream isn't whole.
+	case x.headerSent:
+		// Closing the connection shows the caller that the stream is incomplete.
 		panic(http.ErrAbortHandler)
 	case last.code == code.CallerGone:
 		return
-	case x.failure != nil:
-		x.failure.write(x.w)
+	case x.endpointFailure != nil:
+		x.endpointFailure.write(x.w)
 		return
 	}
 	f := x.refusalFor(last)
@@ -32,16 +32,17 @@
 	f.write(x.w)
 }
 
+// refusalFor returns the answer to a call for which no endpoint's answer can be returned.
 func (x *execution) refusalFor(last *result) *refusal {
-	f := &refusal{code: last.code, run: code.NotRun, why: "no endpoint has answered"}
+	f := &refusal{code: last.code, run: code.NotRun, reason: "no endpoint has answered"}
 	if last.err != nil {
-		f.why = last.err.Error()
+		f.reason = last.err.Error()
 	}
 	if x.runs > 0 {
 		f.run = code.Unknown
 	}
 	if last.outcome == gone {
-		f.code, f.why = code.DeadlineMissed, "the time is over"
+		f.code, f.reason = code.DeadlineMissed, "the time is over"
 		if x.runs == 0 {
 			f.code = code.DeadlineInfeasible
 		}
@@ -50,38 +51,38 @@
 		if f.status() == http.StatusBadGateway {
 			f.code = code.EndpointRefused
 		}
-		f.again = last.again
-		if f.again == 0 {
-			f.again = x.comeBack()
+		f.retryAfter = last.retryAfter
+		if f.retryAfter == 0 {
+			f.retryAfter = x.defaultRetryAfter()
 		}
 	}
 	return f
 }
 
-// comeBack spreads the return of refused callers over a second, so that they
-// don't come as one wave when what refused them has passed.
-func (x *execution) comeBack() time.Duration {
-	return againAfter + time.Duration(x.c.Fingerprint%uint64(againSpread))
+// defaultRetryAfter spreads the retries of refused callers over a second, so that they don't all
+// arrive at once after the cause of the refusals has passed.
+func (x *execution) defaultRetryAfter() time.Duration {
+	return minRetryAfter + time.Duration(x.call.Fingerprint%uint64(retryAfterSpread))
 }
 
 const (
-	// againAfter is the shortest time to come back: a queue that refuses is
-	// some hundred milliseconds long.
-	againAfter  = 250 * time.Millisecond
-	againSpread = 750 * time.Millisecond
+	// minRetryAfter is the shortest Retry-After delay: a queue that is long enough to refuse
+	// requests takes some hundred milliseconds to process.
+	minRetryAfter    = 250 * time.Millisecond
+	retryAfterSpread = 750 * time.Millisecond
 )
 
 func (x *execution) log(last *result) {
-	x.g.metrics.observe(x.route.Name, x.now().Sub(x.c.Arrived), last)
-	e := log.WithField("id", x.c.ID).WithField("route", x.route.Name).WithField("config", x.view.Config.Version).
-		WithField("outcome", last.outcome).WithField("ms", x.now().Sub(x.c.Arrived).Milliseconds())
-	for i, t := range x.trace {
+	x.g.metrics.observe(x.route.Name, x.now().Sub(x.call.Arrived), last)
+	e := log.WithField("id", x.call.ID).WithField("route", x.route.Name).WithField("config", x.view.Config.Version).
+		WithField("outcome", last.outcome).WithField("ms", x.now().Sub(x.call.Arrived).Milliseconds())
+	for i, t := range x.attempts {
 		e = e.WithField(attemptField(i), t.endpoint+":"+t.outcome)
 	}
-	if x.predicted > 0 {
-		e = e.WithField("predicted_ms", x.predicted.Milliseconds()).WithField("first_ms", x.first.Milliseconds()).
-			WithField("prefill_ms", x.prefillEnd.Milliseconds()).WithField("tokens", x.c.PromptTokens).WithField("shared", x.sharedTokens).
-			WithField("cached", x.cachedTokens).WithField("held", x.held)
+	if x.predictedFirstEvent > 0 {
+		e = e.WithField("predicted_ms", x.predictedFirstEvent.Milliseconds()).WithField("first_ms", x.firstEventTime.Milliseconds()).
+			WithField("prefill_ms", x.handoffTime.Milliseconds()).WithField("tokens", x.call.PromptTokens).WithField("shared", x.sharedTokens).
+			WithField("cached", x.predictedCachedTokens).WithField("held", x.waited)
 	}
 	if last.code != 0 {
 		e = e.WithField("code", int(last.code))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -22,96 +22,99 @@
 	"fescuestand/internal/workspace"
 )
 
-// Options of a Gateway.
+// Options configures a Gateway.
 type Options struct {
 	Codec   Codec
 	Catalog *catalog.Store
 	Planner *place.Planner
 	Budget  *repeat.Budget
 	Crashes *crash.Register
-	// Pressure is what endpoints say of the work that they take.
+	// Pressure tracks the limits and retry times that endpoints announce.
 	Pressure *backpressure.Tracker
 	Pool     *exchange.Pool
 	Clock    clock.Clock
-	// Leaving tells whether this VM was told to stop.
+	// Leaving reports whether this VM is shutting down.
 	Leaving func() bool
-	// VMs is how many gateways share the endpoints.
+	// VMs returns the number of gateways that share the endpoints.
 	VMs func() int
-	// OnPrefillSent is told of each prefill that leaves for an engine.
+	// OnPrefillSent is called for each prefill that is about to be sent to an engine, with its
+	// predicted work.
 	OnPrefillSent func(work time.Duration)
-	// OnPrefixCached is told of each prefix that an engine has read for this VM.
+	// OnPrefixCached is called for each long shared prompt that an engine has cached while it
+	// served this VM.
 	OnPrefixCached func(e *catalog.Endpoint, parts []place.Part)
-	// OnEndpointLeaving is told of each answer by which an endpoint says that it leaves.
+	// OnEndpointLeaving is called for each answer in which an endpoint announces that it leaves.
 	OnEndpointLeaving func(e *catalog.Endpoint)
-	// OnCrash is told of each endpoint that a request may have crashed.
+	// OnCrash is called for each endpoint that a request may have crashed.
 	OnCrash func(fingerprint uint64, endpoint string)
-	// KeyFreshness says whether keys can be judged by what this VM knows.
+	// KeyFreshness reports whether this VM's configuration is recent enough to accept or reject API
+	// keys.
 	KeyFreshness func() freshness.Verdict
-	// OnRequestRunning is told of each request that an endpoint has begun to run.
+	// OnRequestRunning is called once for each request of a workspace that an endpoint has started
+	// to run.
 	OnRequestRunning func(at clock.Time, w *workspace.Workspace)
 }
 
-// Gateway is the handler of callers' requests.
+// Gateway is the HTTP handler for callers' requests.
 type Gateway struct {
-	o       Options
-	started clock.Time
-	metrics *Metrics
-	held    ontime.HeldWork
-	rate    serving.Meter
-	queues  sync.Map // of *queue, by service
+	o            Options
+	startedAt    clock.Time
+	metrics      *Metrics
+	heldWork     ontime.HeldWork
+	requestMeter serving.Meter
+	queues       sync.Map // of *queue, by service
 }
 
 // New returns a gateway.
 func New(o Options) *Gateway {
-	return &Gateway{o: o, started: o.Clock.Now(), metrics: newMetrics()}
+	return &Gateway{o: o, startedAt: o.Clock.Now(), metrics: newMetrics()}
 }
 
-// RequestRate returns the requests a second, zero if they are not known yet.
-func (g *Gateway) RequestRate() float64 { return g.rate.Rate(g.o.Clock.Now()) }
+// RequestRate returns the measured requests a second, zero before the first measurement.
+func (g *Gateway) RequestRate() float64 { return g.requestMeter.Rate(g.o.Clock.Now()) }
 
 // Metrics returns the counters.
 func (g *Gateway) Metrics() *Metrics { return g.metrics }
 
-// defaultPatience is assumed of a caller that doesn't say how long it waits and
-// whose route has no timeout.
-const defaultPatience = 10 * time.Second
+// defaultCallerTimeout is assumed for a caller that sends no timeout and whose route has none.
+const defaultCallerTimeout = 10 * time.Second
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if g.o.Leaving() {
-		// The caller's next request goes elsewhere.
+		// The caller then sends its next request to another VM.
 		w.Header().Set("Connection", "close")
 	}
 	arrived := g.o.Clock.Now()
-	g.rate.Count(arrived)
+	g.requestMeter.Count(arrived)
 	view := g.o.Catalog.View()
-	c, route, refused := g.accept(w, r, view)
+	call, route, refused := g.accept(w, r, view)
 	if refused != nil {
 		refused.write(w)
 		g.metrics.count(refused.code)
-		logRefusal(c, view, refused)
+		logRefusal(call, view, refused)
 		return
 	}
-	c.Arrived = arrived
-	patience := c.CallerTimeout
-	if patience <= 0 {
-		patience = defaultPatience
+	call.Arrived = arrived
+	timeout := call.CallerTimeout
+	if timeout <= 0 {
+		timeout = defaultCallerTimeout
 	}
 	if route.Timeout > 0 {
-		patience = min(patience, route.Timeout)
+		timeout = min(timeout, route.Timeout)
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), patience-g.o.Clock.Now().Sub(arrived))
+	ctx, cancel := context.WithTimeout(r.Context(), timeout-g.o.Clock.Now().Sub(arrived))
 	defer cancel()
 	x := &execution{
-		g: g, ctx: ctx, c: c, route: route, view: view, w: w, caller: r.Context(),
-		deadline: arrived.Add(patience), service: route.Service(rand.Uint64()),
-		tried: map[string]bool{}, lastEvent: c.LastEventID,
+		g: g, ctx: ctx, call: call, route: route, view: view, w: w, callerCtx: r.Context(),
+		deadline: arrived.Add(timeout), service: route.Service(rand.Uint64()),
+		tried: map[string]bool{}, lastEventID: call.LastEventID,
 	}
 	x.run()
 }
 
 func logRefusal(c *Call, v *catalog.View, f *refusal) {
-	e := log.WithField("outcome", refused).WithField("code", int(f.code)).WithField("why", f.why)
+	e := log.WithField("outcome", refused).WithField("code", int(f.code)).WithField("why", f.reason)
 	if c != nil {
 		e = e.WithField("id", c.ID).WithField("host", c.Host).WithField("path", c.Path)
 	}
@@ -121,19 +124,19 @@
 	e.Info("request refused")
 }
 
-// FollowCatalog hands each new view to the planner until ctx ends, and closes kept
-// connections that nobody will use.
+// FollowCatalog passes each new view of the catalog to the planner and the limit tracker until ctx
+// ends, and closes idle connections to endpoints that aren't in the view.
 func (g *Gateway) FollowCatalog(ctx context.Context) error {
 	for {
 		changed := g.o.Catalog.Changed()
 		v := g.o.Catalog.View()
 		g.o.Planner.SetView(v)
 		g.o.Pressure.ObserveCatalog(g.o.Clock.Now(), v)
-		keep := map[string]bool{}
+		inUse := map[string]bool{}
 		for _, e := range v.All() {
-			keep[e.Address] = true
+			inUse[e.Address] = true
 		}
-		g.o.Pool.Sweep(keep)
+		g.o.Pool.Sweep(inUse)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -14,30 +14,30 @@
 	"fescuestand/internal/catalog"
 )
 
-func sealed(b *backend, _ int, _ *http.Request, c net.Conn) bool {
-	b.ran.Add(1)
+func answerSigned(b *backend, _ int, _ *http.Request, c net.Conn) bool {
+	b.runs.Add(1)
 	return respond(c, 200, "answer", "Seal: s")
 }
 
-func cut(b *backend, _ int, _ *http.Request, _ net.Conn) bool {
-	b.ran.Add(1)
+func cutConnection(b *backend, _ int, _ *http.Request, _ net.Conn) bool {
+	b.runs.Add(1)
 	return false
 }
 
-func notRunBy(_ *backend, _ int, _ *http.Request, c net.Conn) bool {
+func rejectRequest(_ *backend, _ int, _ *http.Request, c net.Conn) bool {
 	return respond(c, 503, "", "Not-Run: 1")
 }
 
 var (
-	lookup  = catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2}
-	payment = catalog.Route{Kind: catalog.NonIdempotent, MaxAttempts: 1}
-	stream  = catalog.Route{Kind: catalog.Stream, MaxAttempts: 2, Resumable: true}
+	lookupRoute = catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2}
+	commitRoute = catalog.Route{Kind: catalog.NonIdempotent, MaxAttempts: 1}
+	streamRoute = catalog.Route{Kind: catalog.Stream, MaxAttempts: 2, Resumable: true}
 )
 
-func TestAnAnswerIsPassedOnUnchanged(t *testing.T) {
-	w := newWorld(t)
-	w.route(payment)
-	w.endpoint("a", catalog.Whole, serve(t, func(_ *backend, _ int, r *http.Request, c net.Conn) bool {
+func TestAnswerIsForwardedUnchanged(t *testing.T) {
+	w := newTestGateway(t)
+	w.setRoute(commitRoute)
+	w.addEndpoint("a", catalog.Whole, serve(t, func(_ *backend, _ int, r *http.Request, c net.Conn) bool {
 		b, _ := io.ReadAll(r.Body)
 		return respond(c, 201, r.Method+" "+r.RequestURI+" "+string(b), "Seal: s", "X-Own: 1", "Keep-Alive: timeout=5")
 	}))
@@ -59,8 +59,8 @@
 		{"no endpoint", "/x/", "", "1", 503},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.route(payment)
+			w := newTestGateway(t)
+			w.setRoute(commitRoute)
 			resp, _, err := w.request(t, "POST", tc.path, tc.body, "Id", tc.id)
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, tc.status)
@@ -69,73 +69,73 @@
 	}
 }
 
-// A VM starts while the store is away. It knows no route; a 404 would tell
-// callers that theirs is gone, and they would not ask again.
-func TestWithoutAConfigurationNothingIsDenied(t *testing.T) {
-	resp, _, err := newWorld(t).request(t, "GET", "/x/", "")
+// Guards against a 404 from a VM that started while the store was unavailable and has no
+// configuration: callers take it as final and don't retry.
+func TestWithoutConfigurationRequestsGetRetryAfter(t *testing.T) {
+	resp, _, err := newTestGateway(t).request(t, "GET", "/x/", "")
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, 503)
 	assert.Assert(t, resp.Header.Get("Retry-After") != "")
 }
 
-// An endpoint breaks off. A lookup is sent to another one and its caller sees
-// nothing of it. A payment may have run: it is not sent again, and its caller is
-// not told that it hasn't run.
-func TestOnlyWhatMayRunTwiceIsSentTwice(t *testing.T) {
+// An endpoint closes the connection without an answer. An idempotent request is retried at another
+// one and succeeds. A commit may have run: it isn't retried, and its caller must not get a status
+// that says that it hasn't run.
+func TestOnlyRepeatableRequestsAreRetried(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		route  catalog.Route
 		status int
 		runs   int32
 	}{
-		{"lookup", lookup, 200, 2},
-		{"payment", payment, 502, 1},
+		{"lookup", lookupRoute, 200, 2},
+		{"payment", commitRoute, 502, 1},
 		{"stream that can't be resumed", catalog.Route{Kind: catalog.Stream, MaxAttempts: 2}, 502, 1},
 		{"lookup with one attempt", catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 1}, 502, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.route(tc.route)
+			w := newTestGateway(t)
+			w.setRoute(tc.route)
 			b := serve(t, func(b *backend, n int, r *http.Request, c net.Conn) bool {
 				if n == 1 {
-					return cut(b, n, r, c)
+					return cutConnection(b, n, r, c)
 				}
-				return sealed(b, n, r, c)
+				return answerSigned(b, n, r, c)
 			})
-			w.endpoint("a", catalog.Whole, b)
-			w.endpoint("b", catalog.Whole, b)
+			w.addEndpoint("a", catalog.Whole, b)
+			w.addEndpoint("b", catalog.Whole, b)
 			resp, _, err := w.request(t, "POST", "/x/", "")
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, tc.status)
-			assert.Equal(t, b.ran.Load(), tc.runs)
+			assert.Equal(t, b.runs.Load(), tc.runs)
 		})
 	}
 }
 
-// Endpoints that say they didn't run a payment leave it free to run elsewhere;
-// when all say so, the caller is told that it hasn't run.
-func TestAPaymentThatWasNotRunMayGoElsewhere(t *testing.T) {
-	w := newWorld(t)
-	w.route(payment)
-	full, free := serve(t, notRunBy), serve(t, sealed)
-	w.endpoint("a", catalog.Whole, full)
-	w.endpoint("b", catalog.Whole, full)
+// A commit that an endpoint reports as not run is retried at another one. If all endpoints report
+// that, the caller gets a status that says that the commit hasn't run.
+func TestCommitThatDidNotRunIsRetriedElsewhere(t *testing.T) {
+	w := newTestGateway(t)
+	w.setRoute(commitRoute)
+	full, free := serve(t, rejectRequest), serve(t, answerSigned)
+	w.addEndpoint("a", catalog.Whole, full)
+	w.addEndpoint("b", catalog.Whole, full)
 	resp, _, err := w.request(t, "POST", "/x/", "")
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, 503)
 	assert.Assert(t, resp.Header.Get("Retry-After") != "")
 
-	w.endpoint("c", catalog.Whole, free)
+	w.addEndpoint("c", catalog.Whole, free)
 	for range 5 {
 		_, _, err = w.request(t, "POST", "/x/", "")
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, free.ran.Load() > 0)
+	assert.Assert(t, free.runs.Load() > 0)
 }
 
-// Answers that an endpoint spoils must not reach a caller as successes.
-func TestSpoiledAnswersAreNoSuccess(t *testing.T) {
-	for name, spoil := range map[string]func(c net.Conn) bool{
+// Guards against invalid answers of an endpoint that reach the caller as successes.
+func TestInvalidAnswersAreNotReturnedAsSuccess(t *testing.T) {
+	for name, respondBadly := range map[string]func(c net.Conn) bool{
 		"without signature": func(c net.Conn) bool { return respond(c, 200, "x") },
 		"another's":         func(c net.Conn) bool { return respond(c, 200, "x", "Seal: s", "Id: 2") },
 		"encoded":           func(c net.Conn) bool { return respond(c, 200, "x", "Seal: s", "Content-Encoding: gzip") },
@@ -147,29 +147,29 @@
 			_, _ = io.WriteString(c, "garbage\r\n\r\n")
 			return false
 		},
-		"a promise without the endpoint's word": func(c net.Conn) bool { return respond(c, 503, "", "Seal: s") },
+		"status 503 without the endpoint's not-run header": func(c net.Conn) bool { return respond(c, 503, "", "Seal: s") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			w.route(payment)
+			w := newTestGateway(t)
+			w.setRoute(commitRoute)
 			b := serve(t, func(b *backend, _ int, _ *http.Request, c net.Conn) bool {
-				b.ran.Add(1)
-				return spoil(c)
+				b.runs.Add(1)
+				return respondBadly(c)
 			})
-			w.endpoint("a", catalog.Whole, b)
+			w.addEndpoint("a", catalog.Whole, b)
 			resp, _, err := w.request(t, "POST", "/x/", "")
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, 502)
 			assert.Equal(t, resp.Header.Get("Seal"), "")
-			assert.Equal(t, b.ran.Load(), int32(1))
+			assert.Equal(t, b.runs.Load(), int32(1))
 		})
 	}
 }
 
-func TestAnEndpointsOwnFailureIsPassedOnWithItsSignature(t *testing.T) {
-	w := newWorld(t)
-	w.route(payment)
-	w.endpoint("a", catalog.Whole, serve(t, func(_ *backend, _ int, _ *http.Request, c net.Conn) bool {
+func TestEndpointFailureIsForwardedWithItsSignature(t *testing.T) {
+	w := newTestGateway(t)
+	w.setRoute(commitRoute)
+	w.addEndpoint("a", catalog.Whole, serve(t, func(_ *backend, _ int, _ *http.Request, c net.Conn) bool {
 		return respond(c, 500, "failed", "Seal: f")
 	}))
 	resp, body, err := w.request(t, "POST", "/x/", "")
@@ -178,17 +178,17 @@
 	assert.Equal(t, body+resp.Header.Get("Seal"), "failedf")
 }
 
-// Lookups fail at their endpoint, which says why, and the budget of repeats is
-// spent. Callers get the endpoint's answer, not a failure of this VM's.
-func TestAnEndpointsFailureOutlivesARepeatThatIsNotSent(t *testing.T) {
-	w := newWorld(t)
+// An endpoint answers with a failure, and the retry budget is exhausted. The caller must get the
+// endpoint's answer, not a refusal of this VM.
+func TestEndpointFailureIsReturnedIfTheRetryIsNotSent(t *testing.T) {
+	w := newTestGateway(t)
 	w.budget.SetMembers(1000)
-	w.route(lookup)
+	w.setRoute(lookupRoute)
 	b := serve(t, func(_ *backend, _ int, _ *http.Request, c net.Conn) bool {
 		return respond(c, 500, "failed", "Seal: f")
 	})
-	w.endpoint("a", catalog.Whole, b)
-	w.endpoint("b", catalog.Whole, b)
+	w.addEndpoint("a", catalog.Whole, b)
+	w.addEndpoint("b", catalog.Whole, b)
 	resp, body, err := w.request(t, "GET", "/x/", "")
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, 500)
@@ -196,16 +196,15 @@
 	assert.Equal(t, b.arrivals.Load(), int32(1))
 }
 
-// Every endpoint fails, and each lookup wants a second one. Past the budget the
-// first failure is final, or repeats would double the load of a service that is
-// down.
+// Guards against retries that double the load of a service that is down: every endpoint fails, and
+// each request could be retried once. When the budget is exhausted, the first failure is final.
 func TestRepeatsKeepTheBudget(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.budget.SetMembers(50)
-	w.route(lookup)
-	b := serve(t, cut)
-	w.endpoint("a", catalog.Whole, b)
-	w.endpoint("b", catalog.Whole, b)
+	w.setRoute(lookupRoute)
+	b := serve(t, cutConnection)
+	w.addEndpoint("a", catalog.Whole, b)
+	w.addEndpoint("b", catalog.Whole, b)
 	const requests = 40
 	for range requests {
 		before := b.arrivals.Load()
@@ -213,17 +212,17 @@
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, 502, "%s (%d arrivals)", body, b.arrivals.Load()-before)
 	}
-	repeats := int(b.arrivals.Load()) - requests
-	assert.Assert(t, repeats <= 9, "%d repeats of %d requests", repeats, requests)
+	retries := int(b.arrivals.Load()) - requests
+	assert.Assert(t, retries <= 9, "%d retries of %d requests", retries, requests)
 }
 
-// A caller closes its connection while its request is at an endpoint. The
-// endpoint must be told, or it goes on working for nobody.
-func TestACallerThatLeavesEndsTheWork(t *testing.T) {
-	w := newWorld(t)
-	w.route(payment)
+// Guards against wasted work: a caller closes its connection while its request runs at an endpoint,
+// and the connection to the endpoint must be closed too.
+func TestCallerDisconnectCancelsTheEndpointRequest(t *testing.T) {
+	w := newTestGateway(t)
+	w.setRoute(commitRoute)
 	ended := make(chan struct{})
-	w.endpoint("a", catalog.Whole, serve(t, func(_ *backend, _ int, _ *http.Request, c net.Conn) bool {
+	w.addEndpoint("a", catalog.Whole, serve(t, func(_ *backend, _ int, _ *http.Request, c net.Conn) bool {
 		_, _ = c.Read(make([]byte, 1))
 		close(ended)
 		return false
@@ -238,14 +237,14 @@
 	<-ended
 }
 
-// An endpoint doesn't answer. At the route's timeout the caller is told so, and
-// not that its payment hasn't run.
-func TestTheRoutesTimeoutIsKept(t *testing.T) {
-	w := newWorld(t)
-	r := payment
+// An endpoint doesn't answer. At the route's timeout the caller must get a status that doesn't say
+// that its commit hasn't run.
+func TestRouteTimeoutIsEnforced(t *testing.T) {
+	w := newTestGateway(t)
+	r := commitRoute
 	r.Timeout = 200 * time.Millisecond
-	w.route(r)
-	w.endpoint("a", catalog.Whole, serve(t, func(_ *backend, _ int, r *http.Request, c net.Conn) bool {
+	w.setRoute(r)
+	w.addEndpoint("a", catalog.Whole, serve(t, func(_ *backend, _ int, r *http.Request, c net.Conn) bool {
 		assert.Check(t, r.Header.Get("Left") != "3000")
 		_, _ = c.Read(make([]byte, 1))
 		return false
@@ -257,14 +256,14 @@
 	assert.Assert(t, time.Since(start) < 700*time.Millisecond)
 }
 
-// A request crashes each endpoint that runs it, and its caller sends it again.
-// The fourth endpoint is spared.
-func TestARequestThatCrashesItsEndpointsIsRefused(t *testing.T) {
-	w := newWorld(t)
-	w.route(payment)
-	b := serve(t, cut)
+// Guards against a request that crashes all endpoints of a service, as its caller retries it: it
+// must be refused before it reaches a fourth endpoint.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
+	w := newTestGateway(t)
+	w.setRoute(commitRoute)
+	b := serve(t, cutConnection)
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		w.endpoint(id, catalog.Whole, b)
+		w.addEndpoint(id, catalog.Whole, b)
 	}
 	for range 12 {
 		_, _, err := w.request(t, "POST", "/x/", "the same")
@@ -278,9 +277,9 @@
 }
 
 func TestALeavingVMClosesItsConnections(t *testing.T) {
-	w := newWorld(t)
-	w.route(payment)
-	w.endpoint("a", catalog.Whole, serve(t, sealed))
+	w := newTestGateway(t)
+	w.setRoute(commitRoute)
+	w.addEndpoint("a", catalog.Whole, serve(t, answerSigned))
 	w.leaving.Store(true)
 	resp, body, err := w.request(t, "POST", "/x/", "")
 	assert.NilError(t, err)
@@ -288,12 +287,12 @@
 	assert.Assert(t, resp.Close)
 }
 
-// The endpoint says what becomes of its own connection. Taken for this VM's word,
-// a caller would keep its connection to a VM that stops.
-func TestAnEndpointsConnectionIsNoneOfTheCallers(t *testing.T) {
-	w := newWorld(t)
-	w.route(payment)
-	w.endpoint("a", catalog.Whole, serve(t, func(_ *backend, _ int, _ *http.Request, c net.Conn) bool {
+// Guards against an endpoint's Connection header that is forwarded: the caller would keep its
+// connection to a VM that is shutting down.
+func TestEndpointConnectionHeadersAreNotForwarded(t *testing.T) {
+	w := newTestGateway(t)
+	w.setRoute(commitRoute)
+	w.addEndpoint("a", catalog.Whole, serve(t, func(_ *backend, _ int, _ *http.Request, c net.Conn) bool {
 		return respond(c, 200, "answer", "Seal: s", "Connection: keep-alive, X-Hop", "X-Hop: 1")
 	}))
 	resp, _, err := w.request(t, "POST", "/x/", "")
@@ -306,7 +305,7 @@
 	assert.Assert(t, resp.Close)
 }
 
-func TestEventsAreSplitWhereverReadsEnd(t *testing.T) {
+func TestEventsAreSplitForAnyReadSize(t *testing.T) {
 	const text = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"
 	for step := 1; step < len(text); step++ {
 		rd := newEventReader(&stepReader{text: text, step: step})
@@ -320,11 +319,11 @@
 			got = append(got, e...)
 		}
 		assert.Equal(t, string(got), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
-		assert.Equal(t, lastID(got), "2")
+		assert.Equal(t, lastEventID(got), "2")
 	}
 }
 
-// stepReader returns a text in pieces of a few bytes.
+// stepReader returns a text in reads of at most step bytes.
 type stepReader struct {
 	text string
 	step int
@@ -340,7 +339,7 @@
 }
 
 func TestAnEventWithoutEndIsAnError(t *testing.T) {
-	rd := newEventReader(&stepReader{text: strings.Repeat("a", 2*maxEvent), step: eventBuffer})
+	rd := newEventReader(&stepReader{text: strings.Repeat("a", 2*maxEventBytes), step: eventBufferBytes})
 	_, err := rd.next()
 	assert.ErrorIs(t, err, errEventTooLong)
 }
--- a/internal/gateway/header.go
+++ b/internal/gateway/header.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// hopByHop are the fields that concern one connection only.
+// hopByHop lists the headers that apply to one connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// EndToEnd returns a copy of h without the fields that concern one connection
-// only: the usual ones, and those that its Connection field names.
+// EndToEnd returns a copy of h without hop-by-hop headers: the usual ones, and those that its
+// Connection header lists.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, names := range h.Values("Connection") {
--- a/internal/gateway/judgement_test.go
+++ b/internal/gateway/judgement_test.go
@@ -9,14 +9,14 @@
 	"fescuestand/internal/policy/place"
 )
 
-// Guards against an endpoint that is left out for a request that never left this VM.
-func TestWhatAVMDecidesIsNoFaultOfTheEndpoint(t *testing.T) {
+// Guards against the ejection of an endpoint because of requests that this VM decided not to send.
+func TestUnsentRequestsAreNotCountedAgainstTheEndpoint(t *testing.T) {
 	for c, want := range map[code.Code]place.Outcome{
 		code.EndpointCut:      place.ExchangeFailed,
 		code.RetryBudgetSpent: place.Ignored,
 		code.EndpointsLimited: place.Ignored,
 		code.EndpointLeft:     place.Ignored,
 	} {
-		assert.Equal(t, judgement(&result{outcome: notSent, code: c}), want, c)
+		assert.Equal(t, placementOutcome(&result{outcome: notSent, code: c}), want, c)
 	}
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -7,19 +7,19 @@
 	"fescuestand/internal/code"
 )
 
-// buckets are the upper bounds of the latency histogram: times that callers
-// tell apart, from a plain call's to their patience.
-var buckets = []time.Duration{
+// latencyBuckets are the upper bounds of the latency histogram. They range from the time of a plain
+// call to the callers' timeout, in steps that matter to callers.
+var latencyBuckets = []time.Duration{
 	10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond,
 	400 * time.Millisecond, 800 * time.Millisecond, 1600 * time.Millisecond, 3200 * time.Millisecond, 10 * time.Second,
 }
 
-// Metrics counts requests by outcome and their time by route.
+// Metrics counts requests by outcome and by result code, and their latency by route.
 type Metrics struct {
 	mu       sync.Mutex
 	outcomes map[string]int64
 	codes    map[code.Code]int64
-	latency  map[string][]int64 // by route; the last bucket takes what is over
+	latency  map[string][]int64 // by route; the last bucket counts longer times
 }
 
 func newMetrics() *Metrics {
@@ -32,18 +32,18 @@
 	m.codes[c]++
 }
 
-func (m *Metrics) observe(route string, took time.Duration, r *result) {
+func (m *Metrics) observe(route string, elapsed time.Duration, r *result) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.outcomes[r.outcome.String()]++
 	m.codes[r.code]++
 	h := m.latency[route]
 	if h == nil {
-		h = make([]int64, len(buckets)+1)
+		h = make([]int64, len(latencyBuckets)+1)
 		m.latency[route] = h
 	}
 	i := 0
-	for i < len(buckets) && took > buckets[i] {
+	for i < len(latencyBuckets) && elapsed > latencyBuckets[i] {
 		i++
 	}
 	h[i]++
@@ -68,7 +68,7 @@
 	for k, v := range m.codes {
 		s.Codes[k.String()] = v
 	}
-	for _, b := range buckets {
+	for _, b := range latencyBuckets {
 		s.BucketsMS = append(s.BucketsMS, b.Milliseconds())
 	}
 	for route, h := range m.latency {
--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -6,41 +6,41 @@
 	"fescuestand/internal/clock"
 )
 
-// maxNews is how many pieces of news are told at a time.
-const maxNews = 32
+// maxAnnouncements bounds the announcements that are spread at a time.
+const maxAnnouncements = 32
 
-// news is what all VMs must know of the last moments. Each VM that comes to know it passes it on.
-type news[T any] struct {
+// announcements are recent events that all VMs need. Each VM that receives one forwards it.
+type announcements[T any] struct {
 	mu     sync.Mutex
-	recent []piece[T]
+	recent []announcement[T]
 }
 
-type piece[T any] struct {
-	what T
-	at   clock.Time
+type announcement[T any] struct {
+	value T
+	at    clock.Time
 }
 
-// add passes what on for a while.
-func (n *news[T]) add(now clock.Time, what T) {
+// add has value included in this VM's beats for announceFor.
+func (n *announcements[T]) add(now clock.Time, value T) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.recent) < maxNews {
-		n.recent = append(n.recent, piece[T]{what, now})
+	if len(n.recent) < maxAnnouncements {
+		n.recent = append(n.recent, announcement[T]{value, now})
 	}
 }
 
-// tell returns what is to be told now.
-func (n *news[T]) tell(now clock.Time) []T {
+// current returns the announcements to include in a beat now, and drops the expired ones.
+func (n *announcements[T]) current(now clock.Time) []T {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	keep := n.recent[:0]
+	kept := n.recent[:0]
 	var out []T
 	for _, p := range n.recent {
-		if now.Sub(p.at) < tellFor {
-			keep = append(keep, p)
-			out = append(out, p.what)
+		if now.Sub(p.at) < announceFor {
+			kept = append(kept, p)
+			out = append(out, p.value)
 		}
 	}
-	n.recent = keep
+	n.recent = kept
 	return out
 }
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -12,16 +12,15 @@
 	"fescuestand/internal/policy/ontime"
 )
 
-// heed takes what e said with its answer to the request id, which was sent at sentAt.
-func (g *Gateway) heed(e *catalog.Endpoint, sentAt clock.Time, id string, n backpressure.Notice) {
+// applyNotice applies the notice in e's answer to the request id, which was sent at sentAt.
+func (g *Gateway) applyNotice(e *catalog.Endpoint, sentAt clock.Time, id string, n backpressure.Notice) {
 	if n.Leaving {
 		g.o.OnEndpointLeaving(e)
 	}
 	g.o.Pressure.ObserveAnswer(g.o.Clock.Now(), sentAt, e, id, n)
 }
 
-// queue lists the requests that wait for the endpoints of a service to take one, by the order
-// of their arrival there.
+// queue tracks the requests that wait for capacity of a service's endpoints, in order of arrival.
 type queue struct {
 	mu      sync.Mutex
 	next    uint64
@@ -43,8 +42,8 @@
 	delete(q.waiting, number)
 }
 
-// ahead is how many wait before the request with the given number.
-func (q *queue) ahead(number uint64) int {
+// countAhead returns how many requests wait before the one with the given number.
+func (q *queue) countAhead(number uint64) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := 0
@@ -56,80 +55,84 @@
 	return n
 }
 
-// queueOf returns the queue of a service.
-func (g *Gateway) queueOf(service string) *queue {
+// queueFor returns the queue of a service, which it creates at the first use.
+func (g *Gateway) queueFor(service string) *queue {
 	q, _ := g.queues.LoadOrStore(service, &queue{waiting: map[uint64]struct{}{}})
 	return q.(*queue)
 }
 
-// queued is a request's place in a queue.
-type queued struct {
-	queue  *queue // nil before the first wait
-	number uint64
-	until  clock.Time // after which waiting is of no use
+// queueSlot is a request's position in a queue.
+type queueSlot struct {
+	queue    *queue // nil before the first wait
+	number   uint64
+	deadline clock.Time // of the wait; capacity that is free later is of no use
 }
 
-// leave ends the wait.
-func (p *queued) leave() {
+// leave removes the request from the queue if it is in one.
+func (p *queueSlot) leave() {
 	if p.queue != nil {
 		p.queue.leave(p.number)
 		p.queue = nil
 	}
 }
 
-// awaitRoom waits a moment for endpoints whose limits leave no room now. It returns false,
-// with the result to end with, if none of them names a limit or if waiting is of no use.
-func (x *execution) awaitRoom() (result, bool) {
-	if x.queued.queue == nil {
-		q := x.g.queueOf(x.service)
-		x.queued = queued{queue: q, number: q.enter(), until: x.roomUntil()}
+// awaitCapacity waits for one poll interval if the endpoints' limits allow no request now. It
+// returns false, with the call's result, if none of them has announced a limit or a retry time, or
+// if the estimated wait exceeds the deadline of the wait.
+func (x *execution) awaitCapacity() (result, bool) {
+	if x.queueSlot.queue == nil {
+		q := x.g.queueFor(x.service)
+		x.queueSlot = queueSlot{queue: q, number: q.enter(), deadline: x.waitDeadline()}
 	}
 	ahead := 0
-	if !x.begun() {
-		ahead = x.queued.queue.ahead(x.queued.number)
+	if !x.hasProgress() {
+		ahead = x.queueSlot.queue.countAhead(x.queueSlot.number)
 	}
-	wait, limited := x.g.o.Pressure.EstimateWait(x.now(), x.untried(), ahead)
+	wait, limited := x.g.o.Pressure.EstimateWait(x.now(), x.untriedEndpoints(), ahead)
 	switch {
 	case !limited:
 		return result{outcome: notSent, code: code.NoEndpoint}, false
-	case x.now().Add(wait) > x.queued.until:
-		again := ontime.RetryAfter(min(wait, longestAgain), x.c.Fingerprint^uint64(x.now()))
-		return result{outcome: refused, code: code.EndpointsLimited, err: errLimited, again: again}, false
+	case x.now().Add(wait) > x.queueSlot.deadline:
+		retryAfter := ontime.RetryAfter(min(wait, maxRetryAfter), x.call.Fingerprint^uint64(x.now()))
+		return result{outcome: refused, code: code.EndpointsLimited, err: errEndpointsLimited, retryAfter: retryAfter}, false
 	}
-	x.held = true
-	if !clock.Sleep(x.ctx, holdStep) {
+	x.waited = true
+	if !clock.Sleep(x.ctx, holdPollInterval) {
 		return result{outcome: gone}, false
 	}
 	return result{}, true
 }
 
-// longestAgain bounds the time to come back: another VM may have room sooner, and another endpoint
-// may come.
-const longestAgain = 5 * time.Second
+// maxRetryAfter bounds the Retry-After delay: another VM may have capacity earlier, or a new
+// endpoint may start.
+const maxRetryAfter = 5 * time.Second
 
-// untried are the endpoints that could run the request and haven't been tried.
-func (x *execution) untried() []*catalog.Endpoint {
-	return slices.DeleteFunc(slices.Clone(x.open()), func(e *catalog.Endpoint) bool {
+// untriedEndpoints returns the endpoints that can run the request and haven't been tried.
+func (x *execution) untriedEndpoints() []*catalog.Endpoint {
+	return slices.DeleteFunc(slices.Clone(x.openEndpoints()), func(e *catalog.Endpoint) bool {
 		return x.tried[e.ID] || e.Stage == catalog.Prefill
 	})
 }
 
-// begun tells whether an endpoint has worked for the request, in vain if it doesn't go on.
-func (x *execution) begun() bool { return x.started || x.prefilled }
+// hasProgress reports whether an engine has done work for the request, which would be wasted if the
+// request were refused.
+func (x *execution) hasProgress() bool { return x.headerSent || x.prefillDone }
 
-// roomMargin is left of what callers wait, for an event to be made and to reach them.
-const roomMargin = 300 * time.Millisecond
+// deliveryMargin is subtracted from the callers' timeout, for the time in which an event is
+// generated and delivered.
+const deliveryMargin = 300 * time.Millisecond
 
-// roomUntil is until when a request may wait for room: as long as its answer can be on time,
-// or, if an endpoint has worked for it, as long as its caller waits for the next event.
-func (x *execution) roomUntil() clock.Time {
+// waitDeadline is the time until which a request may wait for capacity: as long as its answer can
+// be on time, or, if an endpoint has done work for it, as long as its caller waits for the next
+// event.
+func (x *execution) waitDeadline() clock.Time {
 	switch {
-	case x.started:
-		return x.now().Add(leastPatience - roomMargin)
-	case x.prefilled:
-		return x.c.Arrived.Add(x.firstPatience() - roomMargin)
+	case x.headerSent:
+		return x.now().Add(minCallerTimeout - deliveryMargin)
+	case x.prefillDone:
+		return x.call.Arrived.Add(x.firstEventTimeout() - deliveryMargin)
 	case x.route.Target > 0:
-		return x.c.Arrived.Add(x.route.Target)
+		return x.call.Arrived.Add(x.route.Target)
 	}
 	return x.deadline
 }
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -7,26 +7,27 @@
 	"fescuestand/internal/code"
 )
 
-// result is what became of an attempt.
+// result is the result of an attempt.
 type result struct {
-	outcome outcome
-	err     error
-	code    code.Code
-	again   time.Duration // when to come back, zero for a time of no grounds
-	answer  *plainAnswer  // an endpoint's failure that may be passed on
+	outcome    outcome
+	err        error
+	code       code.Code
+	retryAfter time.Duration   // Retry-After delay, zero for the default
+	answer     *bufferedAnswer // an endpoint's failure that may be sent to the caller
 }
 
-// outcome of an attempt. It decides what may follow.
+// outcome is the kind of an attempt's result. It decides whether the call may be retried. The names
+// are written to the log and the metrics.
 type outcome uint8
 
 const (
-	answered outcome = iota // the whole answer has been passed on
-	notSent                 // no byte left this process
+	answered outcome = iota // the complete answer has been sent to the caller
+	notSent                 // no byte of the request was sent
 	notRun                  // the endpoint says that it didn't run the request
-	failed                  // the endpoint ran the request and answered a failure
-	lost                    // it may have run; there is no answer
-	gone                    // the caller has left or the time is over
-	refused                 // this VM gave the request up before it was sent
+	failed                  // the endpoint ran the request and answered with a failure
+	lost                    // the request may have run, and there is no usable answer
+	gone                    // the caller has disconnected or the deadline has passed
+	refused                 // this VM refused the request before it was sent
 )
 
 func (o outcome) String() string {
@@ -34,12 +35,12 @@
 }
 
 var (
-	errForeign = errors.New("the answer belongs to another request")
-	errRefused = errors.New("the endpoint didn't run the request")
-	errEncoded = errors.New("the answer is encoded")
-	errTooLate = errors.New("the first event would come after the caller has left")
-	errBudget  = errors.New("the budget of repeats is spent")
-	errLeft    = errors.New("the endpoint left before the request was sent")
-	errLimited = errors.New("the endpoints have named limits that leave no room now")
-	errSeal    = errors.New("the answer lacks the endpoint's signature")
+	errOtherRequest     = errors.New("the answer belongs to another request")
+	errNotRun           = errors.New("the endpoint didn't run the request")
+	errEncoded          = errors.New("the answer is encoded")
+	errTooLate          = errors.New("the first event would come after the caller has left")
+	errBudgetSpent      = errors.New("the budget of repeats is spent")
+	errEndpointLeft     = errors.New("the endpoint left before the request was sent")
+	errEndpointsLimited = errors.New("the endpoints have named limits that leave no room now")
+	errUnsigned         = errors.New("the answer lacks the endpoint's signature")
 )
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -15,7 +15,7 @@
 	"fescuestand/internal/wire"
 )
 
-// GossipContent fills and takes the beats that gateways send each other. It
+// GossipContent fills the beats that gateways send each other, and applies received ones. It
 // implements gossip.Content.
 type GossipContent struct {
 	Clock    clock.Clock
@@ -24,21 +24,21 @@
 	Crashes  *crash.Register
 	Catalog  *catalog.Store
 	Changes  *Changes
-	// RequestRate is how many requests a second this VM gets.
+	// RequestRate returns the requests a second that this VM receives.
 	RequestRate func() float64
-	// OnOrder is told of each engine that another VM has ordered to change.
+	// OnOrder is called for each engine that another VM has ordered to change its stage.
 	OnOrder func(id string)
-	// OnPeerConfigVersion is told which version of the configuration a VM serves by.
+	// OnPeerConfigVersion is called with the configuration version that a peer uses.
 	OnPeerConfigVersion func(vm string, version uint64)
-	// OnChange is called when there is something that all VMs must know.
+	// OnChange is called when there is an announcement that all VMs should receive soon.
 	OnChange func()
-	// Time estimates the time of day, and Usage counts requests by it. Both are nil
-	// where requests aren't counted.
+	// Time estimates the time of day, and Usage counts requests per window of that time. Both are
+	// nil where requests aren't counted.
 	Time  *truetime.Estimator
 	Usage *usage.Book
 
-	crashes news[*wire.Crash]
-	leaving news[*wire.LeavingEndpoint]
+	crashes announcements[*wire.Crash]
+	leaving announcements[*wire.LeavingEndpoint]
 }
 
 // Fill implements gossip.Content.
@@ -49,12 +49,12 @@
 	if x.Usage != nil {
 		b.WallMs = x.Time.Own().UnixMilli()
 	}
-	x.Changes.fill(b)
+	x.Changes.fillRead(b)
 	b.Requests = uint32(math.Ceil(x.RequestRate()))
 	d := x.Planner.Demand(x.Clock.Now())
 	b.Demand = &wire.Demand{PrefillMs: uint32(1000 * d.Prefill), CentiStreams: uint32(100 * d.Streams)}
-	b.LeavingEndpoints = x.leaving.tell(x.Clock.Now())
-	b.Notices = noticesOf(x.Pressure.Reports(x.Clock.Now()))
+	b.LeavingEndpoints = x.leaving.current(x.Clock.Now())
+	b.Notices = encodeNotices(x.Pressure.Reports(x.Clock.Now()))
 	for _, r := range x.Planner.Outstanding() {
 		b.Outstanding = append(b.Outstanding, &wire.Outstanding{
 			Endpoint: r.Endpoint, Running: uint32(r.Running), PendingUs: uint32(r.PendingWork.Microseconds()),
@@ -62,10 +62,10 @@
 	}
 }
 
-// noticesOf writes what is told of the endpoints' limits.
-func noticesOf(told []backpressure.Report) []*wire.EndpointNotice {
-	out := make([]*wire.EndpointNotice, 0, len(told))
-	for _, t := range told {
+// encodeNotices encodes reports on the endpoints' limits for a beat.
+func encodeNotices(reports []backpressure.Report) []*wire.EndpointNotice {
+	out := make([]*wire.EndpointNotice, 0, len(reports))
+	for _, t := range reports {
 		n := &wire.EndpointNotice{Endpoint: uint64(t.Endpoint), Sent: t.Sent}
 		if t.HasAnswer {
 			n.SaidAgeMs, n.Limited, n.Limit = 1+uint32(t.AnswerAge.Milliseconds()), t.Limited, float32(t.Limit)
@@ -75,8 +75,8 @@
 	return out
 }
 
-// toldOf reads what noticesOf has written.
-func toldOf(notices []*wire.EndpointNotice) []backpressure.Report {
+// decodeNotices decodes what encodeNotices has encoded.
+func decodeNotices(notices []*wire.EndpointNotice) []backpressure.Report {
 	out := make([]backpressure.Report, 0, len(notices))
 	for _, n := range notices {
 		t := backpressure.Report{Endpoint: backpressure.IncarnationID(n.GetEndpoint()), Sent: n.GetSent()}
@@ -94,9 +94,9 @@
 	if c := x.Catalog.View().Config; c != nil {
 		b.ConfigVersion = c.Version
 	}
-	x.Changes.pass(b)
-	b.Crashes = x.crashes.tell(x.Clock.Now())
-	b.LeavingEndpoints = x.leaving.tell(x.Clock.Now())
+	x.Changes.fillForwarded(b)
+	b.Crashes = x.crashes.current(x.Clock.Now())
+	b.LeavingEndpoints = x.leaving.current(x.Clock.Now())
 }
 
 // Totals implements gossip.Content.
@@ -107,26 +107,27 @@
 	return usage.Encode(x.Usage.Tell(x.Clock.Now()))
 }
 
-// takeTotals takes the time of day and the counts of another VM.
-func (x *GossipContent) takeTotals(from string, b *wire.Beat) {
+// receiveTotals merges the time of day and the usage counts of another VM.
+func (x *GossipContent) receiveTotals(from string, b *wire.Beat) {
 	if b.GetWallMs() != 0 {
 		x.Time.Heard(from, time.UnixMilli(b.GetWallMs()))
 	}
 	x.Usage.HearAll(ProcessName(from, b.GetIncarnation()), b.GetUsage())
 }
 
-// ProcessName tells the processes of a VM apart.
+// ProcessName returns a name that is unique to each process of a VM.
 func ProcessName(vm, incarnation string) string { return vm + " " + incarnation }
 
-// AnnounceCrash has a crash told to all VMs.
+// AnnounceCrash announces a crash of an endpoint to all VMs.
 func (x *GossipContent) AnnounceCrash(c *wire.Crash) { x.crashes.add(x.Clock.Now(), c) }
 
-// AnnounceLeaving takes an endpoint's own word that it leaves, and has it told to all VMs.
+// AnnounceLeaving marks an endpoint as leaving that has said so itself, and announces it to all
+// VMs.
 func (x *GossipContent) AnnounceLeaving(e *catalog.Endpoint) {
-	x.takeLeaving(&wire.LeavingEndpoint{Id: e.ID, Born: e.Born})
+	x.receiveLeaving(&wire.LeavingEndpoint{Id: e.ID, Born: e.Born})
 }
 
-func (x *GossipContent) takeLeaving(l *wire.LeavingEndpoint) {
+func (x *GossipContent) receiveLeaving(l *wire.LeavingEndpoint) {
 	if x.Catalog.SetLeaving(l.GetId(), l.GetBorn()) {
 		x.leaving.add(x.Clock.Now(), l)
 		x.OnChange()
@@ -136,15 +137,15 @@
 // Take implements gossip.Content.
 func (x *GossipContent) Take(from string, b *wire.Beat) {
 	if b.GetProbe() == nil {
-		x.takeLoad(from, b)
+		x.receiveLoad(from, b)
 		if x.Usage != nil {
-			x.takeTotals(from, b)
+			x.receiveTotals(from, b)
 		}
 	}
-	x.Changes.take(b)
+	x.Changes.receive(b)
 	x.OnPeerConfigVersion(from, b.GetConfigVersion())
 	for _, l := range b.GetLeavingEndpoints() {
-		x.takeLeaving(l)
+		x.receiveLeaving(l)
 	}
 	now := x.Clock.Now()
 	for _, c := range b.GetCrashes() {
@@ -155,8 +156,9 @@
 	}
 }
 
-// takeLoad takes what only VMs of the active set tell.
-func (x *GossipContent) takeLoad(from string, b *wire.Beat) {
+// receiveLoad applies the load, limits, orders and cached prompts that only VMs of the active set
+// send.
+func (x *GossipContent) receiveLoad(from string, b *wire.Beat) {
 	now := x.Clock.Now()
 	reports := make([]place.Report, 0, len(b.GetOutstanding()))
 	for _, o := range b.GetOutstanding() {
@@ -169,7 +171,7 @@
 	x.Planner.ReceiveReport(now, from, reports, place.Demand{
 		Prefill: float64(d.GetPrefillMs()) / 1000, Streams: float64(d.GetCentiStreams()) / 100,
 	})
-	x.Pressure.MergeReports(now, from, float64(b.GetRequests()), toldOf(b.GetNotices()))
+	x.Pressure.MergeReports(now, from, float64(b.GetRequests()), decodeNotices(b.GetNotices()))
 	for _, id := range b.GetChanging() {
 		x.Planner.MarkChangingStage(now, id)
 		x.OnOrder(id)
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -9,13 +9,14 @@
 	"fescuestand/internal/policy/place"
 )
 
-// holdStep is the time between two looks for an engine that is about to be
-// idle: a fraction of a usual prompt's work.
-const holdStep = 20 * time.Millisecond
+// holdPollInterval is the time between two checks of whether a waiting request can be sent: a
+// fraction of the prefill work of a typical prompt.
+const holdPollInterval = 20 * time.Millisecond
 
-// place finds the engines for a prompt. A request that would be late waits here
-// for an engine that is about to be idle, or is told to come back.
-func (x *execution) place(pr *place.Prompt) (place.Plan, result, bool) {
+// placePrompt chooses the engines for a prompt. A request that would miss its target only because
+// of the engines' queues is held here until an engine is almost idle, or is refused with a
+// Retry-After delay if its caller would time out.
+func (x *execution) placePrompt(prompt *place.Prompt) (place.Plan, result, bool) {
 	var release func()
 	defer func() {
 		if release != nil {
@@ -23,66 +24,67 @@
 		}
 	}()
 	for {
-		plan, ok := x.g.o.Planner.Plan(x.now(), x.open(), pr, x.tried)
+		plan, ok := x.g.o.Planner.Plan(x.now(), x.openEndpoints(), prompt, x.tried)
 		if !ok {
-			if r, again := x.awaitRoom(); !again {
+			if r, retry := x.awaitCapacity(); !retry {
 				return plan, r, false
 			}
 			continue
 		}
-		x.predict(&plan, pr)
-		x.work = plan.Work
-		v, again := x.decide(&plan)
-		switch v {
+		x.recordPrediction(&plan, prompt)
+		x.prefillWork = plan.Work
+		verdict, retryAfter := x.decide(&plan)
+		switch verdict {
 		case ontime.Serve:
 			return plan, result{}, true
 		case ontime.Refuse:
-			return plan, result{outcome: refused, code: code.DeadlineInfeasible, err: errTooLate, again: again}, false
+			return plan, result{outcome: refused, code: code.DeadlineInfeasible, err: errTooLate, retryAfter: retryAfter}, false
 		}
 		if release == nil {
-			release = x.g.held.Add(plan.Work)
-			x.held = true
+			release = x.g.heldWork.Add(plan.Work)
+			x.waited = true
 		}
-		if !clock.Sleep(x.ctx, holdStep) {
+		if !clock.Sleep(x.ctx, holdPollInterval) {
 			return plan, result{outcome: gone}, false
 		}
 	}
 }
 
-// predict keeps the first prediction for the log.
-func (x *execution) predict(plan *place.Plan, pr *place.Prompt) {
-	if x.predicted > 0 {
+// recordPrediction keeps the prediction of the first placement for the log.
+func (x *execution) recordPrediction(plan *place.Plan, prompt *place.Prompt) {
+	if x.predictedFirstEvent > 0 {
 		return
 	}
-	x.predicted, x.cachedTokens = plan.FirstEvent, plan.CachedTokens
-	x.sharedTokens = pr.SharedTokens()
+	x.predictedFirstEvent, x.predictedCachedTokens = plan.FirstEvent, plan.CachedTokens
+	x.sharedTokens = prompt.SharedTokens()
 }
 
-// decide judges a request that no endpoint has seen; one that goes on with a
-// stream is sent at once.
+// decide returns whether to send, hold or refuse a request, and the Retry-After delay of a refusal.
+// A request that has reached an endpoint or resumes a stream is always sent at once.
 func (x *execution) decide(plan *place.Plan) (ontime.Verdict, time.Duration) {
-	if x.arrivals > 0 || x.started {
+	if x.arrivals > 0 || x.headerSent {
 		return ontime.Serve, 0
 	}
-	ahead := time.Duration(0)
-	if !x.held {
-		ahead = x.g.held.Backlog(x.g.o.VMs(), plan.Candidates)
+	backlog := time.Duration(0)
+	if !x.waited {
+		backlog = x.g.heldWork.Backlog(x.g.o.VMs(), plan.Candidates)
 	}
 	return ontime.Decide(ontime.Request{
-		Elapsed: x.now().Sub(x.c.Arrived), Target: x.route.Target, CallerTimeout: x.firstPatience(),
-		FirstEvent: plan.FirstEvent, Wait: plan.Wait, Backlog: ahead, Random: x.c.Fingerprint ^ uint64(x.now()),
+		Elapsed: x.now().Sub(x.call.Arrived), Target: x.route.Target, CallerTimeout: x.firstEventTimeout(),
+		FirstEvent: plan.FirstEvent, Wait: plan.Wait, Backlog: backlog, Random: x.call.Fingerprint ^ uint64(x.now()),
 	})
 }
 
-// firstPatience is how long callers wait for a stream's first event.
-func (x *execution) firstPatience() time.Duration {
-	return min(max(leastPatience, patientTargets*x.route.Target, patientGaps*x.route.Gap), x.deadline.Sub(x.c.Arrived))
+// firstEventTimeout is the time after the call's arrival at which its caller is assumed to
+// disconnect if it has received no event.
+func (x *execution) firstEventTimeout() time.Duration {
+	return min(max(minCallerTimeout, callerTimeoutTargets*x.route.Target, callerTimeoutGaps*x.route.Gap), x.deadline.Sub(x.call.Arrived))
 }
 
 const (
-	// leastPatience, and these multiples of what they hope for, is how long
-	// callers wait for an event before they leave.
-	leastPatience  = 2 * time.Second
-	patientTargets = 4
-	patientGaps    = 8
+	// Callers disconnect if they wait longer for an event than the largest of minCallerTimeout, and
+	// these multiples of their route's targets for the first event and for the gap between events.
+	minCallerTimeout     = 2 * time.Second
+	callerTimeoutTargets = 4
+	callerTimeoutGaps    = 8
 )
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// headerTimeout bounds a request's header and idleTimeout the time that a
-	// connection may stay idle. Callers keep to bounds of the configuration
-	// that are shorter; these hold for those that don't, and before one is known.
+	// headerTimeout bounds the time to read a request's header, and idleTimeout the time that a
+	// connection may stay idle. The configuration has shorter bounds that callers keep; these apply
+	// to callers that don't, and before the VM has a configuration.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
-	// maxHeader bounds a request's header.
-	maxHeader = 64 << 10
+	// maxHeaderBytes bounds a request's header.
+	maxHeaderBytes = 64 << 10
 )
 
 // Server is a kernel unit that serves HTTP on one address.
@@ -31,13 +31,13 @@
 	http   *http.Server
 }
 
-// NewServer returns a unit that serves h on addr. When it drains it goes on for
-// linger, as callers keep addresses that they were given, and then until no
-// request is in hand.
+// NewServer returns a unit that serves h on addr. When it drains, it still accepts requests for the
+// time linger, as callers keep using addresses that were advertised to them, and then waits until
+// no request is in flight.
 func NewServer(name, addr string, h http.Handler, linger time.Duration) *Server {
 	return &Server{name: name, addr: addr, linger: linger, http: &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
-		// Connections that break are told by the requests that they carried.
+		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		// A broken connection shows in the log lines of the requests that it carried.
 		ErrorLog: stdlog.New(io.Discard, "", 0),
 	}}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,94 +13,96 @@
 	"fescuestand/internal/policy/place"
 )
 
-// streamAttempt starts a stream at an engine, or goes on with one that broke
-// off, and passes its events on.
+// streamAttempt starts a stream at an engine, or resumes an interrupted one, and forwards its
+// events to the caller.
 func (x *execution) streamAttempt() result {
-	pr := &place.Prompt{Parts: x.c.Parts, Tokens: x.c.PromptTokens}
-	plan, r, ok := x.place(pr)
+	prompt := &place.Prompt{Parts: x.call.Parts, Tokens: x.call.PromptTokens}
+	plan, r, ok := x.placePrompt(prompt)
 	if !ok {
 		return r
 	}
 	if plan.Prefill == nil {
-		return x.stream(&EndpointRequest{Endpoint: plan.Engine, FetchFrom: sourceOf(&plan)}, pr, &plan)
+		return x.stream(&EndpointRequest{Endpoint: plan.Engine, FetchFrom: fetchAddress(&plan)}, prompt, &plan)
 	}
-	kv, r := x.prefill(&plan, pr)
+	kv, r := x.prefill(&plan, prompt)
 	if kv == nil {
 		return r
 	}
-	return x.decode(kv, pr, &plan)
+	return x.decode(kv, prompt, &plan)
 }
 
-// decode has a decode engine go on from a KV cache. An engine that doesn't run
-// the request leaves the cache where it is, so that another one can.
-func (x *execution) decode(kv *Handoff, pr *place.Prompt, plan *place.Plan) result {
+// decode has a decode engine fetch the KV cache of a prefill and run the stream. An engine that
+// doesn't run the request leaves the cache at the prefill engine, so that another engine can be
+// tried. A cache that no engine has used is released.
+func (x *execution) decode(kv *Handoff, prompt *place.Prompt, plan *place.Plan) result {
 	r := result{outcome: notSent, code: code.NoEndpoint}
-	for range maxRefusals {
-		// A prefill may wait for seconds, in which engines leave: the choice
-		// of the decode engine is made after it.
-		e := x.target(plan.Prefill)
+	for range maxRejections {
+		// A prefill may be queued for seconds, and engines may leave in that time. The decode
+		// engine is therefore chosen after the prefill.
+		e := x.chooseDecodeEngine(plan.Prefill)
 		if e == nil || x.ctx.Err() != nil {
 			break
 		}
-		r = x.stream(&EndpointRequest{Endpoint: e, Handoff: kv}, pr, plan)
+		r = x.stream(&EndpointRequest{Endpoint: e, Handoff: kv}, prompt, plan)
 		if r.outcome != notRun && r.outcome != notSent || r.code == code.RetryBudgetSpent {
 			break
 		}
 	}
 	if r.outcome == notRun || r.outcome == notSent || r.outcome == gone || r.outcome == refused {
-		go x.g.release(*kv)
+		go x.g.releaseKVCache(*kv)
 	}
 	return r
 }
 
-// target is the decode engine that takes the KV cache at holder over, nil if there is none.
-func (x *execution) target(holder *catalog.Endpoint) *catalog.Endpoint {
+// chooseDecodeEngine returns the decode engine to which the KV cache at holder should be
+// transferred, waiting for endpoint capacity if necessary. It returns nil if there is none.
+func (x *execution) chooseDecodeEngine(holder *catalog.Endpoint) *catalog.Endpoint {
 	for {
-		if e := x.g.o.Planner.ChooseDecodeEngine(x.now(), x.open(), holder, x.tried); e != nil {
+		if e := x.g.o.Planner.ChooseDecodeEngine(x.now(), x.openEndpoints(), holder, x.tried); e != nil {
 			return e
 		}
-		if _, again := x.awaitRoom(); !again {
+		if _, retry := x.awaitCapacity(); !retry {
 			return nil
 		}
 	}
 }
 
-// prefill has the plan's prefill engine read the prompt. It can be repeated at
-// another engine whatever became of it.
-func (x *execution) prefill(plan *place.Plan, pr *place.Prompt) (*Handoff, result) {
+// prefill has the plan's prefill engine compute the prompt's KV cache. It can always be retried at
+// another engine, whatever its result.
+func (x *execution) prefill(plan *place.Plan, prompt *place.Prompt) (*Handoff, result) {
 	e := plan.Prefill
-	ctx, cancel := context.WithTimeout(x.ctx, silentFirst+firstFactor*(plan.Wait+plan.Fetch+plan.Work))
+	ctx, cancel := context.WithTimeout(x.ctx, firstEventSlack+firstEventFactor*(plan.Wait+plan.Fetch+plan.Work))
 	defer cancel()
-	s := &EndpointRequest{Endpoint: e, PrefillOnly: true, FetchFrom: sourceOf(plan)}
+	s := &EndpointRequest{Endpoint: e, PrefillOnly: true, FetchFrom: fetchAddress(plan)}
 	t := x.g.o.Planner.Begin(x.now(), e, plan.Job())
 	x.g.o.OnPrefillSent(plan.Work)
 	resp, _, r := x.send(ctx, s)
-	var h *Handoff
+	var handoff *Handoff
 	if resp != nil {
-		h, r = x.readHandOver(resp, e)
+		handoff, r = x.readHandoff(resp, e)
 	}
-	if h != nil {
-		x.prefillEnd = x.now().Sub(x.c.Arrived)
-		x.cached(t, e, pr)
+	if handoff != nil {
+		x.handoffTime = x.now().Sub(x.call.Arrived)
+		x.recordCachedPrompt(t, e, prompt)
 	}
-	x.note(e, t, r)
-	return h, r
+	x.recordAttempt(e, t, r)
+	return handoff, r
 }
 
-// sourceOf is the address that the plan's prefilling engine fetches from, empty for
-// none.
-func sourceOf(plan *place.Plan) string {
+// fetchAddress returns the address of the engine from which the plan's prefilling engine fetches
+// cached prompt parts, or "" if it fetches none.
+func fetchAddress(plan *place.Plan) string {
 	if plan.Source == nil {
 		return ""
 	}
 	return plan.Source.Address
 }
 
-func (x *execution) readHandOver(resp *exchange.Response, e *catalog.Endpoint) (*Handoff, result) {
+func (x *execution) readHandoff(resp *exchange.Response, e *catalog.Endpoint) (*Handoff, result) {
 	defer resp.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHandOver))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHandoffBytes))
 	if err != nil {
-		return nil, x.broke(err)
+		return nil, x.classifyReadError(err)
 	}
 	if resp.Status != http.StatusOK {
 		return nil, result{outcome: failed, code: code.EndpointFailed}
@@ -112,131 +114,135 @@
 	return &Handoff{e, handle}, result{outcome: answered}
 }
 
-// maxHandOver bounds the answer to a prefill, a line of JSON.
-const maxHandOver = 64 << 10
+// maxHandoffBytes bounds the answer to a prefill, which is a line of JSON.
+const maxHandoffBytes = 64 << 10
 
-// cached notes that e has the prompt cached: it has read it, or taken it over.
-func (x *execution) cached(t *place.Ticket, e *catalog.Endpoint, pr *place.Prompt) {
-	x.g.o.Planner.PrefillDone(x.now(), t, pr.Parts)
-	if pr.SharedTokens() >= toldShared {
-		x.g.o.OnPrefixCached(e, pr.Parts)
+// recordCachedPrompt records that e has the prompt in its cache, by its own prefill or a KV cache
+// transfer, and announces long shared prompts to the other VMs.
+func (x *execution) recordCachedPrompt(t *place.Ticket, e *catalog.Endpoint, prompt *place.Prompt) {
+	x.g.o.Planner.PrefillDone(x.now(), t, prompt.Parts)
+	if prompt.SharedTokens() >= minAnnouncedTokens {
+		x.g.o.OnPrefixCached(e, prompt.Parts)
 	}
 }
 
-// toldShared is the shared length from which the other VMs are told that a prompt
-// was read: reading less again costs less than telling sixty VMs.
-const toldShared = 400
+// minAnnouncedTokens is the number of shared tokens from which a cached prompt is announced to the
+// other VMs: prefilling a shorter one again costs less than a message to sixty VMs.
+const minAnnouncedTokens = 400
 
-// stream does one exchange of a stream with its engine.
-func (x *execution) stream(s *EndpointRequest, pr *place.Prompt, plan *place.Plan) result {
-	s.LastEventID = x.lastEvent
+// stream sends a stream request to an engine and forwards its events.
+func (x *execution) stream(s *EndpointRequest, prompt *place.Prompt, plan *place.Plan) result {
+	s.LastEventID = x.lastEventID
 	job := plan.Job()
 	if s.Handoff != nil {
-		job = place.Job{HandoffTokens: pr.Tokens}
+		job = place.Job{HandoffTokens: prompt.Tokens}
 	}
 	t := x.g.o.Planner.Begin(x.now(), s.Endpoint, job)
 	ctx, cancel := context.WithCancel(x.ctx)
 	defer cancel()
-	watch := x.watch(cancel, t, s, plan)
-	defer watch.stop()
+	guard := x.startWatchdog(cancel, t, s, plan)
+	defer guard.stop()
 	resp, ans, r := x.send(ctx, s)
 	if resp != nil {
-		r = x.pump(resp, ans, func() {
-			watch.progress()
-			x.cached(t, s.Endpoint, pr)
-		}, watch)
+		r = x.forwardStream(resp, ans, func() {
+			guard.reset()
+			x.recordCachedPrompt(t, s.Endpoint, prompt)
+		}, guard)
 	}
-	x.note(s.Endpoint, t, r)
+	x.recordAttempt(s.Endpoint, t, r)
 	return r
 }
 
-// pump passes events on until the stream ends.
-func (x *execution) pump(resp *exchange.Response, ans Answer, first func(), w *watchdog) result {
+// forwardStream forwards events to the caller until the stream ends. It calls onFirstEvent before
+// it forwards the first ones, and resets the watchdog after each read.
+func (x *execution) forwardStream(resp *exchange.Response, ans Answer, onFirstEvent func(), guard *watchdog) result {
 	defer resp.Close()
 	switch {
 	case resp.Status < 200 || resp.Status > 299:
-		return x.streamRefused(resp)
+		return x.readStreamFailure(resp)
 	case resp.Header.Get("Content-Encoding") != "":
 		return result{outcome: lost, code: code.BadAnswer, err: errEncoded}
 	case !ans.Signed:
-		return result{outcome: lost, code: code.BadAnswer, err: errSeal}
+		return result{outcome: lost, code: code.BadAnswer, err: errUnsigned}
 	}
 	rd := newEventReader(resp.Body)
-	for begun := false; ; {
+	for sawEvent := false; ; {
 		events, err := rd.next()
 		if errors.Is(err, io.EOF) {
-			x.start(resp.Header)
+			x.sendHeader(resp.Header)
 			return result{outcome: answered}
 		}
 		if err != nil {
-			return x.broke(err)
+			return x.classifyReadError(err)
 		}
-		if !begun {
-			begun = true
-			x.began(x.now())
-			first()
+		if !sawEvent {
+			sawEvent = true
+			x.countForWorkspace(x.now())
+			onFirstEvent()
 		}
-		w.progress()
-		x.start(resp.Header)
-		if !x.pass(events) {
+		guard.reset()
+		x.sendHeader(resp.Header)
+		if !x.sendEvents(events) {
 			return result{outcome: gone, code: code.CallerGone}
 		}
 	}
 }
 
-// broke says what an answer that ended early means.
-func (x *execution) broke(err error) result {
+// classifyReadError returns the result of an answer that ended early with err.
+func (x *execution) classifyReadError(err error) result {
 	if x.ctx.Err() != nil {
 		return result{outcome: gone, code: code.DeadlineMissed, err: err}
 	}
 	return result{outcome: lost, code: code.EndpointCut, err: err}
 }
 
-func (x *execution) streamRefused(resp *exchange.Response) result {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+func (x *execution) readStreamFailure(resp *exchange.Response) result {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	r := result{outcome: failed, code: code.EndpointFailed, err: err}
-	if err == nil && !promises(resp.Status) {
-		r.answer = &plainAnswer{resp.Status, resp.Header, body}
+	if err == nil && !promisesNotRun(resp.Status) {
+		r.answer = &bufferedAnswer{resp.Status, resp.Header, body}
 	}
 	return r
 }
 
-// start sends the answer's header, which stays that of the first engine.
-func (x *execution) start(h http.Header) {
-	if x.started {
+// sendHeader sends the answer's header to the caller, once: a stream that is resumed at another
+// engine keeps the header of the first engine.
+func (x *execution) sendHeader(h http.Header) {
+	if x.headerSent {
 		return
 	}
-	x.started = true
-	x.first = x.now().Sub(x.c.Arrived)
+	x.headerSent = true
+	x.firstEventTime = x.now().Sub(x.call.Arrived)
 	copyHeader(x.w.Header(), h)
 	x.w.WriteHeader(http.StatusOK)
 }
 
-// pass sends events to the caller at once.
-func (x *execution) pass(events []byte) bool {
+// sendEvents writes events to the caller and flushes them. It returns false if that fails.
+func (x *execution) sendEvents(events []byte) bool {
 	if _, err := x.w.Write(events); err != nil {
 		return false
 	}
-	if id := lastID(events); id != "" {
-		x.lastEvent = id
+	if id := lastEventID(events); id != "" {
+		x.lastEventID = id
 	}
 	return http.NewResponseController(x.w).Flush() == nil
 }
 
-// releaseTimeout bounds the freeing of a KV cache, which lapses by itself.
+// releaseTimeout bounds the request that releases a KV cache. The cache expires by itself if it
+// fails.
 const releaseTimeout = time.Second
 
-// release frees a KV cache that nobody will use.
-func (g *Gateway) release(h Handoff) {
+// releaseKVCache releases a KV cache that no engine will use.
+func (g *Gateway) releaseKVCache(handoff Handoff) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	method, target := g.o.Codec.Release(h.Handle)
-	g.o.Pressure.RecordSend(g.o.Clock.Now(), h.Holder)
-	at := h.Holder.Address
-	resp, err := g.o.Pool.Do(ctx, at, &exchange.Request{Method: method, Target: target, Host: at})
+	method, target := g.o.Codec.Release(handoff.Handle)
+	g.o.Pressure.RecordSend(g.o.Clock.Now(), handoff.Holder)
+	address := handoff.Holder.Address
+	resp, err := g.o.Pool.Do(ctx, address, &exchange.Request{Method: method, Target: target, Host: address})
 	if err != nil {
-		return // it lapses by itself
+		return // the KV cache expires by itself
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHandOver))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHandoffBytes))
 	resp.Close()
 }
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -8,64 +8,65 @@
 	"fescuestand/internal/policy/place"
 )
 
-// watchdog ends an exchange whose engine shows no sign of life while another
-// engine could go on with the stream.
+// watchdog cancels an exchange whose engine is unresponsive, if another engine can resume the
+// stream.
 type watchdog struct {
-	timer *time.Timer
-	gap   time.Duration
+	timer    *time.Timer
+	eventGap time.Duration
 }
 
 const (
-	// silentFirst is the least time for a first event over the prediction.
-	silentFirst = 400 * time.Millisecond
-	// silentGap is the pause between events after which another engine takes a
-	// stream over. Callers leave after two seconds.
-	silentGap = 800 * time.Millisecond
-	// firstFactor times the predicted time is given to a first event.
-	firstFactor = 2
+	// firstEventSlack is the time that is allowed for a first event in addition to firstEventFactor
+	// times the prediction.
+	firstEventSlack = 400 * time.Millisecond
+	// maxEventGap is the time without events after which another engine resumes a stream. Callers
+	// disconnect after two seconds.
+	maxEventGap = 800 * time.Millisecond
+	// firstEventFactor times the predicted time is allowed for a first event.
+	firstEventFactor = 2
 )
 
-// watch starts a watchdog for an exchange with s.Endpoint. A silent engine is left
-// only if another one can go on and the budget allows it; else the stream may
-// still come, and ending it would cut off an answer that is being made.
-func (x *execution) watch(cancel func(), t *place.Ticket, s *EndpointRequest, plan *place.Plan) *watchdog {
-	repeat := x.route.Repeatable() && x.runs+1 < x.route.MaxAttempts
-	others := map[string]bool{s.Endpoint.ID: true}
-	maps.Copy(others, x.tried)
-	w := &watchdog{gap: silentGap}
-	w.timer = time.AfterFunc(silentFirst+firstFactor*(plan.Wait+plan.Fetch+plan.Work), func() {
+// startWatchdog starts a watchdog for an exchange with s.Endpoint. An unresponsive engine is
+// abandoned only if another one can resume the stream and the retry budget allows it. Otherwise the
+// engine may still continue, and canceling the exchange would cut off an answer that is being
+// generated.
+func (x *execution) startWatchdog(cancel func(), t *place.Ticket, s *EndpointRequest, plan *place.Plan) *watchdog {
+	retryable := x.route.Repeatable() && x.runs+1 < x.route.MaxAttempts
+	excluded := map[string]bool{s.Endpoint.ID: true}
+	maps.Copy(excluded, x.tried)
+	w := &watchdog{eventGap: maxEventGap}
+	w.timer = time.AfterFunc(firstEventSlack+firstEventFactor*(plan.Wait+plan.Fetch+plan.Work), func() {
 		x.g.o.Planner.MarkUnresponsive(x.now(), t)
 		switch {
-		case !repeat:
-		case x.another(s.Endpoint, others):
+		case !retryable:
+		case x.reserveAlternative(s.Endpoint, excluded):
 			cancel()
 		default:
-			w.progress() // looks again later
+			w.reset() // checks again later
 		}
 	})
 	return w
 }
 
-// continueSends is how many requests it takes to go on with a stream elsewhere: a
-// prefill and the stream. Left with the budget for one, it would be cut off
-// between them.
-const continueSends = 2
+// retriesToResume is the number of requests that resume a stream at another engine: a prefill and
+// the stream. With budget for only one of them, the stream would be cut off after the prefill.
+const retriesToResume = 2
 
-// another tells whether an engine but those in exclude can go on with the
-// stream, and takes the repeat from the budget if so.
-func (x *execution) another(e *catalog.Endpoint, exclude map[string]bool) bool {
-	if x.g.o.Planner.ChooseDecodeEngine(x.now(), x.open(), e, exclude) == nil {
+// reserveAlternative reports whether an engine that isn't in exclude can resume the stream. If so,
+// it takes the retries from the budget.
+func (x *execution) reserveAlternative(e *catalog.Endpoint, exclude map[string]bool) bool {
+	if x.g.o.Planner.ChooseDecodeEngine(x.now(), x.openEndpoints(), e, exclude) == nil {
 		return false
 	}
-	for range continueSends {
+	for range retriesToResume {
 		if !x.g.o.Budget.Take(x.now(), x.service) {
 			return false
 		}
 	}
-	x.prepaid.Store(continueSends)
+	x.prepaidRetries.Store(retriesToResume)
 	return true
 }
 
-func (w *watchdog) progress() { w.timer.Reset(w.gap) }
+func (w *watchdog) reset() { w.timer.Reset(w.eventGap) }
 
 func (w *watchdog) stop() { w.timer.Stop() }
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -29,7 +29,7 @@
 	"fescuestand/internal/policy/repeat"
 )
 
-// codec is a plain way to write what the gateway must know into headers.
+// codec is a simple Codec for tests.
 type codec struct{}
 
 func (codec) Decode(r *http.Request) (*Call, error) {
@@ -84,11 +84,11 @@
 
 func (codec) Release(handle string) (method, target string) { return "DELETE", "/free/" + handle }
 
-// backend is an endpoint that a test writes.
+// backend is an endpoint whose answers a test writes.
 type backend struct {
 	addr     string
 	arrivals atomic.Int32
-	ran      atomic.Int32
+	runs     atomic.Int32
 }
 
 // serve starts an endpoint that answers each request as handle writes it. The
@@ -106,18 +106,17 @@
 				return
 			}
 			if err != nil {
-				// A stand-in that stopped accepting would look like a fault of
-				// the gateway.
-				t.Errorf("stand-in doesn't accept: %v", err)
+				// Reported, as a backend that stops accepting looks like a fault of the gateway.
+				t.Errorf("backend failed to accept: %v", err)
 				return
 			}
-			go b.converse(c, handle)
+			go b.serveConn(c, handle)
 		}
 	}()
 	return b
 }
 
-func (b *backend) converse(c net.Conn, handle func(b *backend, n int, r *http.Request, c net.Conn) bool) {
+func (b *backend) serveConn(c net.Conn, handle func(b *backend, n int, r *http.Request, c net.Conn) bool) {
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for {
@@ -133,7 +132,7 @@
 	}
 }
 
-// respond writes a whole answer.
+// respond writes a complete answer.
 func respond(c net.Conn, status int, body string, headers ...string) bool {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n", status, len(body))
 	for _, h := range headers {
@@ -143,8 +142,8 @@
 	return err == nil
 }
 
-// events writes the header of a stream and its events from first to last, and
-// ends it if whole.
+// events writes the header of a stream and its events from first to last. It ends the stream
+// cleanly if whole is set.
 func events(c net.Conn, first, last int, whole bool) bool {
 	text := "HTTP/1.1 200 OK\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for id := first; id <= last; id++ {
@@ -158,23 +157,23 @@
 	return err == nil && whole
 }
 
-// world is a gateway before endpoints.
-type world struct {
+// testGateway is a gateway with its HTTP server, catalog and gossip content.
+type testGateway struct {
 	*httptest.Server
 	gateway *Gateway
 	store   *catalog.Store
 	budget  *repeat.Budget
 	crashes *crash.Register
 	leaving atomic.Bool
-	beats   *GossipContent
+	gossip  *GossipContent
 
 	mu      sync.Mutex
 	crashed []string
 }
 
-func newWorld(t *testing.T) *world {
+func newTestGateway(t *testing.T) *testGateway {
 	t.Helper()
-	w := &world{store: catalog.NewStore(clock.Boot{}), crashes: crash.New()}
+	w := &testGateway{store: catalog.NewStore(clock.Boot{}), crashes: crash.New()}
 	w.budget = repeat.New(repeat.Config{Ratio: 0.2, Extra: 50, Window: 10 * time.Second})
 	w.budget.SetMembers(1)
 	w.gateway = New(Options{
@@ -188,12 +187,12 @@
 			w.crashes.RecordCrash(clock.Boot{}.Now(), fingerprint, endpoint)
 		},
 	})
-	w.beats = &GossipContent{
+	w.gossip = &GossipContent{
 		Clock: clock.Boot{}, Planner: w.gateway.o.Planner, Pressure: w.gateway.o.Pressure, Crashes: w.crashes, Catalog: w.store,
 		Changes: NewChanges(clock.Boot{}, keyedlog.New("fleet", nil)), RequestRate: w.gateway.RequestRate,
 		OnOrder: func(string) {}, OnPeerConfigVersion: func(string, uint64) {}, OnChange: func() {},
 	}
-	w.gateway.o.OnEndpointLeaving = w.beats.AnnounceLeaving
+	w.gateway.o.OnEndpointLeaving = w.gossip.AnnounceLeaving
 	w.gateway.o.Planner.Admits = w.gateway.o.Pressure.Admits
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -203,8 +202,8 @@
 	return w
 }
 
-// route puts one route in force.
-func (w *world) route(r catalog.Route) {
+// setRoute installs a configuration with one route.
+func (w *testGateway) setRoute(r catalog.Route) {
 	r.Name, r.Host, r.PathPrefix = "r", "h.example", "/x/"
 	r.Shares = []catalog.Share{{Service: "s", Weight: 1}}
 	c := catalog.NewConfig(uint64(time.Now().UnixNano()), []*catalog.Route{&r}, []*catalog.Service{
@@ -214,14 +213,14 @@
 	w.store.SetConfig(c)
 }
 
-// endpoint makes b known, and waits until it is used for placement.
-func (w *world) endpoint(id string, stage catalog.Stage, b *backend) {
+// addEndpoint adds b to the catalog and passes the new view to the planner.
+func (w *testGateway) addEndpoint(id string, stage catalog.Stage, b *backend) {
 	w.store.SetEndpoint(&catalog.Endpoint{ID: id, Service: "s", Address: b.addr, Zone: "z", Stage: stage, Slots: 8, Born: 1, Sequence: 1})
 	w.gateway.o.Planner.SetView(w.store.View())
 }
 
-// request does a request with headers given as pairs.
-func (w *world) request(t *testing.T, method, path, body string, headers ...string) (*http.Response, string, error) {
+// request sends a request with headers given as pairs.
+func (w *testGateway) request(t *testing.T, method, path, body string, headers ...string) (*http.Response, string, error) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, w.URL+path, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -240,8 +239,8 @@
 	return resp, string(b), err
 }
 
-// ids returns the ids of a stream's events.
-func ids(stream string) string {
+// eventIDs returns the ids of a stream's events.
+func eventIDs(stream string) string {
 	var out []string
 	for _, line := range strings.Split(stream, "\n") {
 		if id, ok := strings.CutPrefix(line, "id: "); ok {
