--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -164,10 +164,10 @@
 }
 
 // findGaps records the predecessors of received changes that this VM lacks, and reports whether it
-// found new ones. They are lost with a beat, or if there are more changes at a time than a beat
-// carries. If the missing change says that an endpoint leaves, the endpoint gets requests until the
-// store is read. When changes are forwarded from VM to VM, an earlier one may still arrive by
-// another path shortly after.
+// found new ones. A change is missing if a beat was lost, or if there were more changes at a time
+// than a beat carries. If the missing change says that an endpoint leaves, the endpoint gets
+// requests until the store is read. When changes are forwarded from VM to VM, an earlier one may
+// still arrive by another path shortly after.
 func (x *Changes) findGaps(changes []*wire.Change) (found bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -120,7 +120,7 @@
 		return false
 	}
 	if x.arrivals == 0 {
-		return true // no endpoint has received the request, so a retry adds no load
+		return true // no arrival has been counted, so the next one is the request's first
 	}
 	return x.runs == 0 || x.route.Repeatable() && x.runs < max(x.route.MaxAttempts, 1)
 }
