--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -51,10 +51,10 @@
 	n.fleet.Pause, n.fleet.Lost = n.members.ReadPause, n.catalog.Unreachable
 	n.fleet.Read = func(clock.Time) {
 		n.members.HaveRead()
-		n.changes.HaveRead(n.fleet.Next())
+		n.changes.RecordRead(n.fleet.Next())
 	}
 	n.changes = gateway.NewChanges(n.clock, n.fleet)
-	n.changes.Reads = n.members.Reads
+	n.changes.IsReader = n.members.Reads
 }
 
 // configWait is how long a read of the configuration waits for a newer one.
@@ -102,7 +102,7 @@
 	n := f.n
 	group.Go(func() error { return n.config.Run(ctx) })
 	group.Go(func() error { return n.fleet.Run(ctx) })
-	group.Go(func() error { return n.gateway.Follow(ctx) })
+	group.Go(func() error { return n.gateway.FollowCatalog(ctx) })
 	group.Go(func() error { return f.settle(ctx) })
 	return group.Wait()
 }
@@ -175,7 +175,7 @@
 		return
 	}
 	if n.catalog.SetEndpoint(ep) {
-		n.changes.Know(e)
+		n.changes.RecordApplied(e)
 		n.news()
 	}
 }
@@ -190,7 +190,7 @@
 		changed, e.Kept = n.catalog.RemoveEndpoint(e.Key)
 	}
 	if changed {
-		n.changes.Know(e)
+		n.changes.RecordApplied(e)
 		n.news()
 	}
 }
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -125,7 +125,7 @@
 	pressure *backpressure.Tracker
 	gateway  *gateway.Gateway
 	gossip   *gossip.Unit
-	exchange *gateway.Exchange
+	exchange *gateway.GossipContent
 	pool     *exchange.Pool
 	duty     *authority.Authority
 	orders   *orders.Unit
@@ -161,16 +161,16 @@
 	n.gateway = gateway.New(gateway.Options{
 		Codec: a.Codec(), Catalog: n.catalog, Planner: n.planner, Budget: n.budget, Crashes: n.crashes,
 		Pressure: n.pressure, Pool: n.pool, Clock: c, Leaving: n.members.Leaving,
-		VMs: n.members.Serving, Sent: n.sent, Cached: n.cached, Crashed: n.crashed, Leaves: n.leaves,
-		Keys: n.judgeKeys, Began: n.began,
+		VMs: n.members.Serving, OnPrefillSent: n.sent, OnPrefixCached: n.cached, OnCrash: n.crashed, OnEndpointLeaving: n.leaves,
+		KeyFreshness: n.judgeKeys, OnRequestRunning: n.began,
 	})
 	n.planner.Admits = n.pressure.Admits
 	n.pressure.Self = o.Self.Peer
-	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.Rate, n.members.Serving
+	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.RequestRate, n.members.Serving
 	n.orders.Leaves = n.leaves
-	n.exchange = &gateway.Exchange{
+	n.exchange = &gateway.GossipContent{
 		Clock: c, Planner: n.planner, Pressure: n.pressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.changes,
-		Rate: n.gateway.Rate, Ordered: n.orders.Heard, HeardConfig: n.puller.Heard, News: n.news,
+		RequestRate: n.gateway.RequestRate, OnOrder: n.orders.Heard, OnPeerConfigVersion: n.puller.Heard, OnChange: n.news,
 	}
 	if o.Usage.Window > 0 {
 		n.exchange.Time, n.exchange.Usage = n.time, n.usage
@@ -283,12 +283,12 @@
 	c := &wire.Crash{Request: fingerprint, Endpoint: endpoint}
 	n.gossip.Tell(func(b *wire.Beat) { b.Crashes = append(b.Crashes, c) })
 	n.gossip.Soon()
-	n.exchange.Crashed(c)
+	n.exchange.AnnounceCrash(c)
 	n.news()
 }
 
 // leaves takes an endpoint's own word that it leaves.
-func (n *Node) leaves(e *catalog.Endpoint) { n.exchange.Leaves(e) }
+func (n *Node) leaves(e *catalog.Endpoint) { n.exchange.AnnounceLeaving(e) }
 
 // news has something told that all VMs must know.
 func (n *Node) news() { n.gossip.Push() }
