--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -47,16 +47,16 @@
 	Writer   string
 	Retries  *retry.Policy
 	Suspects *suspect.Register
-	// Exchange tells all other entries what Suspects holds and takes in what
+	// ExchangeEvidence tells all other entries what Suspects holds and takes in what
 	// they know. It is bounded in time.
-	Exchange func(ctx context.Context)
+	ExchangeEvidence func(ctx context.Context)
 }
 
 // New returns a Dispatcher.
 func New(o Options) *Dispatcher {
 	return &Dispatcher{
 		fleet: o.Fleet, router: o.Fleet.Router(), clk: o.Clock, writer: o.Writer,
-		retries: o.Retries, suspects: o.Suspects, exchange: o.Exchange, counts: newCounts(), gates: map[string]*gate{},
+		retries: o.Retries, suspects: o.Suspects, exchange: o.ExchangeEvidence, counts: newCounts(), gates: map[string]*gate{},
 		isolated: map[string]uint64{},
 	}
 }
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -55,7 +55,7 @@
 	f := fleet.New(route.Config{}, clock.Boot{}, 1)
 	d := New(Options{
 		Fleet: f, Clock: clock.Boot{}, Writer: "w", Retries: p, Suspects: suspect.NewRegister(),
-		Exchange: func(context.Context) {},
+		ExchangeEvidence: func(context.Context) {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -81,7 +81,7 @@
 	u.suspects = suspect.NewRegister()
 	u.dispatch = dispatch.New(dispatch.Options{
 		Fleet: u.fleet, Clock: o.Clock, Writer: o.Incarnation,
-		Retries: retry.New(retry.Config{}, seedOf(o.Incarnation)), Suspects: u.suspects, Exchange: u.exchangeEvidence,
+		Retries: retry.New(retry.Config{}, seedOf(o.Incarnation)), Suspects: u.suspects, ExchangeEvidence: u.exchangeEvidence,
 	})
 	maxWindow := commit.WindowFor(s.Commits.Retention.D())
 	u.table = commit.NewTable(o.Clock, maxWindow+commit.MaxAhead)
