--- a/internal/commit/answers.go
+++ b/internal/commit/answers.go
@@ -53,8 +53,8 @@
 		// The caller may have sent the key before, and its outcome may be
 		// forgotten by now: only this sending was surely not run.
 		return code.New(code.KeyTooOld, "the key is older than %v: this sending was not run, earlier ones may have been", c.Window()).WithRun(code.Unknown)
-	case -age > MaxAhead:
-		return code.New(code.BadKey, "the key's issue time lies more than %v ahead", MaxAhead)
+	case -age > MaxClockSkew:
+		return code.New(code.BadKey, "the key's issue time lies more than %v ahead", MaxClockSkew)
 	}
 	return nil
 }
--- a/internal/commit/fold.go
+++ b/internal/commit/fold.go
@@ -8,10 +8,10 @@
 	"fescuestand/internal/wire"
 )
 
-// MaxAhead is how far a key's issue time may lie ahead of the log's clock. A
+// MaxClockSkew is how far a key's issue time may lie ahead of the log's clock. A
 // caller's clock kept by NTP is off by far less; the bound keeps a wrong clock
 // from pinning a key in every node's memory.
-const MaxAhead = time.Minute
+const MaxClockSkew = time.Minute
 
 // Verdict is what the log says of one intent.
 type Verdict int
--- a/internal/commit/options.go
+++ b/internal/commit/options.go
@@ -81,7 +81,7 @@
 // can bear: while a key may still be dispatched, no record of it may expire,
 // also on a node that starts now and reads the stream from its oldest offset.
 func WindowFor(retention time.Duration) time.Duration {
-	return retention - MaxAhead - LogMargin
+	return retention - MaxClockSkew - LogMargin
 }
 
 func (o *Options) setDefaults() {
--- a/internal/commit/sim_test.go
+++ b/internal/commit/sim_test.go
@@ -82,7 +82,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &simNode{name: name, log: l, svc: svc, stop: cancel}
-	n.table = NewTable(wallClock{}, o.MaxWindow+MaxAhead)
+	n.table = NewTable(wallClock{}, o.MaxWindow+MaxClockSkew)
 	n.table.SetReady()
 	n.c = New(o, n.table, n, n)
 	n.lag.Store(int64(1+len(name)) * int64(time.Millisecond))
--- a/internal/commit/window_test.go
+++ b/internal/commit/window_test.go
@@ -91,7 +91,7 @@
 // that starts from the oldest offset the log keeps.
 func TestWindowLeavesRoomInRetention(t *testing.T) {
 	w := WindowFor(time.Hour)
-	assert.Assert(t, w+MaxAhead < time.Hour)
+	assert.Assert(t, w+MaxClockSkew < time.Hour)
 	c := New(Options{Window: func() time.Duration { return 24 * time.Hour }, MaxWindow: w}, NewTable(wallClock{}, w), nil, nil)
 	assert.Equal(t, c.Window(), w)
 }
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -84,7 +84,7 @@
 		Retries: retry.New(retry.Config{}, seedOf(o.Incarnation)), Suspects: u.suspects, ExchangeEvidence: u.exchangeEvidence,
 	})
 	maxWindow := commit.WindowFor(s.Commits.Retention.D())
-	u.table = commit.NewTable(o.Clock, maxWindow+commit.MaxAhead)
+	u.table = commit.NewTable(o.Clock, maxWindow+commit.MaxClockSkew)
 	u.journal = &journal{log: o.Log, stream: s.Streams.Commits}
 	u.commits = commit.New(commit.Options{
 		Clock: o.Clock, Writer: o.Incarnation, DispatchWithin: s.Commits.DispatchWithin.D(),
