--- a/internal/entry/dispatch/attempt.go
+++ b/internal/entry/dispatch/attempt.go
@@ -15,131 +15,135 @@
 )
 
 const (
-	// stallAfter is how long an engine may send nothing in the middle of a
-	// stream before the stream is resumed elsewhere: 50 times the 39 ms that
-	// callers expect between tokens, above any pause of a batch that takes in
-	// a long prompt.
-	stallAfter = 2 * time.Second
-	// closedWait is how long a new table takes to come after a directive.
-	closedWait = 5 * time.Millisecond
-	// maxFlush bounds the tokens of one write.
-	maxFlush = 64
-	// exportWait bounds the export of a stream's KV cache. Computing it again
-	// elsewhere is the cheaper way after that.
-	exportWait = time.Second
-	// drainWait is how long the tokens of an exported stream, which has ended
-	// at its engine, may take to arrive.
-	drainWait = 200 * time.Millisecond
+	// stallTimeout is how long an engine may send no token in the middle of a stream before the
+	// stream is resumed on another engine. It is 50 times the 39 ms that callers expect between
+	// tokens, longer than any pause of a batch that is prefilling a long prompt.
+	stallTimeout = 2 * time.Second
+	// routingTableWait is the time until a new routing table is published after a directive has
+	// closed an engine.
+	routingTableWait = 5 * time.Millisecond
+	// maxTokensPerWrite bounds the number of tokens in one write to the caller.
+	maxTokensPerWrite = 64
+	// exportTimeout bounds the export of a stream's KV cache. Beyond it, recomputing the cache on
+	// another engine is cheaper.
+	exportTimeout = time.Second
+	// exportDrainTimeout is how long to wait for the remaining tokens of an exported stream, which
+	// its engine has already ended.
+	exportDrainTimeout = 200 * time.Millisecond
 )
 
 var (
-	errMoved  = errors.New("moved by a planned change")
-	errStall  = fmt.Errorf("%w: engine sends nothing", driver.ErrCut)
-	errSink   = errors.New("caller does not take the stream")
-	errGuilty = errors.New("the request crashed the engines that ran it")
+	errMoved       = errors.New("moved by a planned change")
+	errStall       = fmt.Errorf("%w: engine sends nothing", driver.ErrCut)
+	errCallerWrite = errors.New("caller does not take the stream")
+	errQuarantined = errors.New("the request crashed the engines that ran it")
 )
 
-// sinkError is a failure on the caller's side of the stream.
-type sinkError struct{ err error }
+// callerWriteError is a failure to write the stream to the caller.
+type callerWriteError struct{ err error }
 
-func (e *sinkError) Error() string        { return e.err.Error() }
-func (e *sinkError) Is(target error) bool { return target == errSink }
+func (e *callerWriteError) Error() string        { return e.err.Error() }
+func (e *callerWriteError) Is(target error) bool { return target == errCallerWrite }
 
-// attempt runs the completion on one engine, from where the last one stopped.
-func (s *session) attempt(ctx context.Context, p *route.Decision, x *exposure) error {
-	defer s.d.free(p.Endpoint.Name, s.print)
-	e := s.engine(p)
+// attempt runs the completion on one engine, starting after the last token of the previous attempt.
+func (s *session) attempt(ctx context.Context, decision *route.Decision, exposure *crashExposure) error {
+	defer s.dispatcher.releaseIsolation(decision.Endpoint.Name, s.fingerprint)
+	e := s.engine(decision)
 	if e == nil {
-		s.d.router.Done(s.d.clk.Now(), &p.Dispatch, route.Canceled)
-		return fmt.Errorf("%w: engine %s left the sheet", driver.ErrNotSent, p.Endpoint.Name)
+		s.dispatcher.router.Done(s.dispatcher.clk.Now(), &decision.Dispatch, route.Canceled)
+		return fmt.Errorf("%w: engine %s left the sheet", driver.ErrNotSent, decision.Endpoint.Name)
 	}
-	s.from = s.asm.Next()
+	s.attemptStart = s.assembler.Next()
 	release, ok := e.Hold()
 	if !ok {
-		s.d.router.Done(s.d.clk.Now(), &p.Dispatch, route.Canceled)
-		wait(ctx, closedWait)
+		s.dispatcher.router.Done(s.dispatcher.clk.Now(), &decision.Dispatch, route.Canceled)
+		sleep(ctx, routingTableWait)
 		return errMoved
 	}
-	s.d.streams.attempts.Add(1)
-	if s.from > 0 {
-		s.d.streams.resumed.Add(1)
+	s.dispatcher.streams.attempts.Add(1)
+	if s.attemptStart > 0 {
+		s.dispatcher.streams.resumed.Add(1)
 	}
-	err := s.send(ctx, p, e, x)
+	err := s.streamAttempt(ctx, decision, e, exposure)
 	release()
 	if errors.Is(err, errMoved) {
-		s.d.streams.moved.Add(1)
+		s.dispatcher.streams.moved.Add(1)
 	}
-	result := outcomeOf(ctx, err)
-	if errors.Is(err, errMoved) || errors.Is(err, errSink) {
-		result = route.Canceled
+	outcome := outcomeOf(ctx, err)
+	if errors.Is(err, errMoved) || errors.Is(err, errCallerWrite) {
+		outcome = route.Canceled
 	} else if err != nil {
-		s.exclude = append(s.exclude, p.Endpoint)
-		x.progress = s.asm.Next() > s.from
-		s.blame(ctx, e, x, err)
+		s.exclude = append(s.exclude, decision.Endpoint)
+		exposure.progressed = s.assembler.Next() > s.attemptStart
+		s.reportCrash(ctx, e, exposure, err)
 	}
-	s.d.router.Done(s.d.clk.Now(), &p.Dispatch, result)
+	s.dispatcher.router.Done(s.dispatcher.clk.Now(), &decision.Dispatch, outcome)
 	return err
 }
 
-// send opens the attempt's stream and passes its tokens on.
-func (s *session) send(ctx context.Context, p *route.Decision, e *fleet.Engine, x *exposure) error {
-	moved := e.Moved()
+// streamAttempt opens the attempt's stream and forwards its tokens to the caller.
+func (s *session) streamAttempt(
+	ctx context.Context, decision *route.Decision, engine *fleet.Engine, exposure *crashExposure,
+) error {
+	moved := engine.Moved()
 	req := &driver.GenerateRequest{
-		Attempt: s.d.newAttempt(),
-		Model:   s.g.Model, Version: s.g.Version, Adapter: s.g.Adapter,
-		Prompt: s.g.Prompt, MaxTokens: s.g.MaxTokens, Seed: s.g.Seed, Priority: s.priority,
-		From: s.asm.Next(), Prior: s.asm.Text(), KV: s.kv,
+		Attempt: s.dispatcher.newAttempt(),
+		Model:   s.req.Model, Version: s.req.Version, Adapter: s.req.Adapter,
+		Prompt: s.req.Prompt, MaxTokens: s.req.MaxTokens, Seed: s.req.Seed, Priority: s.priority,
+		From: s.assembler.Next(), Prior: s.assembler.Text(), KV: s.movedKV,
 	}
-	s.kv = nil
-	if p.Prefill.Endpoint != nil && req.KV == nil {
-		req.KV = s.prefill(ctx, &p.Prefill, req)
+	s.movedKV = nil
+	if decision.Prefill.Endpoint != nil && req.KV == nil {
+		req.KV = s.prefill(ctx, &decision.Prefill, req)
 	}
-	s.asm.Begin(req.Attempt)
-	ts, err := e.Generate(ctx, req)
+	s.assembler.Begin(req.Attempt)
+	ts, err := engine.Generate(ctx, req)
 	if err != nil {
-		s.touched = s.touched || !untouched(err)
+		s.maybeExecuted = s.maybeExecuted || !notExecuted(err)
 		return err
 	}
-	s.touched = true
+	s.maybeExecuted = true
 	pump := stream.Start(ts)
 	defer pump.Close()
-	return s.passOn(ctx, &live{p: p, e: e, pump: pump, attempt: req.Attempt, moved: moved, exposure: x})
+	return s.forwardStream(ctx, &openAttempt{
+		decision: decision, engine: engine, pump: pump, attemptID: req.Attempt, moved: moved, crashExposure: exposure,
+	})
 }
 
-// live is an attempt whose stream is open.
-type live struct {
-	p        *route.Decision
-	e        *fleet.Engine
-	pump     *stream.Pump
-	attempt  string
-	moved    <-chan struct{}
-	exposure *exposure
+// openAttempt is an attempt whose stream is open.
+type openAttempt struct {
+	decision      *route.Decision
+	engine        *fleet.Engine
+	pump          *stream.Pump
+	attemptID     string
+	moved         <-chan struct{}
+	crashExposure *crashExposure
 }
 
-// passOn takes tokens until the attempt ends, is moved or stalls. The first
-// token may take as long as the deadline allows: the engine may be busy with
-// prompts before this one. The router ejects engines that are stuck.
-func (s *session) passOn(ctx context.Context, l *live) error {
-	stall := time.NewTimer(stallAfter)
+// forwardStream forwards tokens until the attempt ends, is moved or stalls. The stall timeout
+// doesn't apply before the completion's first token, which may take until the deadline because the
+// engine may have to prefill other prompts first. The router ejects engines that are stuck.
+func (s *session) forwardStream(ctx context.Context, open *openAttempt) error {
+	stall := time.NewTimer(stallTimeout)
 	defer stall.Stop()
-	stalls := stall.C
-	if s.asm.Next() == 0 {
-		stalls = nil
+	stalled := stall.C
+	if s.assembler.Next() == 0 {
+		stalled = nil
 	}
 	for {
 		select {
-		case t, more := <-l.pump.Tokens():
+		case t, more := <-open.pump.Tokens():
 			if !more {
-				return s.ended(l.pump.Err())
+				return s.streamEnd(open.pump.Err())
 			}
-			if err := s.take(l, t); err != nil {
+			if err := s.forwardAvailable(open, t); err != nil {
 				return err
 			}
-			stall.Reset(stallAfter)
-			stalls = stall.C
-		case <-l.moved:
-			return s.move(ctx, l)
-		case <-stalls:
+			stall.Reset(stallTimeout)
+			stalled = stall.C
+		case <-open.moved:
+			return s.moveStream(ctx, open)
+		case <-stalled:
 			return errStall
 		case <-ctx.Done():
 			return ctx.Err()
@@ -147,92 +151,96 @@
 	}
 }
 
-func (s *session) ended(err error) error {
+// streamEnd flushes the output if the stream ended normally and returns its error otherwise.
+func (s *session) streamEnd(err error) error {
 	if errors.Is(err, io.EOF) {
 		return s.flush()
 	}
 	return err
 }
 
-// take passes on t and whatever else has arrived, with one write.
-func (s *session) take(l *live, t driver.Token) error {
-	if s.firstAt == 0 {
-		s.firstAt = s.d.clk.Now()
+// forwardAvailable forwards t and the tokens that have already arrived in one write.
+func (s *session) forwardAvailable(open *openAttempt, t driver.Token) error {
+	if s.firstTokenAt == 0 {
+		s.firstTokenAt = s.dispatcher.clk.Now()
 	}
-	s.d.router.FirstToken(s.d.clk.Now(), &l.p.Dispatch)
-	s.clear(l.exposure)
-	for range maxFlush {
-		if err := s.one(t); err != nil {
+	s.dispatcher.router.FirstToken(s.dispatcher.clk.Now(), &open.decision.Dispatch)
+	s.clearSuspicion(open.crashExposure)
+	for range maxTokensPerWrite {
+		if err := s.forward(t); err != nil {
 			return err
 		}
 		select {
-		case next, more := <-l.pump.Tokens():
+		case next, more := <-open.pump.Tokens():
 			if !more {
-				// The closed channel is seen again by passOn.
+				// forwardStream sees the closed channel again.
 				return s.flush()
 			}
 			t = next
 		default:
-			s.lastAt = s.d.clk.Now()
-			s.d.router.Progress(s.lastAt, &l.p.Dispatch, s.asm.Next()-s.from)
+			s.lastTokenAt = s.dispatcher.clk.Now()
+			s.dispatcher.router.Progress(s.lastTokenAt, &open.decision.Dispatch, s.assembler.Next()-s.attemptStart)
 			return s.flush()
 		}
 	}
-	// The token taken last is still to be passed on.
-	return errors.Join(s.one(t), s.flush())
+	// The last token received has not been forwarded yet.
+	return errors.Join(s.forward(t), s.flush())
 }
 
-func (s *session) one(t driver.Token) error {
-	keep, err := s.asm.Take(t)
-	if err != nil || !keep {
+// forward sends t to the caller unless the assembler drops it.
+func (s *session) forward(t driver.Token) error {
+	accepted, err := s.assembler.Take(t)
+	if err != nil || !accepted {
 		return err
 	}
 	if err := s.out.Token(t); err != nil {
-		return &sinkError{err}
+		return &callerWriteError{err}
 	}
 	return nil
 }
 
 func (s *session) flush() error {
 	if err := s.out.Flush(); err != nil {
-		return &sinkError{err}
+		return &callerWriteError{err}
 	}
 	return nil
 }
 
-// move ends the attempt because its engine is to be changed, and takes its KV
-// cache along if the engine gives it. Tokens that it made before the export
-// are still taken; those that come later are dropped with the attempt.
-func (s *session) move(ctx context.Context, l *live) error {
-	exportCtx, cancel := context.WithTimeout(ctx, exportWait)
+// moveStream ends the attempt because of a planned change of its engine, and keeps the engine's KV
+// cache for the next attempt if the engine exports it. Tokens generated before the export are still
+// forwarded; later ones are dropped with the attempt.
+func (s *session) moveStream(ctx context.Context, open *openAttempt) error {
+	exportCtx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
-	if kv, err := l.e.Export(exportCtx, l.attempt); err == nil {
-		s.kv = &kv
+	if kv, err := open.engine.Export(exportCtx, open.attemptID); err == nil {
+		s.movedKV = &kv
 	}
-	wait := time.NewTimer(drainWait)
-	defer wait.Stop()
+	drain := time.NewTimer(exportDrainTimeout)
+	defer drain.Stop()
 	for {
 		select {
-		case t, more := <-l.pump.Tokens():
-			if !more && errors.Is(l.pump.Err(), io.EOF) {
-				return s.flush() // it was just whole
+		case t, more := <-open.pump.Tokens():
+			if !more && errors.Is(open.pump.Err(), io.EOF) {
+				return s.flush() // the completion ended before the move
 			}
 			if !more {
 				return errors.Join(s.flush(), errMoved)
 			}
-			if err := s.one(t); err != nil {
+			if err := s.forward(t); err != nil {
 				return err
 			}
-		case <-wait.C:
+		case <-drain.C:
 			return errors.Join(s.flush(), errMoved)
 		}
 	}
 }
 
-// prefill lets a prefill engine compute the prompt's KV cache. The decode
-// engine computes it itself when that fails.
-func (s *session) prefill(ctx context.Context, p *route.Dispatch, req *driver.GenerateRequest) *driver.KVHandle {
-	e := s.d.fleet.Engine(p.Endpoint.Name)
+// prefill computes the prompt's KV cache on a prefill engine. It returns nil on failure; the decode
+// engine then computes the cache itself.
+func (s *session) prefill(
+	ctx context.Context, dispatch *route.Dispatch, req *driver.GenerateRequest,
+) *driver.KVHandle {
+	e := s.dispatcher.fleet.Engine(dispatch.Endpoint.Name)
 	if e == nil {
 		return nil
 	}
@@ -241,20 +249,20 @@
 		return nil
 	}
 	defer release()
-	s.d.router.Sent(s.d.clk.Now(), p)
-	part := *req
-	part.Attempt, part.MaxTokens, part.From, part.Prior = s.d.newAttempt(), 0, 0, nil
-	x := &exposure{
-		crash: suspect.Crash{Endpoint: e.Name, Incarnation: e.Incarnation()}, began: s.d.clk.Now(),
-		verdict: s.d.suspects.Judge(s.d.clk.Now(), s.print),
+	s.dispatcher.router.Sent(s.dispatcher.clk.Now(), dispatch)
+	prefillReq := *req
+	prefillReq.Attempt, prefillReq.MaxTokens, prefillReq.From, prefillReq.Prior = s.dispatcher.newAttempt(), 0, 0, nil
+	exposure := &crashExposure{
+		crash: suspect.Crash{Endpoint: e.Name, Incarnation: e.Incarnation()}, began: s.dispatcher.clk.Now(),
+		verdict: s.dispatcher.suspects.Judge(s.dispatcher.clk.Now(), s.fingerprint),
 	}
-	kv, err := e.Prefill(ctx, &part)
-	s.d.router.Done(s.d.clk.Now(), p, outcomeOf(ctx, err))
+	kv, err := e.Prefill(ctx, &prefillReq)
+	s.dispatcher.router.Done(s.dispatcher.clk.Now(), dispatch, outcomeOf(ctx, err))
 	if err != nil {
-		s.touched = s.touched || !untouched(err)
-		s.blame(ctx, e, x, err)
+		s.maybeExecuted = s.maybeExecuted || !notExecuted(err)
+		s.reportCrash(ctx, e, exposure, err)
 		return nil
 	}
-	s.touched = true
+	s.maybeExecuted = true
 	return &kv
 }
--- a/internal/entry/dispatch/counts.go
+++ b/internal/entry/dispatch/counts.go
@@ -14,7 +14,7 @@
 	OnTime       uint64
 }
 
-// Counts holds the totals by pool.
+// Counts holds the running totals by pool.
 type Counts struct {
 	mu    sync.Mutex
 	pools map[string]*Totals
@@ -44,19 +44,19 @@
 	return out
 }
 
-// StreamCounts are running totals of the completions' attempts.
+// StreamCounts are running totals over the attempts of completions.
 type StreamCounts struct {
 	Attempts uint64 `json:"attempts"`
-	Resumed  uint64 `json:"resumed"` // attempts that went on with a stream
+	Resumed  uint64 `json:"resumed"` // attempts that resumed a stream
 	Moved    uint64 `json:"moved"`   // attempts ended by a planned change
-	Dropped  uint64 `json:"dropped"` // late, repeated or foreign tokens
+	Dropped  uint64 `json:"dropped"` // tokens that were late, repeated or from another attempt
 	Crashes  uint64 `json:"crashes"` // attempts whose engine crashed
 }
 
-// streamCounts is StreamCounts while it grows.
+// streamCounts holds the counters behind StreamCounts.
 type streamCounts struct{ attempts, resumed, moved, dropped, crashes atomic.Uint64 }
 
-// Streams returns the totals of the attempts.
+// Streams returns the running totals over the attempts.
 func (d *Dispatcher) Streams() StreamCounts {
 	c := &d.streams
 	return StreamCounts{
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -1,5 +1,12 @@
-// Package dispatch takes decoded requests through admission, routing, attempts
-// and retries, to engines and plain services.
+// Package dispatch takes decoded requests through admission, routing, attempts and retries, to
+// engines and plain services.
+//
+// A completion may need several attempts: an attempt on another engine continues the stream after
+// the last token that the caller received. Calls of plain services are idempotent (Lookup) or
+// commits (Dispatch); a commit is sent to another endpoint only if no endpoint can have executed
+// it.
+//
+// A Dispatcher is safe for concurrent use.
 package dispatch
 
 import (
@@ -20,24 +27,24 @@
 	"fescuestand/internal/sheet"
 )
 
-// Dispatcher serves the requests of one entry.
+// Dispatcher artifact the requests of one entry.
 type Dispatcher struct {
-	fleet     *fleet.Fleet
-	router    *route.Router
-	clk       clock.Clock
-	writer    string // incarnation of this process, part of attempt ids
-	retries   *retry.Policy
-	suspects  *suspect.Register
-	exchange  func(ctx context.Context)
-	exchanges singleflight.Group
-	attempts  atomic.Uint64
-	counts    *Counts
-	streams   streamCounts
+	fleet         *fleet.Fleet
+	router        *route.Router
+	clk           clock.Clock
+	writer        string // incarnation of this process, part of attempt IDs
+	retries       *retry.Policy
+	suspects      *suspect.Register
+	shareEvidence func(ctx context.Context)
+	exchanges     singleflight.Group
+	attempts      atomic.Uint64
+	counts        *Counts
+	streams       streamCounts
 
 	mu       sync.Mutex
-	gates    map[string]*gate
-	old      []*gate           // of earlier sheets, until their queues are empty
-	isolated map[string]uint64 // suspect that an engine holds, by engine
+	queues   map[string]*poolQueue
+	retired  []*poolQueue      // of earlier sheets, kept until they are empty
+	isolated map[string]uint64 // fingerprint of the suspect reserved for an engine, by engine
 }
 
 // Options of a Dispatcher.
@@ -47,8 +54,8 @@
 	Writer   string
 	Retries  *retry.Policy
 	Suspects *suspect.Register
-	// ExchangeEvidence tells all other entries what Suspects holds and takes in what
-	// they know. It is bounded in time.
+	// ExchangeEvidence sends the crash evidence in Suspects to all other entries and merges theirs.
+	// It must return within a bounded time.
 	ExchangeEvidence func(ctx context.Context)
 }
 
@@ -56,8 +63,8 @@
 func New(o Options) *Dispatcher {
 	return &Dispatcher{
 		fleet: o.Fleet, router: o.Fleet.Router(), clk: o.Clock, writer: o.Writer,
-		retries: o.Retries, suspects: o.Suspects, exchange: o.ExchangeEvidence, counts: newCounts(), gates: map[string]*gate{},
-		isolated: map[string]uint64{},
+		retries: o.Retries, suspects: o.Suspects, shareEvidence: o.ExchangeEvidence,
+		counts: newCounts(), queues: map[string]*poolQueue{}, isolated: map[string]uint64{},
 	}
 }
 
@@ -68,52 +75,54 @@
 	return fmt.Sprintf("%s.%d", d.writer, d.attempts.Add(1))
 }
 
-// tickEvery is how often the gates look for slots that have become free and
-// for requests that can no longer be on time. Freed slots of this entry are
-// seen at once; the tick sees what others freed.
-const tickEvery = 20 * time.Millisecond
+// admitInterval is how often the queues check for free slots and for requests that can no longer
+// meet their deadline. Slots freed by this entry are noticed at once; this check finds those that
+// other entries freed.
+const admitInterval = 20 * time.Millisecond
 
-// Run keeps the gates moving until ctx ends.
+// Run admits queued requests periodically until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) error {
-	return clock.Every(ctx, tickEvery, func() {
-		for _, g := range d.allGates() {
-			g.pump()
+	return clock.Every(ctx, admitInterval, func() {
+		for _, q := range d.allQueues() {
+			q.admitQueued()
 		}
 	})
 }
 
-func (d *Dispatcher) allGates() []*gate {
+// allQueues returns the current queues and the retired ones that still hold requests, and drops the
+// empty retired ones.
+func (d *Dispatcher) allQueues() []*poolQueue {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := make([]*gate, 0, len(d.gates)+len(d.old))
-	for _, g := range d.gates {
-		all = append(all, g)
+	all := make([]*poolQueue, 0, len(d.queues)+len(d.retired))
+	for _, q := range d.queues {
+		all = append(all, q)
 	}
-	keep := d.old[:0]
-	for _, g := range d.old {
-		if g.waiting() > 0 {
-			keep = append(keep, g)
+	nonEmpty := d.retired[:0]
+	for _, q := range d.retired {
+		if q.length() > 0 {
+			nonEmpty = append(nonEmpty, q)
 		}
 	}
-	d.old = keep
-	return append(all, keep...)
+	d.retired = nonEmpty
+	return append(all, nonEmpty...)
 }
 
-// gate returns the pool's gate for the classes of sh. A change of the classes
-// makes a new gate; who waits at the old one is still served.
-func (d *Dispatcher) gate(pool string, serves route.Artifact, sh *sheet.Sheet) *gate {
+// queueFor returns the pool's queue for the classes of sh. A change of the classes creates a new
+// queue; requests waiting in the old one are still served.
+func (d *Dispatcher) queueFor(pool string, artifact route.Artifact, sh *sheet.Sheet) *poolQueue {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	g := d.gates[pool]
-	if g != nil && g.fits(serves, sh) {
-		return g
+	q := d.queues[pool]
+	if q != nil && q.matches(artifact, sh) {
+		return q
 	}
-	if g != nil {
-		d.old = append(d.old, g)
+	if q != nil {
+		d.retired = append(d.retired, q)
 	}
-	g = newGate(d.router, d.clk, pool, serves, sh)
-	d.gates[pool] = g
-	return g
+	q = newPoolQueue(d.router, d.clk, pool, artifact, sh)
+	d.queues[pool] = q
+	return q
 }
 
 func (d *Dispatcher) sheet() (*sheet.Sheet, *code.Error) {
@@ -123,21 +132,21 @@
 	return nil, code.New(code.NotReady, "no sheet is in force here yet").WithRetryAfter(time.Second)
 }
 
-// Queued is what waits at one pool's gate.
+// Queued is the work waiting in one pool's queue.
 type Queued struct {
 	Requests     int
 	PromptTokens int
 }
 
-// Queues returns what waits, by pool.
+// Queues returns the waiting work by pool.
 func (d *Dispatcher) Queues() map[string]Queued {
 	out := map[string]Queued{}
-	for _, g := range d.allGates() {
-		q := out[g.pool]
-		n, tokens := g.queuedNow()
-		q.Requests += n
-		q.PromptTokens += tokens
-		out[g.pool] = q
+	for _, q := range d.allQueues() {
+		total := out[q.pool]
+		requests, tokens := q.size()
+		total.Requests += requests
+		total.PromptTokens += tokens
+		out[q.pool] = total
 	}
 	return out
 }
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -30,15 +30,16 @@
 	goleak.VerifyTestMain(m)
 }
 
-func bounded() *retry.Policy { return retry.New(retry.Config{}, 1) }
+// withBudget returns the default retry policy.
+func withBudget() *retry.Policy { return retry.New(retry.Config{}, 1) }
 
-// unlimited is the twin of the retry budget.
-func unlimited() *retry.Policy {
+// withoutBudget returns the same policy with the retry budget disabled.
+func withoutBudget() *retry.Policy {
 	return retry.New(retry.Config{NoBudget: true, MaxTries: maxAttempts}, 1)
 }
 
-// start runs a dispatcher over n engines and n endpoints of one script.
-func start(t *testing.T, s *script, n int, p *retry.Policy) *Dispatcher {
+// startDispatcher runs a Dispatcher over n engines and n service endpoints that follow one script.
+func startDispatcher(t *testing.T, s *script, n int, p *retry.Policy) *Dispatcher {
 	t.Helper()
 	scripts.Store(t.Name(), s)
 	sh := &sheet.Sheet{
@@ -50,7 +51,8 @@
 		name := fmt.Sprint("e", i)
 		sh.Engines = append(sh.Engines, sheet.Engine{Name: name, Driver: "fake", Address: t.Name()})
 		sh.Pools[0].Engines = append(sh.Pools[0].Engines, name)
-		sh.Services[0].Endpoints = append(sh.Services[0].Endpoints, sheet.ServiceEndpoint{Name: fmt.Sprint("s", i), Address: t.Name()})
+		sh.Services[0].Endpoints = append(sh.Services[0].Endpoints,
+			sheet.ServiceEndpoint{Name: fmt.Sprint("s", i), Address: t.Name()})
 	}
 	f := fleet.New(route.Config{}, clock.Boot{}, 1)
 	d := New(Options{
@@ -72,7 +74,7 @@
 	return d
 }
 
-// sink gathers a stream's text.
+// sink collects a stream's text.
 type sink struct{ text string }
 
 func (s *sink) Token(t driver.Token) error {
@@ -81,64 +83,69 @@
 }
 func (s *sink) Flush() error { return nil }
 
-func generate(d *Dispatcher, tokens int, patience time.Duration) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func generate(d *Dispatcher, tokens int, timeout time.Duration) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	out := &sink{}
 	err := d.Generate(ctx, &callerapi.Generate{
-		Caller: callerapi.Caller{Deadline: time.Now().Add(patience), Name: "caller"},
+		Caller: callerapi.Caller{Deadline: time.Now().Add(timeout), Name: "caller"},
 		Model:  "m", Prompt: []byte("x"), MaxTokens: tokens, Class: "c",
 	}, out)
 	return out.text, err
 }
 
-// An engine's connection breaks after two tokens, each time. The stream goes on
-// from engine to engine and is whole in the end.
-func TestStreamGoesOnThroughManyBreaks(t *testing.T) {
+// Guards against a stream being cut when its engines' connections break repeatedly. Each attempt's
+// connection breaks after two tokens; the stream must resume on another engine each time and be
+// complete in the end.
+func TestStreamResumesAfterRepeatedBreaks(t *testing.T) {
 	s := &script{open: func(int64, *driver.GenerateRequest) (error, error) { return driver.ErrCut, nil }}
-	d := start(t, s, 3, bounded())
+	d := startDispatcher(t, s, 3, withBudget())
 	text, err := generate(d, 10, 10*time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, text, "0 1 2 3 4 5 6 7 8 9 ")
 }
 
-// An engine stops in the middle of a stream without closing its connection,
-// like a frozen machine. The caller sees a pause, then the rest.
-func TestStalledStreamGoesOnElsewhere(t *testing.T) {
+// Guards against a stream that hangs with its engine. The engine, such as on a frozen machine,
+// stops sending tokens without closing its connection; the stream must resume on another engine.
+func TestStalledStreamResumesOnAnotherEngine(t *testing.T) {
 	s := &script{open: func(n int64, _ *driver.GenerateRequest) (error, error) {
 		if n == 1 {
 			return errHang, nil
 		}
 		return nil, nil
 	}}
-	d := start(t, s, 2, bounded())
+	d := startDispatcher(t, s, 2, withBudget())
 	text, err := generate(d, 4, 10*time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, text, "0 1 2 3 ")
 }
 
-// Every engine fails every request, say after a bad weight push. Retries must
-// not multiply the load on what is left: they stay a tenth of the requests.
-func TestRetriesStayInTheirBudget(t *testing.T) {
-	attempts := storm(t, bounded())
-	assert.Assert(t, attempts <= stormSize+callerBurst, "%d attempts for %d requests", attempts, stormSize)
+// Guards against a retry storm. Every engine fails every request, for example after bad weights
+// were deployed; the retries must stay within a tenth of the requests, so that they don't multiply
+// the load on the engines that are left.
+func TestRetriesStayWithinBudget(t *testing.T) {
+	attempts := attemptsOfFailingRequests(t, withBudget())
+	assert.Assert(t, attempts <= failingRequests+callerBurst, "%d attempts for %d requests", attempts, failingRequests)
 }
 
+// The same test with the retry budget disabled.
 func TestRetriesWithoutBudget(t *testing.T) {
-	attempts := storm(t, unlimited())
-	assert.Assert(t, attempts > 5*stormSize, "%d attempts for %d requests", attempts, stormSize)
+	attempts := attemptsOfFailingRequests(t, withoutBudget())
+	assert.Assert(t, attempts > 5*failingRequests, "%d attempts for %d requests", attempts, failingRequests)
 }
 
 const (
-	stormSize   = 40
-	callerBurst = 10 // retries that the policy saves up for one caller
+	failingRequests = 40
+	callerBurst     = 10 // retries that the policy lets one caller save up
 )
 
-func storm(t *testing.T, p *retry.Policy) int64 {
+// attemptsOfFailingRequests returns the number of attempts that engines receive for requests that
+// all fail.
+func attemptsOfFailingRequests(t *testing.T, p *retry.Policy) int64 {
 	s := &script{open: func(int64, *driver.GenerateRequest) (error, error) { return nil, driver.ErrCut }}
-	d := start(t, s, 3, p)
+	d := startDispatcher(t, s, 3, p)
 	var wg sync.WaitGroup
-	for range stormSize {
+	for range failingRequests {
 		wg.Go(func() {
 			_, err := generate(d, 3, 5*time.Second)
 			assert.Check(t, code.Of(err).Run == code.Unknown, "%v", err)
@@ -148,8 +155,9 @@
 	return s.attempts.Load()
 }
 
-// What a caller is told of a failure follows from how far the work got.
-func TestRunSaysHowFarTheWorkGot(t *testing.T) {
+// The execution state in a caller's error must match how far the work got, or callers would repeat
+// work that ran or give up work that didn't.
+func TestErrorStatesWhetherWorkRan(t *testing.T) {
 	tests := []struct {
 		name   string
 		end    error
@@ -166,7 +174,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := &script{open: func(int64, *driver.GenerateRequest) (error, error) { return tt.end, tt.refuse }}
-			d := start(t, s, 1, bounded())
+			d := startDispatcher(t, s, 1, withBudget())
 			_, err := generate(d, 9, 1500*time.Millisecond)
 			assert.Equal(t, code.Of(err).Code, tt.code, "%v", err)
 			assert.Equal(t, code.Of(err).Run, tt.run)
@@ -174,48 +182,48 @@
 	}
 }
 
-// A lookup may be asked of another endpoint after any failure; a commit only
-// while no endpoint can have it.
-func TestOnlyLookupsAreRepeatedAfterACut(t *testing.T) {
-	fails := func(first error) *script {
+// Guards against a commit being executed twice. An idempotent call may be retried on another
+// endpoint after any failure, a commit only if no endpoint can have received it.
+func TestOnlyLookupsAreRetriedAfterACut(t *testing.T) {
+	failFirst := func(firstErr error) *script {
 		return &script{call: func(n int64) ([]byte, error) {
 			if n == 1 {
-				return nil, first
+				return nil, firstErr
 			}
 			return []byte("ok"), nil
 		}}
 	}
 	call := &callerapi.Call{Service: "svc", Operation: "op"}
-	s := fails(driver.ErrCut)
-	d := start(t, s, 2, bounded())
+	s := failFirst(driver.ErrCut)
+	d := startDispatcher(t, s, 2, withBudget())
 	body, err := d.Lookup(context.Background(), call)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "ok")
 
 	permit := func() error { return nil }
-	for _, first := range []error{driver.ErrNotSent, driver.ErrRefused} {
+	for _, firstErr := range []error{driver.ErrNotSent, driver.ErrRefused} {
 		s.attempts.Store(0)
-		s.call = fails(first).call
+		s.call = failFirst(firstErr).call
 		body, err = d.Dispatch(context.Background(), &commit.Call{Service: "svc"}, permit)
 		assert.NilError(t, err)
 		assert.Equal(t, string(body), "ok")
 	}
-	for _, first := range []error{driver.ErrCut, driver.ErrFailed, driver.ErrBadAnswer} {
+	for _, firstErr := range []error{driver.ErrCut, driver.ErrFailed, driver.ErrBadAnswer} {
 		s.attempts.Store(0)
-		s.call = fails(first).call
+		s.call = failFirst(firstErr).call
 		_, err = d.Dispatch(context.Background(), &commit.Call{Service: "svc"}, permit)
-		assert.ErrorIs(t, err, first)
+		assert.ErrorIs(t, err, firstErr)
 		assert.Equal(t, s.attempts.Load(), int64(1))
 	}
 }
 
-// A control process that is about to change an engine asks what is in flight
-// there. An answer of none must hold: no request that had chosen the engine
-// before may still come. And if the control process dies, the engine is not
-// lost for ever.
+// Before a control process changes an engine, it asks what is in flight there. If the answer is
+// none, no request that chose the engine earlier may still reach it; otherwise the change would
+// interrupt it. A newer control process must be able to reopen the engine after the first one died,
+// and stale directives must not.
 func TestDirectiveClosesTheEngine(t *testing.T) {
 	s := &script{open: func(int64, *driver.GenerateRequest) (error, error) { return nil, nil }}
-	d := start(t, s, 1, bounded())
+	d := startDispatcher(t, s, 1, withBudget())
 	ctx := context.Background()
 	drain := &wire.Directive{Engine: "e0", Fence: 2, Seq: 1, Phase: wire.Phase_PHASE_DRAIN}
 	assert.Equal(t, d.fleet.Direct(ctx, drain), 0)
--- a/internal/entry/dispatch/fakes_test.go
+++ b/internal/entry/dispatch/fakes_test.go
@@ -11,10 +11,10 @@
 	"fescuestand/internal/driver"
 )
 
-// script is what the endpoints of one test do with each attempt.
+// script defines how the endpoints of one test answer each attempt.
 type script struct {
 	attempts atomic.Int64
-	// open answers an attempt at a completion with its tokens' end.
+	// open returns the error that ends an attempt's stream, or the error that refuses the attempt.
 	open func(n int64, r *driver.GenerateRequest) (end error, refuse error)
 	call func(n int64) ([]byte, error)
 }
@@ -66,10 +66,10 @@
 func (e *fakeEngine) Order(context.Context, driver.Order, driver.Permit) error { return nil }
 func (e *fakeEngine) Close() error                                             { return nil }
 
-// errHang makes a stream say nothing more.
+// errHang as a stream's end makes the stream send nothing more.
 var errHang = errors.New("hang")
 
-// fakeStream sends two tokens, then its end; at MaxTokens it is whole.
+// fakeStream sends two tokens, then its end error; without one it sends all MaxTokens.
 type fakeStream struct {
 	ctx    context.Context
 	cancel func()
--- a/internal/entry/dispatch/gate.go
+++ b/internal/entry/dispatch/gate.go
@@ -14,58 +14,62 @@
 	"fescuestand/internal/sheet"
 )
 
-// Figures of the admission queue before anything was measured.
+// Estimates that the admission queue uses until it has measurements.
 const (
-	assumedBase   = 20 * time.Millisecond
-	assumedOutput = 200 // tokens
+	assumedBaseTime     = 20 * time.Millisecond
+	assumedOutputTokens = 200
 )
 
-// gate is one pool's admission queue with those who wait in it.
-type gate struct {
-	router  *route.Router
-	clk     clock.Clock
-	pool    string
-	serves  route.Artifact // what the pool serves, for its capacity
-	classes []sheet.Class
+// poolQueue is the admission queue of one pool. It connects the decisions of an admit.Queue with
+// the goroutines of the waiting requests.
+type poolQueue struct {
+	router   *route.Router
+	clk      clock.Clock
+	pool     string
+	artifact route.Artifact // model and version that the pool serves
+	classes  []sheet.Class
 
-	mu      sync.Mutex
-	queue   *admit.Queue
-	inside  map[string]int // queued and running, by class
-	granted int            // let through, not yet counted at an endpoint
-	queued  int
-	tokens  int // prompt tokens queued
+	mu               sync.Mutex
+	queue            *admit.Queue
+	unfinished       map[string]int // queued and running requests, by class
+	awaitingDispatch int            // admitted requests not yet counted as in flight at an endpoint
+	queuedRequests   int
+	queuedTokens     int // prompt tokens of the queued requests
 
-	offProbe bool // trust the forecast alone, for comparison
+	noProbe bool // never admit probes, for comparison
 }
 
-// turn is one request at a gate. Its answer is nil when it may go on.
-type turn struct {
-	req     admit.Request
-	answer  chan *code.Error
-	granted bool
+// admission is one request in a poolQueue. Its answer is nil if the request is admitted.
+type admission struct {
+	req              admit.Request
+	answer           chan *code.Error
+	awaitingDispatch bool
 }
 
-func newGate(r *route.Router, clk clock.Clock, pool string, serves route.Artifact, s *sheet.Sheet) *gate {
+func newPoolQueue(r *route.Router, clk clock.Clock, pool string, artifact route.Artifact, s *sheet.Sheet) *poolQueue {
 	cfg := admit.Config{Rates: admit.Rates{
-		Base: assumedBase, PrefillPerToken: 100 * time.Microsecond, DecodePerToken: 20 * time.Millisecond,
+		Base: assumedBaseTime, PrefillPerToken: 100 * time.Microsecond, DecodePerToken: 20 * time.Millisecond,
 	}}
-	top := 0
+	maxPriority := 0
 	for _, c := range s.Classes {
-		top = max(top, c.Priority)
+		maxPriority = max(maxPriority, c.Priority)
 	}
 	for _, c := range s.Classes {
 		cfg.Classes = append(cfg.Classes, admit.Class{
-			Name: c.Name, Priority: top - c.Priority, Weight: 1, OutputTokens: assumedOutput,
-			Urgent: urgent(s.Classes, &c),
+			Name: c.Name, Priority: maxPriority - c.Priority, Weight: 1, OutputTokens: assumedOutputTokens,
+			Urgent: isUrgent(s.Classes, &c),
 		})
 	}
-	return &gate{router: r, clk: clk, pool: pool, serves: serves, classes: s.Classes, queue: admit.NewQueue(cfg), inside: map[string]int{}}
+	return &poolQueue{
+		router: r, clk: clk, pool: pool, artifact: artifact, classes: s.Classes,
+		queue: admit.NewQueue(cfg), unfinished: map[string]int{},
+	}
 }
 
-// urgent tells whether a class goes before another one at the engines, as all
-// do but those of the lowest priority. Places are kept free for urgent
-// requests; if every class were urgent, long documents would take them.
-func urgent(classes []sheet.Class, c *sheet.Class) bool {
+// isUrgent reports whether requests of the class have priority over those of another class at the
+// engines. That holds for every class except those of the lowest priority. Slots are reserved for
+// urgent requests; if every class were urgent, long documents would occupy them.
+func isUrgent(classes []sheet.Class, c *sheet.Class) bool {
 	for i := range classes {
 		if classes[i].Priority < c.Priority {
 			return true
@@ -74,173 +78,178 @@
 	return false
 }
 
-func (g *gate) fits(serves route.Artifact, s *sheet.Sheet) bool {
-	return g.serves == serves && reflect.DeepEqual(g.classes, s.Classes)
+func (q *poolQueue) matches(artifact route.Artifact, s *sheet.Sheet) bool {
+	return q.artifact == artifact && reflect.DeepEqual(q.classes, s.Classes)
 }
 
-func (g *gate) waiting() int {
-	n, _ := g.queuedNow()
+func (q *poolQueue) length() int {
+	n, _ := q.size()
 	return n
 }
 
-func (g *gate) queuedNow() (requests, tokens int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.queued, g.tokens
+func (q *poolQueue) size() (requests, tokens int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.queuedRequests, q.queuedTokens
 }
 
-// count notes that t joins or leaves those who wait.
-func (g *gate) count(t *turn, n int) {
-	g.queued += n
-	g.tokens += n * t.req.PromptTokens
+// addQueued adds n times a to the counts of waiting requests; n is 1 or -1. The caller holds q.mu.
+func (q *poolQueue) addQueued(a *admission, n int) {
+	q.queuedRequests += n
+	q.queuedTokens += n * a.req.PromptTokens
 }
 
-// enter returns when t may be dispatched, or with its refusal, which is final.
-func (g *gate) enter(ctx context.Context, t *turn) *code.Error {
-	t.answer = make(chan *code.Error, 1)
-	t.req.Value = t
-	if err := g.offer(t); err != nil {
+// acquire waits until a may be dispatched, or returns the final refusal.
+func (q *poolQueue) acquire(ctx context.Context, a *admission) *code.Error {
+	a.answer = make(chan *code.Error, 1)
+	a.req.Value = a
+	if err := q.offer(a); err != nil {
 		return err
 	}
-	g.pump()
+	q.admitQueued()
 	select {
-	case err := <-t.answer:
+	case err := <-a.answer:
 		return err
 	case <-ctx.Done():
 	}
-	return g.giveUp(ctx, t)
+	return q.cancel(ctx, a)
 }
 
-func (g *gate) offer(t *turn) *code.Error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.setCapacity() == nobody {
-		// Queued, it would wait for an engine that may be away for long.
-		return code.New(code.NoEndpoint, "no endpoint of %s takes work now", g.pool).WithRetryAfter(noEndpointRetry)
+// offer puts a into the queue or returns its refusal.
+func (q *poolQueue) offer(a *admission) *code.Error {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.updateCapacity() == noCapacity {
+		// Don't queue the request: the engines may be unavailable for a long time.
+		return code.New(code.NoEndpoint, "no endpoint of %s takes work now", q.pool).WithRetryAfter(noEndpointRetryAfter)
 	}
-	v := g.queue.Offer(g.clk.Now(), &t.req)
-	g.tell(v.Dropped)
-	if v.Err != nil && g.mayProbe(t, v.Err) {
-		v = g.queue.Offer(g.clk.Now(), &t.req)
-		g.tell(v.Dropped)
+	result := q.queue.Offer(q.clk.Now(), &a.req)
+	q.rejectDropped(result.Dropped)
+	if result.Err != nil && q.allowProbe(a, result.Err) {
+		result = q.queue.Offer(q.clk.Now(), &a.req)
+		q.rejectDropped(result.Dropped)
 	}
-	if v.Err != nil {
-		return v.Err
+	if result.Err != nil {
+		return result.Err
 	}
-	g.count(t, 1)
-	g.inside[t.req.Class]++
+	q.addQueued(a, 1)
+	q.unfinished[a.req.Class]++
 	return nil
 }
 
-// mayProbe lets a request through whose class the forecast refuses although
-// none of the class is queued or running.
+// allowProbe reports whether a request that the forecast has refused is admitted as a probe,
+// because no other request of its class is queued or running. It then relaxes the deadlines that
+// the forecast checks.
 //
-// Failure: engines were slow for a while, and the forecast learned so from the
-// answers of a class. Then it refuses the whole class, gets no answers to learn
-// from, and refuses it for ever, on idle engines. One request at a time goes
-// through on its own deadline, which its context keeps, and teaches the
-// forecast.
-func (g *gate) mayProbe(t *turn, refusal *code.Error) bool {
-	if g.offProbe || refusal.Code != code.DeadlineInfeasible || g.inside[t.req.Class] > 0 {
+// After the engines have been slow for a while, the forecast for a class is too pessimistic. It
+// then refuses the whole class, gets no measurements that could correct it, and would refuse the
+// class forever on idle engines. So one request at a time is admitted as a probe, whose
+// measurements correct the forecast. Its context still enforces its own deadline.
+func (q *poolQueue) allowProbe(a *admission, refusal *code.Error) bool {
+	if q.noProbe || refusal.Code != code.DeadlineInfeasible || q.unfinished[a.req.Class] > 0 {
 		return false
 	}
-	t.req.FirstTokenDeadline = 0
-	t.req.Deadline = g.clk.Now().Add(longest)
+	a.req.FirstTokenDeadline = 0
+	a.req.Deadline = q.clk.Now().Add(maxDeadline)
 	return true
 }
 
-// giveUp takes out a request whose caller has gone or whose time is over. Its
-// turn may have come at the same moment.
-func (g *gate) giveUp(ctx context.Context, t *turn) *code.Error {
-	g.mu.Lock()
+// cancel removes a request whose caller disconnected or whose deadline passed. The request may have
+// been admitted or refused at the same moment.
+func (q *poolQueue) cancel(ctx context.Context, a *admission) *code.Error {
+	q.mu.Lock()
 	select {
-	case err := <-t.answer:
+	case err := <-a.answer:
 		if err == nil {
-			g.settle(t)
-			g.inside[t.req.Class]--
-			g.queue.Cancel(&t.req)
+			q.endAwaitingDispatch(a)
+			q.unfinished[a.req.Class]--
+			q.queue.Cancel(&a.req)
 		}
 	default:
-		g.count(t, -1)
-		g.inside[t.req.Class]--
-		g.queue.Cancel(&t.req)
+		q.addQueued(a, -1)
+		q.unfinished[a.req.Class]--
+		q.queue.Cancel(&a.req)
 	}
-	g.mu.Unlock()
-	g.pump()
-	return endOf(ctx)
+	q.mu.Unlock()
+	q.admitQueued()
+	return contextEndError(ctx)
 }
 
-// endOf tells why a request's context ended before any of it was sent.
-func endOf(ctx context.Context) *code.Error {
+// contextEndError returns the error for a request whose context ended before any of its work was
+// sent.
+func contextEndError(ctx context.Context) *code.Error {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return code.New(code.DeadlinePassed, "the deadline passed before any work was sent")
 	}
 	return code.New(code.CallerGone, "the caller went away before any work was sent")
 }
 
-// placed tells that t counts at an endpoint from now on.
-func (g *gate) placed(t *turn) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.settle(t)
+// markDispatched records that a is now counted as in flight at an endpoint.
+func (q *poolQueue) markDispatched(a *admission) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.endAwaitingDispatch(a)
 }
 
-func (g *gate) settle(t *turn) {
-	if t.granted {
-		t.granted = false
-		g.granted--
+func (q *poolQueue) endAwaitingDispatch(a *admission) {
+	if a.awaitingDispatch {
+		a.awaitingDispatch = false
+		q.awaitingDispatch--
 	}
 }
 
-// leave ends a request that enter let through.
-func (g *gate) leave(t *turn, m admit.Measurement) {
-	g.mu.Lock()
-	g.settle(t)
-	g.inside[t.req.Class]--
-	g.queue.Done(g.clk.Now(), &t.req, m)
-	g.mu.Unlock()
-	g.pump()
+// release ends a request that acquire admitted.
+func (q *poolQueue) release(a *admission, m admit.Measurement) {
+	q.mu.Lock()
+	q.endAwaitingDispatch(a)
+	q.unfinished[a.req.Class]--
+	q.queue.Done(q.clk.Now(), &a.req, m)
+	q.mu.Unlock()
+	q.admitQueued()
 }
 
-// pump lets through what may go now. A request counts from its turn on, not
-// only from its dispatch, or a burst would pass between the two.
-func (g *gate) pump() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	c := g.setCapacity()
+// admitQueued admits waiting requests while there are free slots. A request occupies a slot from
+// its admission rather than from its dispatch; otherwise a burst would be admitted between the two.
+func (q *poolQueue) admitQueued() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	c := q.updateCapacity()
 	for {
-		room := admit.FreeSlots{Normal: c.Normal - g.granted, Urgent: c.Urgent - g.granted}
-		r, dropped := g.queue.Next(g.clk.Now(), room)
-		g.tell(dropped)
+		free := admit.FreeSlots{Normal: c.Normal - q.awaitingDispatch, Urgent: c.Urgent - q.awaitingDispatch}
+		r, dropped := q.queue.Next(q.clk.Now(), free)
+		q.rejectDropped(dropped)
 		if r == nil {
 			return
 		}
-		t := r.Value.(*turn)
-		t.granted = true
-		g.granted++
-		g.count(t, -1)
-		t.answer <- nil
+		a := r.Value.(*admission)
+		a.awaitingDispatch = true
+		q.awaitingDispatch++
+		q.addQueued(a, -1)
+		a.answer <- nil
 	}
 }
 
-// nobody is the capacity of a pool without an endpoint that takes work.
-var nobody = route.Capacity{}
+// noCapacity is the capacity of a pool in which no endpoint accepts work.
+var noCapacity = route.Capacity{}
 
-// noEndpointRetry is when a role change or a restart may be over.
-const noEndpointRetry = time.Second
+// noEndpointRetryAfter is the Retry-After delay when no endpoint accepts work: a role change or a
+// restart may be over by then.
+const noEndpointRetryAfter = time.Second
 
-func (g *gate) setCapacity() route.Capacity {
-	now := g.clk.Now()
-	c := g.router.Capacity(now, g.pool, g.serves, "")
-	g.tell(g.queue.SetCapacity(now, c.Slots))
+// updateCapacity passes the pool's current slots to the queue and returns the capacity.
+func (q *poolQueue) updateCapacity() route.Capacity {
+	now := q.clk.Now()
+	c := q.router.Capacity(now, q.pool, q.artifact, "")
+	q.rejectDropped(q.queue.SetCapacity(now, c.Slots))
 	return c
 }
 
-func (g *gate) tell(dropped []admit.Refusal) {
-	for _, d := range dropped {
-		t := d.Request.Value.(*turn)
-		g.count(t, -1)
-		g.inside[t.req.Class]--
-		t.answer <- d.Err
+// rejectDropped answers the requests that the queue has dropped.
+func (q *poolQueue) rejectDropped(dropped []admit.Refusal) {
+	for _, refusal := range dropped {
+		a := refusal.Request.Value.(*admission)
+		q.addQueued(a, -1)
+		q.unfinished[a.req.Class]--
+		a.answer <- refusal.Err
 	}
 }
--- a/internal/entry/dispatch/gate_test.go
+++ b/internal/entry/dispatch/gate_test.go
@@ -14,21 +14,21 @@
 	"fescuestand/internal/sheet"
 )
 
-// The engines were slow for a minute: first tokens came after three seconds,
-// just in time. Now they are idle and quick again, but the forecast has learned
-// the three seconds and refuses every question of the class; refused questions
-// teach it nothing, so that it never ends.
-func TestForecastRecoversAfterSlowTimes(t *testing.T) {
-	assert.Assert(t, servedAfterSlowTimes(t, false) > 20)
+// Guards against a forecast that stays too pessimistic. The engines were slow, with first tokens
+// after three seconds, just in time, and are fast and idle again. Without probes the forecast
+// refuses every request of the class and gets no measurements from refused requests to correct
+// itself.
+func TestForecastRecoversAfterSlowPeriod(t *testing.T) {
+	assert.Assert(t, servedAfterSlowPeriod(t, false) > 20)
 }
 
+// The same test with probes disabled.
 func TestForecastWithoutProbes(t *testing.T) {
-	assert.Equal(t, servedAfterSlowTimes(t, true), 0)
+	assert.Equal(t, servedAfterSlowPeriod(t, true), 0)
 }
 
-// servedAfterSlowTimes returns how many of 60 questions are served after slow
-// times, one after the other.
-func servedAfterSlowTimes(t *testing.T, off bool) (served int) {
+// servedAfterSlowPeriod returns how many of 60 consecutive requests are served after a slow period.
+func servedAfterSlowPeriod(t *testing.T, noProbe bool) (served int) {
 	clk := &clock.Manual{T: 1}
 	r := route.NewRouter(route.Config{}, 1)
 	art := route.Artifact{Model: "m", Version: "1"}
@@ -36,23 +36,25 @@
 		Name: "e", Pool: "p", Slots: 8, PrefillPerToken: time.Microsecond, DecodePerToken: time.Millisecond,
 		Serves: []route.Artifact{art},
 	}}))
-	g := newGate(r, clk, "p", art, &sheet.Sheet{Classes: []sheet.Class{{Name: "question"}}})
-	g.offProbe = off
-	ask := func(deadline, first time.Duration) *code.Error {
-		q := &turn{req: admit.Request{Class: "question", PromptTokens: 10, MaxOutputTokens: 10, Deadline: clk.Now().Add(deadline)}}
-		if err := g.enter(context.Background(), q); err != nil {
+	q := newPoolQueue(r, clk, "p", art, &sheet.Sheet{Classes: []sheet.Class{{Name: "question"}}})
+	q.noProbe = noProbe
+	request := func(deadline, firstToken time.Duration) *code.Error {
+		a := &admission{req: admit.Request{
+			Class: "question", PromptTokens: 10, MaxOutputTokens: 10, Deadline: clk.Now().Add(deadline),
+		}}
+		if err := q.acquire(context.Background(), a); err != nil {
 			return err
 		}
-		g.placed(q)
-		clk.T = clk.T.Add(first + 100*time.Millisecond)
-		g.leave(q, admit.Measurement{OK: true, FirstToken: first, Step: 10 * time.Millisecond, OutputTokens: 10})
+		q.markDispatched(a)
+		clk.T = clk.T.Add(firstToken + 100*time.Millisecond)
+		q.release(a, admit.Measurement{OK: true, FirstToken: firstToken, Step: 10 * time.Millisecond, OutputTokens: 10})
 		return nil
 	}
 	for range 60 {
-		assert.Assert(t, ask(time.Minute, 3*time.Second) == nil)
+		assert.Assert(t, request(time.Minute, 3*time.Second) == nil)
 	}
 	for range 60 {
-		if ask(2*time.Second, 50*time.Millisecond) == nil {
+		if request(2*time.Second, 50*time.Millisecond) == nil {
 			served++
 		}
 	}
--- a/internal/entry/dispatch/generate.go
+++ b/internal/entry/dispatch/generate.go
@@ -21,42 +21,42 @@
 )
 
 const (
-	// maxAttempts bounds the attempts of one completion, moves included: an
-	// engine is moved seldom, so that more means a fault that no retry mends.
+	// maxAttempts bounds the attempts of one completion, including those after moves. Engines are
+	// moved rarely, so more attempts mean a fault that retries can't fix.
 	maxAttempts = 12
-	// longest stands in for a deadline where none is set.
-	longest = time.Hour
-	// placeWait is how long an admitted request waits for an endpoint to open
-	// again, such as between two phases of a planned change.
-	placeWait = 500 * time.Millisecond
-	placeStep = 20 * time.Millisecond
-	// bytesPerToken estimates the prompt's tokens; the engines count exactly.
+	// maxDeadline replaces a missing deadline.
+	maxDeadline = time.Hour
+	// placementTimeout is how long an admitted request waits for an endpoint to accept work again,
+	// for example between two phases of a planned change.
+	placementTimeout    = 500 * time.Millisecond
+	placementRetryDelay = 20 * time.Millisecond
+	// bytesPerToken is used to estimate the prompt's tokens; the engines count exactly.
 	bytesPerToken = 4
-	// pieceBytes is the size of one piece of an engine's prefix cache.
-	pieceBytes = 2000 * bytesPerToken
+	// cacheBlockBytes is the size of one block of an engine's prefix cache.
+	cacheBlockBytes = 2000 * bytesPerToken
 )
 
-// session is one completion on its way through attempts.
+// session is the state of one completion across its attempts.
 type session struct {
-	d        *Dispatcher
-	g        *callerapi.Generate
-	out      callerapi.Sink
-	pool     *sheet.Pool
-	priority int
-	urgent   bool   // of a class above the lowest priority
-	print    uint64 // fingerprint of model and prompt
-	pieces   []uint64
-	asm      stream.Assembler
-	from     int // where the present attempt began
-	exclude  []*route.Endpoint
-	kv       *driver.KVHandle // of the attempt that was moved
-	tries    int              // attempts in a row that failed without progress
-	touched  bool             // an attempt may have been executed
-	began    clock.Time
-	ran      time.Duration // how long the attempt ran that a crash ended
-	placed   func()        // the first attempt counts at an endpoint
-	firstAt  clock.Time
-	lastAt   clock.Time
+	dispatcher    *Dispatcher
+	req           *callerapi.Generate
+	out           callerapi.Sink
+	pool          *sheet.Pool
+	priority      int
+	urgent        bool     // the class is above the lowest priority
+	fingerprint   uint64   // of model, adapter and prompt
+	cacheBlocks   []uint64 // chained hashes of the prompt's whole cache blocks
+	assembler     stream.Assembler
+	attemptStart  int // position of the current attempt's first token
+	exclude       []*route.Endpoint
+	movedKV       *driver.KVHandle // exported by the attempt that a planned change ended
+	failedTries   int              // consecutive attempts that failed without a token
+	maybeExecuted bool             // an attempt may have been executed
+	admittedAt    clock.Time
+	crashedRun    time.Duration // how long the attempt ran that ended in a crash
+	onDispatched  func()        // called when an attempt counts as in flight at an endpoint
+	firstTokenAt  clock.Time
+	lastTokenAt   clock.Time
 }
 
 // Generate serves one completion.
@@ -65,33 +65,33 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithDeadline(ctx, capped(g.Deadline, class.Deadline.D()))
+	ctx, cancel := context.WithDeadline(ctx, earlierDeadline(g.Deadline, class.Deadline.D()))
 	defer cancel()
-	prompt := len(g.Prompt) / bytesPerToken
+	promptTokens := len(g.Prompt) / bytesPerToken
 	d.counts.add(s.pool.Name, func(t *Totals) {
 		t.Requests++
-		t.PromptTokens += uint64(prompt)
+		t.PromptTokens += uint64(promptTokens)
 	})
-	gate := d.gate(s.pool.Name, route.Artifact{Model: s.pool.Model, Version: s.pool.Version}, d.fleet.Sheet())
-	t := &turn{req: admit.Request{
+	queue := d.queueFor(s.pool.Name, route.Artifact{Model: s.pool.Model, Version: s.pool.Version}, d.fleet.Sheet())
+	a := &admission{req: admit.Request{
 		ID: g.RequestID, Class: class.Name, Workspace: g.Workspace, Caller: g.Name,
-		PromptTokens: prompt, MaxOutputTokens: g.MaxTokens, Deadline: deadlineOf(ctx, d.clk),
+		PromptTokens: promptTokens, MaxOutputTokens: g.MaxTokens, Deadline: deadlineOf(ctx, d.clk),
 	}}
-	// The class's first-token objective is no bound for admission: a request that
-	// misses it is still whole and on time, and the burn report shows the miss.
-	s.placed = func() { gate.placed(t) }
-	if err := gate.enter(ctx, t); err != nil {
+	// Admission doesn't check the class's first-token objective: a request that misses it may still
+	// be complete and within its deadline, and the burn report shows the miss.
+	s.onDispatched = func() { queue.markDispatched(a) }
+	if err := queue.acquire(ctx, a); err != nil {
 		d.counts.add(s.pool.Name, func(t *Totals) { t.Refused++ })
 		return err
 	}
-	s.began = d.clk.Now()
+	s.admittedAt = d.clk.Now()
 	err = s.run(ctx)
-	gate.leave(t, s.measured(err))
-	s.count(ctx, err)
+	queue.release(a, s.measurement(err))
+	s.recordTotals(ctx, err)
 	return err
 }
 
-// newSession finds the pool and class that the request asks for.
+// newSession finds the pool and class of the request.
 func (d *Dispatcher) newSession(g *callerapi.Generate, out callerapi.Sink) (*session, *sheet.Class, error) {
 	sh, bad := d.sheet()
 	if bad != nil {
@@ -105,135 +105,141 @@
 	if bad != nil {
 		return nil, nil, bad
 	}
-	// The version is fixed now: a resume must not continue with another.
+	// Fix the version now, so that a resumed stream doesn't continue with another one.
 	g.Version = pool.Version
 	h := xxhash.New()
 	_, _ = h.WriteString(g.Model + "\x00" + g.Adapter + "\x00")
 	_, _ = h.Write(g.Prompt)
 	return &session{
-		d: d, g: g, out: out, pool: pool, priority: class.Priority, urgent: urgent(sh.Classes, class), print: h.Sum64(),
-		pieces: route.Pieces(nil, g.Model, g.Prompt, pieceBytes),
+		dispatcher: d, req: g, out: out, pool: pool, priority: class.Priority, urgent: isUrgent(sh.Classes, class),
+		fingerprint: h.Sum64(), cacheBlocks: route.Pieces(nil, g.Model, g.Prompt, cacheBlockBytes),
 	}, class, nil
 }
 
-// run makes attempts until the completion is whole or given up.
+// run makes attempts until the completion is complete or can't be retried.
 func (s *session) run(ctx context.Context) error {
-	var last error
+	var lastErr error
 	for n := range maxAttempts {
 		if n > 0 {
-			again, err := s.again(ctx, last, n)
-			if last = err; !again {
+			mayRetry, err := s.prepareRetry(ctx, lastErr, n)
+			if lastErr = err; !mayRetry {
 				break
 			}
 		}
-		place, x, err := s.place(ctx)
+		decision, exposure, err := s.place(ctx)
 		if err != nil {
-			if last == nil || errors.Is(err, errGuilty) {
-				last = err
+			if lastErr == nil || errors.Is(err, errQuarantined) {
+				lastErr = err
 			}
 			break
 		}
-		last = s.attempt(ctx, place, x)
-		if last == nil {
-			s.d.suspects.Clear(s.d.clk.Now(), s.print)
-			s.d.retries.RecordSuccess(s.pool.Name, s.g.Name)
+		lastErr = s.attempt(ctx, decision, exposure)
+		if lastErr == nil {
+			s.dispatcher.suspects.Clear(s.dispatcher.clk.Now(), s.fingerprint)
+			s.dispatcher.retries.RecordSuccess(s.pool.Name, s.req.Name)
 			return nil
 		}
-		if ctx.Err() != nil || errors.Is(last, errSink) {
+		if ctx.Err() != nil || errors.Is(lastErr, errCallerWrite) {
 			break
 		}
-		log.WithError(last).WithField("request", s.g.RequestID).WithField("endpoint", place.Endpoint.Name).
-			WithField("tokens", s.asm.Next()).Info("attempt ended early")
+		log.WithError(lastErr).WithField("request", s.req.RequestID).WithField("endpoint", decision.Endpoint.Name).
+			WithField("tokens", s.assembler.Next()).Info("attempt ended early")
 	}
-	return s.final(ctx, last)
+	return s.finalError(ctx, lastErr)
 }
 
-// final turns the last attempt's error into the caller's.
-func (s *session) final(ctx context.Context, err error) error {
-	var sunk *sinkError
-	if errors.As(err, &sunk) {
-		return sunk.err
+// finalError converts the last attempt's error into the caller's error.
+func (s *session) finalError(ctx context.Context, err error) error {
+	var writeErr *callerWriteError
+	if errors.As(err, &writeErr) {
+		return writeErr.err
 	}
-	return numbered(ctx, err, s.touched, s.asm.Next() > 0)
+	return codeError(ctx, err, s.maybeExecuted, s.assembler.Next() > 0)
 }
 
-// again tells whether another attempt may be made after err, and waits as long
-// as that should. Otherwise it returns the completion's last error.
+// prepareRetry reports whether another attempt may be made after err. It waits for the retry delay,
+// except after a move or an attempt that has forwarded tokens. If no attempt may be made, it
+// returns the completion's final error.
 //
-// A planned move costs no budget: it isn't a fault. Neither does the rest of a
-// stream that the attempt has carried on, nor one that no engine has touched
-// since: the budget is against retries that do the same work again and again,
-// and a stream that has begun must not be cut for others' faults.
-func (s *session) again(ctx context.Context, err error, n int) (bool, error) {
-	pause := time.Duration(n) * placeStep
+// These retries don't use the retry budget: one after a planned move, which isn't a fault; one
+// after an attempt that has forwarded tokens; and one of a stream that has begun, after an attempt
+// that no engine executed. The budget limits retries that repeat the same work, and a stream that
+// has begun must not be cut because other requests failed.
+func (s *session) prepareRetry(ctx context.Context, err error, n int) (bool, error) {
+	delay := time.Duration(n) * placementRetryDelay
 	switch {
-	case errors.Is(err, errMoved), s.asm.Next() > s.from:
-		s.tries = 0
+	case errors.Is(err, errMoved), s.assembler.Next() > s.attemptStart:
+		s.failedTries = 0
 		return true, err
-	case s.asm.Next() > 0 && untouched(err):
-		// An engine that refuses, as after a crash, has to become known as
-		// such before the attempts are used up.
+	case s.assembler.Next() > 0 && notExecuted(err):
+		// Delay the retry: an engine that refuses work, for example after a crash, must be marked
+		// as unavailable before the maximum number of attempts is reached.
 	default:
-		s.tries++
-		now := s.d.clk.Now()
-		d := s.d.retries.DecideRetry(now, retry.Attempt{
-			Pool: s.pool.Name, Caller: s.g.Name, Idempotent: true, Tries: s.tries,
-			Deadline: deadlineOf(ctx, s.d.clk), Err: numbered(ctx, err, !untouched(err), false),
+		s.failedTries++
+		now := s.dispatcher.clk.Now()
+		decision := s.dispatcher.retries.DecideRetry(now, retry.Attempt{
+			Pool: s.pool.Name, Caller: s.req.Name, Idempotent: true, Tries: s.failedTries,
+			Deadline: deadlineOf(ctx, s.dispatcher.clk), Err: codeError(ctx, err, !notExecuted(err), false),
 		})
-		if !d.Retry {
-			return false, d.Err
+		if !decision.Retry {
+			return false, decision.Err
 		}
-		pause = d.Delay
+		delay = decision.Delay
 	}
-	wait(ctx, pause)
+	sleep(ctx, delay)
 	return ctx.Err() == nil, err
 }
 
-// measured is what the request showed about the pool's rates.
-func (s *session) measured(err error) admit.Measurement {
-	m := admit.Measurement{OK: err == nil, OutputTokens: s.asm.Next()}
-	if s.firstAt > 0 {
-		m.FirstToken = s.firstAt.Sub(s.began)
-		m.Step = s.step()
+// measurement returns what the request showed about the pool's rates.
+func (s *session) measurement(err error) admit.Measurement {
+	m := admit.Measurement{OK: err == nil, OutputTokens: s.assembler.Next()}
+	if s.firstTokenAt > 0 {
+		m.FirstToken = s.firstTokenAt.Sub(s.admittedAt)
+		m.Step = s.meanTokenInterval()
 	}
 	return m
 }
 
-// step is the mean time between tokens.
-func (s *session) step() time.Duration {
-	n := s.asm.Next() - 1
+// meanTokenInterval returns the mean time between tokens.
+func (s *session) meanTokenInterval() time.Duration {
+	n := s.assembler.Next() - 1
 	if n < 1 {
 		return 0
 	}
-	return s.lastAt.Sub(s.firstAt) / time.Duration(n)
+	return s.lastTokenAt.Sub(s.firstTokenAt) / time.Duration(n)
 }
 
-func (s *session) count(ctx context.Context, err error) {
-	s.d.streams.dropped.Add(uint64(s.asm.Dropped()))
-	s.d.counts.add(s.pool.Name, func(t *Totals) {
-		t.OutputTokens += uint64(s.asm.Next())
+// recordTotals adds the ended completion to the running totals.
+func (s *session) recordTotals(ctx context.Context, err error) {
+	s.dispatcher.streams.dropped.Add(uint64(s.assembler.Dropped()))
+	s.dispatcher.counts.add(s.pool.Name, func(t *Totals) {
+		t.OutputTokens += uint64(s.assembler.Next())
 		if err == nil && ctx.Err() == nil {
 			t.OnTime++
 		}
 	})
 }
 
-// engine returns the driver of a placed attempt.
-func (s *session) engine(p *route.Decision) *fleet.Engine { return s.d.fleet.Engine(p.Endpoint.Name) }
+// engine returns the engine that the router chose, nil if the sheet no longer names it.
+func (s *session) engine(decision *route.Decision) *fleet.Engine {
+	return s.dispatcher.fleet.Engine(decision.Endpoint.Name)
+}
 
-func capped(deadline time.Time, longest time.Duration) time.Time {
-	if limit := time.Now().Add(longest); longest > 0 && limit.Before(deadline) {
+// earlierDeadline returns the earlier of deadline and maxWait from now; a maxWait of 0 sets no
+// limit.
+func earlierDeadline(deadline time.Time, maxWait time.Duration) time.Time {
+	if limit := time.Now().Add(maxWait); maxWait > 0 && limit.Before(deadline) {
 		return limit
 	}
 	return deadline
 }
 
-// deadlineOf returns ctx's deadline on clk; a context without one gets longest.
+// deadlineOf returns the deadline of ctx on clk, or maxDeadline from now if ctx has none.
 func deadlineOf(ctx context.Context, clk clock.Clock) clock.Time {
 	if at, ok := ctx.Deadline(); ok {
 		return clk.Now().Add(time.Until(at))
 	}
-	return clk.Now().Add(longest)
+	return clk.Now().Add(maxDeadline)
 }
 
 func findClass(s *sheet.Sheet, name string) (*sheet.Class, *code.Error) {
@@ -246,18 +252,18 @@
 }
 
 func findPool(s *sheet.Sheet, g *callerapi.Generate) (*sheet.Pool, *code.Error) {
-	known := false
+	modelFound := false
 	for i := range s.Pools {
 		p := &s.Pools[i]
 		if p.Model != g.Model || !hasAdapter(p, g.Adapter) {
 			continue
 		}
-		known = true
+		modelFound = true
 		if g.Version == "" || g.Version == p.Version {
 			return p, nil
 		}
 	}
-	if known {
+	if modelFound {
 		return nil, code.New(code.UnknownVersion, "version %.100q of model %.100q is not in the sheet", g.Version, g.Model)
 	}
 	return nil, code.New(code.UnknownModel, "model %.100q with adapter %.100q is not in the sheet", g.Model, g.Adapter)
--- a/internal/entry/dispatch/isolate.go
+++ b/internal/entry/dispatch/isolate.go
@@ -15,40 +15,41 @@
 )
 
 const (
-	// clearFactor and clearMargin say when a suspect has outlived its
-	// suspicion: it has run for longer than the run that ended in a crash.
+	// A suspect is cleared once an attempt has run longer than the one that ended in a crash: for
+	// clearFactor times that duration plus clearMargin.
 	clearFactor = 1.5
 	clearMargin = 50 * time.Millisecond
-	// stateWait bounds the question whether an engine has crashed.
-	stateWait = 500 * time.Millisecond
-	// dyingWait is how long a crashing engine may still answer: it cuts its
-	// streams a moment before its last listener closes.
-	dyingWait = 60 * time.Millisecond
-	// settleWait is how long a request waits after a crash for what the other
-	// entries know of it: two round trips between availability zones and the
-	// time in which they notice. Judged alone, a half-written draft would look
-	// guilty whenever the guilty request came through another entry.
-	settleWait = 100 * time.Millisecond
+	// stateTimeout bounds the state request that checks whether an engine has crashed.
+	stateTimeout = 500 * time.Millisecond
+	// crashRecheckDelay is the wait before the second check of a crashing engine, which may still
+	// answer the first: it cuts its streams a moment before it closes its last listener.
+	crashRecheckDelay = 60 * time.Millisecond
+	// evidenceWait is how long a request waits after a crash for the crash evidence of the other
+	// entries: two round trips between availability zones and the time in which they detect the
+	// crash. Without this evidence a request with partial output would be suspected whenever the
+	// request that caused the crash came through another entry.
+	evidenceWait = 100 * time.Millisecond
 )
 
-// isolate picks the engine for a suspect, nil if each holds another one: a
-// crash of both would convict an innocent. All entries rank the engines of one
-// request alike, so that copies of it that several entries hold meet on one
-// engine and cost no more.
-func (d *Dispatcher) isolate(fp uint64, pool string, exclude []*route.Endpoint) *route.Endpoint {
+// reserveForSuspect chooses and reserves an engine for the suspect with fingerprint fp. It returns
+// nil if every engine is reserved for another suspect, because a crash while two suspects run there
+// would also be evidence against the innocent one. All entries rank the engines for a request in
+// the same order, so that copies of the request in several entries run on one engine and crash no
+// other.
+func (d *Dispatcher) reserveForSuspect(fp uint64, pool string, exclude []*route.Endpoint) *route.Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var best *route.Endpoint
-	var top uint64
+	var bestRank uint64
 	for _, e := range d.router.Table().Endpoints() {
-		if e.Pool != pool || e.State != route.Open || e.Role == route.Prefill || contains(exclude, e.Name) {
+		if e.Pool != pool || e.State != route.Open || e.Role == route.Prefill || containsName(exclude, e.Name) {
 			continue
 		}
-		if holder, taken := d.isolated[e.Name]; taken && holder != fp {
+		if suspectPrint, reserved := d.isolated[e.Name]; reserved && suspectPrint != fp {
 			continue
 		}
-		if s := xxhash.Sum64String(e.Name) ^ fp; best == nil || mixed(s) >= top {
-			best, top = e, mixed(s)
+		if s := xxhash.Sum64String(e.Name) ^ fp; best == nil || mixBits(s) >= bestRank {
+			best, bestRank = e, mixBits(s)
 		}
 	}
 	if best != nil {
@@ -57,8 +58,8 @@
 	return best
 }
 
-// free lets other suspects onto the engine again.
-func (d *Dispatcher) free(engine string, fp uint64) {
+// releaseIsolation ends the engine's reservation for the suspect with fingerprint fp.
+func (d *Dispatcher) releaseIsolation(engine string, fp uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.isolated[engine] == fp {
@@ -66,14 +67,14 @@
 	}
 }
 
-// mixed spreads the bits of x.
-func mixed(x uint64) uint64 {
+// mixBits spreads the bits of x.
+func mixBits(x uint64) uint64 {
 	const odd = 0x9e3779b97f4a7c15
 	x *= odd
 	return x ^ x>>32
 }
 
-func contains(list []*route.Endpoint, name string) bool {
+func containsName(list []*route.Endpoint, name string) bool {
 	for _, e := range list {
 		if e != nil && e.Name == name {
 			return true
@@ -82,71 +83,76 @@
 	return false
 }
 
-// others returns every endpoint of the pool but the given one.
-func (d *Dispatcher) others(pool string, but *route.Endpoint) []*route.Endpoint {
+// endpointsExcept returns every endpoint of the pool except kept.
+func (d *Dispatcher) endpointsExcept(pool string, kept *route.Endpoint) []*route.Endpoint {
 	var out []*route.Endpoint
 	for _, e := range d.router.Table().Endpoints() {
-		if e.Pool == pool && e.Name != but.Name {
+		if e.Pool == pool && e.Name != kept.Name {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// run of one attempt, as far as a crash of its engine is concerned.
-type exposure struct {
-	crash    suspect.Crash
-	began    clock.Time
-	verdict  suspect.Verdict
-	progress bool
-	clearAt  clock.Time // a suspect is cleared then; zero if it isn't one
+// crashExposure is what crash evidence needs to know about one attempt.
+type crashExposure struct {
+	crash      suspect.Crash
+	began      clock.Time
+	verdict    suspect.Verdict
+	progressed bool       // the attempt produced a token
+	clearAt    clock.Time // a suspect that is still running at this time is cleared
 }
 
-// blame finds out whether the engine has crashed and, if so, hands in the
-// evidence. The engine isn't tried again by this request.
-func (s *session) blame(ctx context.Context, e *fleet.Engine, x *exposure, err error) {
+// reportCrash checks whether the engine has crashed and, if so, adds evidence against the request
+// and exchanges evidence with the other entries. The caller excludes the engine from further
+// attempts of this request.
+func (s *session) reportCrash(ctx context.Context, e *fleet.Engine, exposure *crashExposure, err error) {
 	if ctx.Err() != nil || !errors.Is(err, driver.ErrCut) || errors.Is(err, errStall) {
 		return
 	}
-	if !s.hasCrashed(ctx, e, x.crash.Incarnation) {
+	if !s.hasCrashed(ctx, e, exposure.crash.Incarnation) {
 		return // only the connection broke
 	}
-	s.d.streams.crashes.Add(1)
-	now := s.d.clk.Now()
-	s.ran = now.Sub(x.began)
-	s.d.suspects.Add(now, suspect.Evidence{Crash: x.crash, Fingerprint: s.print, Strength: strength(x)})
-	s.d.settle(ctx, x.crash)
+	s.dispatcher.streams.crashes.Add(1)
+	now := s.dispatcher.clk.Now()
+	s.crashedRun = now.Sub(exposure.began)
+	s.dispatcher.suspects.Add(now, suspect.Evidence{
+		Crash: exposure.crash, Fingerprint: s.fingerprint, Strength: strengthOf(exposure),
+	})
+	s.dispatcher.exchangeEvidence(ctx, exposure.crash)
 }
 
-// hasCrashed asks the engine twice: it may still be on its way down.
-func (s *session) hasCrashed(ctx context.Context, e *fleet.Engine, life string) bool {
+// hasCrashed checks the engine's state twice, because an engine that is going down may still answer
+// the first time.
+func (s *session) hasCrashed(ctx context.Context, e *fleet.Engine, incarnation string) bool {
 	for try := 0; ; try++ {
-		stateCtx, cancel := context.WithTimeout(ctx, stateWait)
+		stateCtx, cancel := context.WithTimeout(ctx, stateTimeout)
 		state, err := e.State(stateCtx)
 		cancel()
-		if err != nil || life != "" && state.Incarnation != life {
+		if err != nil || incarnation != "" && state.Incarnation != incarnation {
 			e.Refresh()
 			return true
 		}
 		if try > 0 {
 			return false
 		}
-		wait(ctx, dyingWait)
+		sleep(ctx, crashRecheckDelay)
 	}
 }
 
-// settle exchanges evidence with the other entries. Requests that lost the
-// same engine share one exchange.
-func (d *Dispatcher) settle(ctx context.Context, c suspect.Crash) {
-	until := time.Now().Add(settleWait)
+// exchangeEvidence exchanges evidence with the other entries. Requests affected by the same crash
+// share one exchange.
+func (d *Dispatcher) exchangeEvidence(ctx context.Context, c suspect.Crash) {
+	deadline := time.Now().Add(evidenceWait)
 	_, _, _ = d.exchanges.Do(c.Endpoint+"\x00"+c.Incarnation, func() (any, error) {
-		d.exchange(ctx)
+		d.shareEvidence(ctx)
 		return nil, nil
 	})
-	wait(ctx, time.Until(until))
+	sleep(ctx, time.Until(deadline))
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -155,23 +161,24 @@
 	}
 }
 
-func strength(x *exposure) suspect.Strength {
+// strengthOf returns the strength of the evidence that a crash during the attempt gives.
+func strengthOf(exposure *crashExposure) suspect.Strength {
 	switch {
-	case x.verdict == suspect.Suspect:
+	case exposure.verdict == suspect.Suspect:
 		return suspect.Repeated
-	case x.progress:
+	case exposure.progressed:
 		return suspect.Progressed
 	}
 	return suspect.Fresh
 }
 
-// clear ends a suspicion that the attempt has outlived.
-func (s *session) clear(x *exposure) {
-	now := s.d.clk.Now()
-	if x.verdict != suspect.Suspect || now < x.clearAt {
+// clearSuspicion clears the request as a suspect once the attempt has run past clearAt.
+func (s *session) clearSuspicion(exposure *crashExposure) {
+	now := s.dispatcher.clk.Now()
+	if exposure.verdict != suspect.Suspect || now < exposure.clearAt {
 		return
 	}
-	s.d.suspects.Clear(now, s.print)
-	s.d.free(x.crash.Endpoint, s.print)
-	x.verdict = suspect.NotSuspected
+	s.dispatcher.suspects.Clear(now, s.fingerprint)
+	s.dispatcher.releaseIsolation(exposure.crash.Endpoint, s.fingerprint)
+	exposure.verdict = suspect.NotSuspected
 }
--- a/internal/entry/dispatch/outcome.go
+++ b/internal/entry/dispatch/outcome.go
@@ -9,12 +9,12 @@
 	"fescuestand/internal/policy/route"
 )
 
-// untouched tells that no engine or service has executed the work.
-func untouched(err error) bool {
+// notExecuted reports whether err means that no engine or service has executed the work.
+func notExecuted(err error) bool {
 	return errors.Is(err, driver.ErrNotSent) || errors.Is(err, driver.ErrRefused)
 }
 
-// outcomeOf tells the router what an error says of the endpoint.
+// outcomeOf returns the outcome that the router records for the endpoint.
 func outcomeOf(ctx context.Context, err error) route.Outcome {
 	switch {
 	case err == nil:
@@ -27,17 +27,17 @@
 	return route.Failed
 }
 
-// numbered turns the last error of a request into the caller's answer. touched
-// says whether any attempt of it may have been executed.
-func numbered(ctx context.Context, err error, touched, ran bool) *code.Error {
+// codeError converts the last error of a request into the caller's answer. maybeExecuted says
+// whether any of its attempts may have been executed, hasOutput whether one has produced output.
+func codeError(ctx context.Context, err error, maybeExecuted, hasOutput bool) *code.Error {
 	var e *code.Error
 	switch {
 	case errors.As(err, &e):
-	case errors.Is(err, errGuilty):
+	case errors.Is(err, errQuarantined):
 		e = code.Wrap(code.Poison, err, "given up")
 	case ctx.Err() != nil && errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		e = code.Wrap(code.DeadlineMissed, err, "the deadline passed while the work ran")
-		if !touched {
+		if !maybeExecuted {
 			e.Code = code.DeadlinePassed
 		}
 	case ctx.Err() != nil:
@@ -52,9 +52,9 @@
 		e = code.Wrap(code.EndpointCut, err, "the endpoint's answer broke off")
 	}
 	switch {
-	case ran || errors.Is(err, driver.ErrFailed):
+	case hasOutput || errors.Is(err, driver.ErrFailed):
 		return e.WithRun(code.Ran)
-	case touched:
+	case maybeExecuted:
 		return e.WithRun(code.Unknown)
 	}
 	return e.WithRun(code.NotRun)
--- a/internal/entry/dispatch/place.go
+++ b/internal/entry/dispatch/place.go
@@ -10,62 +10,65 @@
 	"fescuestand/internal/policy/suspect"
 )
 
-// place chooses where the next attempt goes, and counts it there.
-func (s *session) place(ctx context.Context) (*route.Decision, *exposure, error) {
-	giveUp := s.d.clk.Now().Add(placeWait)
+// place chooses the endpoint for the next attempt and counts the attempt as in flight there.
+func (s *session) place(ctx context.Context) (*route.Decision, *crashExposure, error) {
+	deadline := s.dispatcher.clk.Now().Add(placementTimeout)
 	exclude := s.exclude
 	for {
-		now := s.d.clk.Now()
-		verdict := s.d.suspects.Judge(now, s.print)
+		now := s.dispatcher.clk.Now()
+		verdict := s.dispatcher.suspects.Judge(now, s.fingerprint)
 		if verdict == suspect.Quarantined {
-			return nil, nil, errGuilty
+			return nil, nil, errQuarantined
 		}
-		d, err := s.pick(now, verdict, exclude)
+		decision, err := s.pickEndpoint(now, verdict, exclude)
 		if err == nil {
-			s.d.router.Sent(now, &d.Dispatch)
-			s.placed()
-			return d, s.expose(now, verdict, d), nil
+			s.dispatcher.router.Sent(now, &decision.Dispatch)
+			s.onDispatched()
+			return decision, s.newExposure(now, verdict, decision), nil
 		}
-		if now >= giveUp && verdict != suspect.Suspect {
+		if now >= deadline && verdict != suspect.Suspect {
 			return nil, nil, err
 		}
-		// Every other engine may be excluded or away; a short wait beats a
-		// refusal, and an excluded one is better than none. A suspect waits
-		// until an engine is free of others.
+		// Every other engine may be excluded or unavailable. A short wait is better than a refusal,
+		// and an excluded engine is better than none. A suspect waits until an engine is free of
+		// other suspects.
 		exclude = nil
-		if wait(ctx, placeStep); ctx.Err() != nil {
-			return nil, nil, endOf(ctx)
+		if sleep(ctx, placementRetryDelay); ctx.Err() != nil {
+			return nil, nil, contextEndError(ctx)
 		}
 	}
 }
 
-func (s *session) pick(now clock.Time, verdict suspect.Verdict, exclude []*route.Endpoint) (*route.Decision, error) {
+// pickEndpoint asks the router for an endpoint; a suspect runs isolated on a reserved engine.
+func (s *session) pickEndpoint(
+	now clock.Time, verdict suspect.Verdict, exclude []*route.Endpoint,
+) (*route.Decision, error) {
 	req := &route.Request{
 		Pool:      s.pool.Name,
-		Artifact:  route.Artifact{Model: s.g.Model, Version: s.g.Version, Adapter: s.g.Adapter},
-		Workspace: s.g.Workspace, Pieces: s.pieces, PromptTokens: len(s.g.Prompt) / bytesPerToken,
-		Exclude: exclude, Urgent: s.urgent, Prefilled: s.kv != nil,
+		Artifact:  route.Artifact{Model: s.req.Model, Version: s.req.Version, Adapter: s.req.Adapter},
+		Workspace: s.req.Workspace, Pieces: s.cacheBlocks, PromptTokens: len(s.req.Prompt) / bytesPerToken,
+		Exclude: exclude, Urgent: s.urgent, Prefilled: s.movedKV != nil,
 	}
 	if verdict == suspect.Suspect {
-		ep := s.d.isolate(s.print, s.pool.Name, exclude)
-		if ep == nil {
+		reserved := s.dispatcher.reserveForSuspect(s.fingerprint, s.pool.Name, exclude)
+		if reserved == nil {
 			return nil, code.New(code.NoEndpoint, "every engine holds another suspect")
 		}
-		req.Isolate, req.Exclude, req.Prefilled = true, s.d.others(s.pool.Name, ep), true
+		req.Isolate, req.Exclude, req.Prefilled = true, s.dispatcher.endpointsExcept(s.pool.Name, reserved), true
 	}
-	d, err := s.d.router.Pick(now, req)
+	decision, err := s.dispatcher.router.Pick(now, req)
 	if err != nil {
 		return nil, err
 	}
-	return &d, nil
+	return &decision, nil
 }
 
-// expose notes what a crash during the attempt would say of the request.
-func (s *session) expose(now clock.Time, verdict suspect.Verdict, d *route.Decision) *exposure {
-	x := &exposure{crash: suspect.Crash{Endpoint: d.Endpoint.Name}, began: now, verdict: verdict}
-	if e := s.engine(d); e != nil {
-		x.crash.Incarnation = e.Incarnation()
+// newExposure records what the evidence will need if the engine crashes during the attempt.
+func (s *session) newExposure(now clock.Time, verdict suspect.Verdict, decision *route.Decision) *crashExposure {
+	exposure := &crashExposure{crash: suspect.Crash{Endpoint: decision.Endpoint.Name}, began: now, verdict: verdict}
+	if e := s.engine(decision); e != nil {
+		exposure.crash.Incarnation = e.Incarnation()
 	}
-	x.clearAt = now.Add(time.Duration(clearFactor*float64(s.ran)) + clearMargin)
-	return x
+	exposure.clearAt = now.Add(time.Duration(clearFactor*float64(s.crashedRun)) + clearMargin)
+	return exposure
 }
