--- a/internal/commit/options.go
+++ b/internal/commit/options.go
@@ -39,9 +39,9 @@
 	// DefaultMaxOutcome bounds the answer kept with an outcome. A longer one
 	// reaches its own caller only.
 	DefaultMaxOutcome = 64 << 10
-	// LogMargin is added to the retention that the key window needs: the time
+	// RetentionMargin is added to the retention that the key window needs: the time
 	// that a node takes to read the whole stream at its start.
-	LogMargin = time.Minute
+	RetentionMargin = time.Minute
 )
 
 // Options configures a Committer. Zero fields get their defaults.
@@ -81,7 +81,7 @@
 // can bear: while a key may still be dispatched, no record of it may expire,
 // also on a node that starts now and reads the stream from its oldest offset.
 func WindowFor(retention time.Duration) time.Duration {
-	return retention - MaxClockSkew - LogMargin
+	return retention - MaxClockSkew - RetentionMargin
 }
 
 func (o *Options) setDefaults() {
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -51,7 +51,7 @@
 	s.RequireServing(p)
 	if commit.WindowFor(s.Commits.Retention.D()) <= 0 {
 		p.Add("commits.retention", code.BadSettings, "is %s; allowed: more than %s, or no commit could run",
-			s.Commits.Retention.D(), commit.MaxClockSkew+commit.LogMargin)
+			s.Commits.Retention.D(), commit.MaxClockSkew+commit.RetentionMargin)
 	}
 	if s.Commits.DispatchWithin <= 0 {
 		p.Add("commits.dispatch_within", code.BadSettings, "is %s; allowed: more than 0", s.Commits.DispatchWithin.D())
