--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -1,14 +1,21 @@
-// Package commit runs non-idempotent requests at most once.
+// Package commit runs non-idempotent requests (commits) at most once.
 //
-// An intent record is appended to the log before a request is dispatched. The
-// fold of the commits stream names one winner per idempotency key: the first
-// intent that is not void, in log order. Only the writer of the winner may
-// dispatch it, only after it has read its own intent back as the winner, and
-// only for a bounded time. The outcome is recorded after that, so that the same
-// key sent again through any entry gets the first outcome.
+// Problem: a caller that gets no answer retries its request, often through another entry, while the
+// first request may still be running there.
 //
-// At most one execution per key follows from the order of the log alone. No
-// clock takes part in it: the time limits decide only how long a key waits.
+// Approach:
+//
+//   - Each request carries an idempotency key. An intent record is appended to the log before the
+//     request is dispatched.
+//   - The fold of the commits stream determines one winner per key: the first intent in log order
+//     that is not void.
+//   - Only the writer of the winner may dispatch it, only after it has read its own intent back as
+//     the winner, and only for a bounded time.
+//   - The outcome is recorded afterwards, so that a retry with the same key through any entry gets
+//     the first outcome.
+//
+// Guarantees: at most one execution per key follows from the log order alone and doesn't depend on
+// clocks. The time limits only determine how long a key waits for its outcome.
 package commit
 
 import (
@@ -21,19 +28,19 @@
 	"fescuestand/internal/wire"
 )
 
-// Request is one sending of a non-idempotent operation.
+// Request is one use of a non-idempotent operation: the first request with its key or a retry.
 type Request struct {
 	Key       string
-	Issued    time.Time // of the key, as the caller states it
+	Issued    time.Time // when the caller says that it created the key
 	Service   string
 	Operation string
 	Body      []byte
-	// Resend says that the caller has sent the key before. Refusals that can't
-	// see the log then say unknown, since the earlier sending may have run.
+	// Resend says that the caller has sent the key before. A refusal that couldn't check the log
+	// then says unknown, because the earlier request may have run.
 	Resend bool
 }
 
-// hash tells whether two sendings of a key ask for the same thing.
+// hash identifies the operation and body, to detect a key that is reused for another request.
 func (r *Request) hash() uint64 {
 	d := xxhash.New()
 	for _, part := range []string{r.Service, r.Operation} {
@@ -53,14 +60,14 @@
 // Record is one entry of the commits stream, in log order.
 type Record struct {
 	Offset uint64
-	Time   time.Time // set by the log service, monotone
+	Time   time.Time // set by the log service, never decreasing
 	Writer string    // incarnation of the process that appended it
 	Entry  *wire.Entry
 }
 
-// Journal appends to the commits stream. ErrNotSent and ErrRefused of package
-// driver mean that the entry never gets into the log; any other error means
-// that it may be there or may still appear.
+// Journal appends to the commits stream. ErrNotSent and ErrRefused of package driver mean that the
+// entry never gets into the log; after any other error it may be in the log or still be added
+// later.
 type Journal interface {
 	Append(ctx context.Context, e *wire.Entry) (offset uint64, err error)
 }
@@ -74,10 +81,10 @@
 	Body      []byte
 }
 
-// Dispatcher sends a commit to one endpoint of its service. It may try another
-// endpoint only after ErrNotSent or ErrRefused, and asks permit before each.
-// Its error wraps one of the errors of package driver that say how far the
-// work got; an error that wraps none of them counts as sent.
+// Dispatcher sends a commit to one endpoint of its service. It may try another endpoint only after
+// ErrNotSent or ErrRefused, and calls permit before each try. Its error wraps one of the errors of
+// package driver that say how far the work got; an error that wraps none of them means that the
+// commit may have been sent.
 type Dispatcher interface {
 	Dispatch(ctx context.Context, c *Call, permit func() error) (body []byte, err error)
 }
--- a/internal/commit/committer.go
+++ b/internal/commit/committer.go
@@ -16,33 +16,33 @@
 
 // Committer runs commits for the callers of one process.
 type Committer struct {
-	o       Options
-	table   *Table
-	journal Journal
-	disp    Dispatcher
+	opts       Options
+	table      *Table
+	journal    Journal
+	dispatcher Dispatcher
 
-	ctx     context.Context // ends when the records of ended commits are given up
-	cancel  context.CancelFunc
-	pending sync.WaitGroup // commits under way and records still to be written
-	slots   chan struct{}  // one per commit under way
-	attempt atomic.Uint64
+	ctx      context.Context // canceled when Close stops waiting for records
+	cancel   context.CancelFunc
+	pending  sync.WaitGroup // running commits and records still to be appended
+	slots    chan struct{}  // one per running commit
+	attempts atomic.Uint64
 
-	mu    sync.Mutex
-	local map[string]chan struct{} // keys with a commit of this process under way
+	mu         sync.Mutex
+	inProgress map[string]chan struct{} // closed when this process's commit of the key ends
 }
 
-// New returns a Committer. Close must be called after the last Do.
-func New(o Options, t *Table, j Journal, d Dispatcher) *Committer {
-	o.setDefaults()
+// New returns a Committer. Close must be called after the last Do has returned.
+func New(opts Options, t *Table, j Journal, d Dispatcher) *Committer {
+	opts.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Committer{
-		o: o, table: t, journal: j, disp: d, ctx: ctx, cancel: cancel,
-		slots: make(chan struct{}, o.MaxPending), local: map[string]chan struct{}{},
+		opts: opts, table: t, journal: j, dispatcher: d, ctx: ctx, cancel: cancel,
+		slots: make(chan struct{}, opts.MaxPending), inProgress: map[string]chan struct{}{},
 	}
 }
 
-// Close waits until every outcome and void is in the log, or until ctx ends.
-// What isn't recorded then is unknown to resends, never run again.
+// Close waits until every outcome and void is in the log, or until ctx ends. An outcome that isn't
+// recorded by then is unknown to retries, which never run the commit again.
 func (c *Committer) Close(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -57,56 +57,57 @@
 	<-done
 }
 
-// Pending returns the number of commits under way.
+// Pending returns the number of running commits.
 func (c *Committer) Pending() int { return len(c.slots) }
 
-// Do runs r at most once, over all processes and sendings of its key. The
-// error is a *code.Error, whose Run says not-run only if neither this sending
-// nor, for a resend, any earlier one was executed.
+// Do runs r at most once, over all processes and all requests with its key. The error is a
+// *code.Error, whose Run is not-run only if neither this request nor, for a retry, any earlier one
+// was executed.
 //
-// ctx carries the caller's deadline. A caller that goes away doesn't stop a
-// commit that was dispatched: its resend will want the outcome.
+// ctx carries the caller's deadline. A disconnected caller doesn't cancel a commit that was
+// dispatched, because its retry will need the outcome.
 func (c *Committer) Do(ctx context.Context, r *Request) (Answer, error) {
 	for {
-		c.awaitFirst(ctx, r)
-		ans, done, err := c.fromTable(r)
+		c.awaitOutcome(ctx, r)
+		ans, done, err := c.answerFromTable(r)
 		if done {
 			return ans, err
 		}
-		release, busy := c.enter(r.Key)
+		release, busy := c.reserveKey(r.Key)
 		if release != nil {
 			defer release()
-			return c.first(ctx, r)
+			return c.propose(ctx, r)
 		}
 		select {
 		case <-busy:
 		case <-ctx.Done():
-			return Answer{}, c.running("another sending of the key is under way on this VM")
+			return Answer{}, c.runningError("another sending of the key is under way on this VM")
 		}
 	}
 }
 
-// enter reserves key for one commit of this process at a time, which saves the
-// intents that a storm of resends would append only to lose.
-func (c *Committer) enter(key string) (release func(), busy chan struct{}) {
+// reserveKey reserves key for one commit of this process at a time. During a storm of retries this
+// avoids appending intents that would lose. If the key is reserved already, busy is closed when the
+// reservation ends.
+func (c *Committer) reserveKey(key string) (release func(), busy chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if ch, ok := c.local[key]; ok {
+	if ch, ok := c.inProgress[key]; ok {
 		return nil, ch
 	}
 	ch := make(chan struct{})
-	c.local[key] = ch
+	c.inProgress[key] = ch
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		delete(c.local, key)
+		delete(c.inProgress, key)
 		close(ch)
 	}, nil
 }
 
-// first appends an intent and goes on as the log decides.
-func (c *Committer) first(ctx context.Context, r *Request) (Answer, error) {
-	if err := c.admit(r); err != nil {
+// propose appends an intent and continues according to its verdict in the log.
+func (c *Committer) propose(ctx context.Context, r *Request) (Answer, error) {
+	if err := c.acquireSlot(r); err != nil {
 		return Answer{}, err
 	}
 	defer func() { <-c.slots }()
@@ -114,26 +115,26 @@
 	defer c.pending.Done()
 
 	p := &proposal{
-		req:     r,
-		attempt: fmt.Sprintf("%s.%d", c.o.Writer, c.attempt.Add(1)),
-		start:   c.o.Clock.Now(),
+		req:         r,
+		attempt:     fmt.Sprintf("%s.%d", c.opts.Writer, c.attempts.Add(1)),
+		appendStart: c.opts.Clock.Now(),
 	}
-	limited, cancel := context.WithTimeout(ctx, c.o.DispatchWithin)
+	dispatchCtx, cancel := context.WithTimeout(ctx, c.opts.DispatchWithin)
 	defer cancel()
-	offset, err := c.journal.Append(limited, p.intent())
+	offset, err := c.journal.Append(dispatchCtx, p.intent())
 	if neverAppended(err) {
-		return Answer{}, c.logDown(r, err)
+		return Answer{}, c.appendError(r, err)
 	}
 	p.offset = offset
-	return c.afterAppend(ctx, limited, p, err)
+	return c.afterAppend(ctx, dispatchCtx, p, err)
 }
 
 // proposal is one intent of this process.
 type proposal struct {
-	req     *Request
-	attempt string
-	start   clock.Time // before the append
-	offset  uint64     // 0 if the append's answer was lost
+	req         *Request
+	attempt     string
+	appendStart clock.Time // time before the append
+	offset      uint64     // 0 if the append's answer was lost
 }
 
 func (p *proposal) intent() *wire.Entry {
@@ -144,85 +145,89 @@
 	}}}
 }
 
-// neverAppended tells that an entry is not in the log and never will be.
+// neverAppended reports whether err means that an entry is not in the log and never will be.
 func neverAppended(err error) bool {
 	return errors.Is(err, driver.ErrNotSent) || errors.Is(err, driver.ErrRefused)
 }
 
-// afterAppend reads the intent back, also when the append's answer was lost:
-// it may have taken effect, and then the commit goes on as if nothing happened.
-func (c *Committer) afterAppend(ctx, limited context.Context, p *proposal, appendErr error) (Answer, error) {
-	v := Won
-	if !c.o.off.readBack {
-		v, _ = c.table.Verdict(limited, p.req.Key, p.attempt)
+// afterAppend reads the intent back and dispatches the commit if the intent won. It also does so if
+// the append's answer was lost, because the append may have taken effect. If the verdict or the
+// dispatch comes too late, the commit is abandoned.
+func (c *Committer) afterAppend(ctx, dispatchCtx context.Context, p *proposal, appendErr error) (Answer, error) {
+	verdict := Won
+	if !c.opts.disabled.readBack {
+		verdict, _ = c.table.Verdict(dispatchCtx, p.req.Key, p.attempt)
 	}
 	switch {
-	case v == Lost:
-		return c.behind(ctx, p.req)
-	case v == Won && c.inTime(p) == nil:
-		return c.run(ctx, p)
+	case verdict == Lost:
+		return c.answerLosingIntent(ctx, p.req)
+	case verdict == Won && c.checkDispatchTime(p) == nil:
+		return c.dispatchWinner(ctx, p)
 	}
-	return Answer{}, c.giveUp(ctx, p, appendErr)
+	return Answer{}, c.abandon(ctx, p, appendErr)
 }
 
-// inTime is asked immediately before each dispatch. A process that was frozen
-// after its append (SIGSTOP, a suspended VM) wakes when its caller and all
-// others have long given the key up; the boot clock counts the time it slept,
-// so that it sees this and voids instead. Should it freeze between this check
-// and the send, the commit still runs at most once, only late: no other may
+// checkDispatchTime returns an error if it is too late to dispatch p. It is called immediately
+// before each dispatch.
+//
+// A process that was frozen after its append (SIGSTOP, a suspended VM) may resume long after its
+// caller and all other entries stopped waiting for the key. The boot-time clock includes the
+// suspended time, so that the process notices this and voids its intent. If it freezes between this
+// check and the send, the commit still runs at most once, only late, because no other process may
 // dispatch the key.
-func (c *Committer) inTime(p *proposal) error {
-	if c.o.off.timeLimit {
+func (c *Committer) checkDispatchTime(p *proposal) error {
+	if c.opts.disabled.timeLimit {
 		return nil
 	}
-	if d := c.o.Clock.Now().Sub(p.start); d > c.o.DispatchWithin {
+	if d := c.opts.Clock.Now().Sub(p.appendStart); d > c.opts.DispatchWithin {
 		return fmt.Errorf("%w: %v after its intent the time to dispatch is over", driver.ErrNotSent, d)
 	}
 	return nil
 }
 
-// awaitFirst waits a while for the outcome of the key's first use, if that is
-// under way: most commits end within their caller's deadline, and the wait
-// spares the caller another resend.
-func (c *Committer) awaitFirst(ctx context.Context, r *Request) {
+// awaitOutcome waits for the outcome of the key's first use, for at most ReplayTimeout, if that use
+// is running. Most commits end within their caller's deadline, and the wait saves the caller
+// another retry.
+func (c *Committer) awaitOutcome(ctx context.Context, r *Request) {
 	e := c.table.Lookup(r.Key)
-	if e.Winner == nil || e.Outcome != nil || e.Winner.Hash != r.hash() || c.lost(e) {
+	if e.Winner == nil || e.Outcome != nil || e.Winner.Hash != r.hash() || c.timedOut(e) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.o.ReplayWait)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ReplayTimeout)
 	defer cancel()
-	// What the wait has brought shows in the table.
+	// The caller reads the result from the table.
 	_, _ = c.table.AwaitOutcome(ctx, r.Key)
 }
 
-// lost tells that a first use without an outcome is taken for unknown.
-func (c *Committer) lost(e Entry) bool {
-	return c.o.Clock.Now().Sub(e.Seen) >= c.o.RunningFor
+// timedOut reports whether the first use has had no outcome for so long that its execution counts
+// as unknown.
+func (c *Committer) timedOut(e KeyStatus) bool {
+	return c.opts.Clock.Now().Sub(e.WinnerReadAt) >= c.opts.RunningTimeout
 }
 
-// behind answers a sending that found another intent ahead of its own.
-func (c *Committer) behind(ctx context.Context, r *Request) (Answer, error) {
-	c.awaitFirst(ctx, r)
-	ans, done, err := c.fromTable(r)
+// answerLosingIntent answers a request whose intent came after another one of the key.
+func (c *Committer) answerLosingIntent(ctx context.Context, r *Request) (Answer, error) {
+	c.awaitOutcome(ctx, r)
+	ans, done, err := c.answerFromTable(r)
 	if done {
 		return ans, err
 	}
-	return Answer{}, c.running("another sending of the key was ahead and was given up")
+	return Answer{}, c.runningError("another sending of the key was ahead and was given up")
 }
 
-// Status returns the recorded outcome of key: what a resend would get.
+// Status returns the recorded outcome of key, as a retry would get it.
 func (c *Committer) Status(key string) (Answer, error) {
 	if !c.table.Ready() {
-		return Answer{}, c.notReady().WithRun(code.Unknown)
+		return Answer{}, c.notReadyError().WithRun(code.Unknown)
 	}
 	e := c.table.Lookup(key)
 	if e.Winner == nil {
 		return Answer{}, code.New(code.CommitNotFound, "no commit with key %q within the window", key).WithRun(code.Unknown)
 	}
-	return c.replay(e)
+	return c.replayOutcome(e)
 }
 
-// Window returns the age up to which a key may run.
+// Window returns the maximum age at which a key may run.
 func (c *Committer) Window() time.Duration {
-	return min(c.o.Window(), c.o.MaxWindow)
+	return min(c.opts.Window(), c.opts.MaxWindow)
 }
--- a/internal/commit/fakes_test.go
+++ b/internal/commit/fakes_test.go
@@ -12,19 +12,20 @@
 	"fescuestand/internal/wire"
 )
 
+// simLog is a log service with faults.
 type simLog struct {
-	chance
+	faultSource
 	faults
 	began time.Time
 
-	mu      sync.Mutex
-	records []*Record
-	grown   chan struct{}
-	appends int
+	mu       sync.Mutex
+	records  []*Record
+	appended chan struct{}
+	appends  int
 }
 
 func newSimLog(seed uint64, f faults) *simLog {
-	return &simLog{chance: chance{seed}, faults: f, began: time.Now(), grown: make(chan struct{})}
+	return &simLog{faultSource: faultSource{seed}, faults: f, began: time.Now(), appended: make(chan struct{})}
 }
 
 func (l *simLog) add(writer string, e *wire.Entry) uint64 {
@@ -32,62 +33,62 @@
 	defer l.mu.Unlock()
 	r := &Record{Offset: uint64(len(l.records) + 1), Time: time.Now(), Writer: writer, Entry: e}
 	l.records = append(l.records, r)
-	close(l.grown)
-	l.grown = make(chan struct{})
+	close(l.appended)
+	l.appended = make(chan struct{})
 	return r.Offset
 }
 
 func (l *simLog) down() bool {
 	d := time.Since(l.began)
-	return d >= l.downFrom && d < l.downTill
+	return d >= l.downFrom && d < l.downUntil
 }
 
 func (l *simLog) append(ctx context.Context, writer string, e *wire.Entry) (uint64, error) {
 	l.mu.Lock()
 	l.appends++
-	rng := l.at(fmt.Sprint(writer, l.appends))
+	rng := l.rng(fmt.Sprint(writer, l.appends))
 	l.mu.Unlock()
 	time.Sleep(time.Duration(1+rng.IntN(20)) * time.Millisecond)
 	x := rng.Float64()
-	take := func(share float64) bool {
+	occurs := func(share float64) bool {
 		x -= share
 		return x < 0
 	}
 	switch {
 	case l.down():
 		return 0, driver.ErrNotSent
-	case take(l.notSent):
+	case occurs(l.notSent):
 		return 0, driver.ErrNotSent
-	case take(l.refused):
+	case occurs(l.refused):
 		return 0, driver.ErrRefused
-	case take(l.lostAfter):
+	case occurs(l.answerLost):
 		l.add(writer, e)
 		return 0, driver.ErrCut
-	case take(l.lostBefore):
+	case occurs(l.requestLost):
 		return 0, driver.ErrCut
-	case take(l.late):
-		wait := time.Duration(rng.Int64N(int64(l.maxLate)))
+	case occurs(l.delayed):
+		wait := time.Duration(rng.Int64N(int64(l.maxDelay)))
 		time.AfterFunc(wait, func() { l.add(writer, e) })
 		return 0, driver.ErrCut
 	}
 	return l.add(writer, e), ctx.Err()
 }
 
-// follow feeds the log to one node's table, with a lag.
-func (l *simLog) follow(ctx context.Context, t *Table, lag *atomic.Int64) {
+// replicate applies the log's records to one node's table, delayed by lag.
+func (l *simLog) replicate(ctx context.Context, t *Table, lag *atomic.Int64) {
 	for next := 0; ; {
 		l.mu.Lock()
-		fresh, grown := l.records[next:], l.grown
+		newRecords, appended := l.records[next:], l.appended
 		l.mu.Unlock()
 		if !l.down() {
 			sleep(ctx, time.Duration(lag.Load()))
-			for _, r := range fresh {
+			for _, r := range newRecords {
 				t.Apply(r)
 			}
-			next += len(fresh)
+			next += len(newRecords)
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-time.After(time.Second):
 		case <-ctx.Done():
 			return
@@ -102,73 +103,74 @@
 	}
 }
 
-// patience is how long a caller waits for a dead connection.
-const patience = 4 * time.Second
+// callerTimeout is how long a caller waits on a connection without an answer.
+const callerTimeout = 4 * time.Second
 
-type sendingKey struct{}
+type requestKey struct{}
 
-// execution is one effect of the service.
+// execution is one execution of a commit by the service.
 type execution struct {
 	key, attempt, value string
-	sending             int
-	at                  int64
+	request             int
+	executedAt          int64
 }
 
+// simService is a plain service with faults that records its executions.
 type simService struct {
-	chance
+	faultSource
 	faults
-	tick *atomic.Int64
+	logicalClock *atomic.Int64
 
-	mu    sync.Mutex
-	calls int
-	done  []execution
+	mu      sync.Mutex
+	calls   int
+	history []execution
 }
 
 func (s *simService) executions() []execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.done)
+	return slices.Clone(s.history)
 }
 
 func (s *simService) execute(ctx context.Context, c *Call) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sending, _ := ctx.Value(sendingKey{}).(int)
-	e := execution{key: c.Key, attempt: c.Attempt, sending: sending, at: s.tick.Add(1)}
-	e.value = fmt.Sprintf("done %s by %s #%d", c.Key, c.Attempt, len(s.done))
-	s.done = append(s.done, e)
+	request, _ := ctx.Value(requestKey{}).(int)
+	e := execution{key: c.Key, attempt: c.Attempt, request: request, executedAt: s.logicalClock.Add(1)}
+	e.value = fmt.Sprintf("done %s by %s #%d", c.Key, c.Attempt, len(s.history))
+	s.history = append(s.history, e)
 	return e.value
 }
 
 func (s *simService) call(ctx context.Context, c *Call) ([]byte, error) {
 	s.mu.Lock()
 	s.calls++
-	rng := s.at(fmt.Sprint(c.Key, s.calls))
+	rng := s.rng(fmt.Sprint(c.Key, s.calls))
 	s.mu.Unlock()
 	time.Sleep(time.Duration(1+rng.IntN(30)) * time.Millisecond)
 	x := rng.Float64()
-	take := func(share float64) bool {
+	occurs := func(share float64) bool {
 		x -= share
 		return x < 0
 	}
 	switch {
-	case take(s.notSent):
+	case occurs(s.notSent):
 		return nil, fmt.Errorf("dial: %w", driver.ErrNotSent)
-	case take(s.refused):
+	case occurs(s.refused):
 		return nil, driver.ErrRefused
-	case take(s.lostAfter):
+	case occurs(s.answerLost):
 		s.execute(ctx, c)
 		return nil, driver.ErrCut
-	case take(s.lostBefore):
+	case occurs(s.requestLost):
 		return nil, driver.ErrCut
-	case take(s.late):
-		wait := time.Duration(rng.Int64N(int64(s.maxLate)))
+	case occurs(s.delayed):
+		wait := time.Duration(rng.Int64N(int64(s.maxDelay)))
 		time.AfterFunc(wait, func() { s.execute(ctx, c) })
 		return nil, driver.ErrCut
-	case take(s.crossed):
+	case occurs(s.wrongAnswer):
 		s.execute(ctx, c)
 		return nil, driver.ErrBadAnswer
-	case take(s.failed):
+	case occurs(s.failed):
 		s.execute(ctx, c)
 		return nil, fmt.Errorf("500: %w", driver.ErrFailed)
 	}
--- a/internal/commit/fold.go
+++ b/internal/commit/fold.go
@@ -8,20 +8,20 @@
 	"fescuestand/internal/wire"
 )
 
-// MaxClockSkew is how far a key's issue time may lie ahead of the log's clock. A
-// caller's clock kept by NTP is off by far less; the bound keeps a wrong clock
-// from pinning a key in every node's memory.
+// MaxClockSkew is how far a key's issue time may be ahead of the log's clock. The skew of a
+// caller's clock kept by NTP is far smaller; the bound prevents a wrong clock from keeping a key in
+// every node's memory.
 const MaxClockSkew = time.Minute
 
-// Verdict is what the log says of one intent.
+// Verdict is the decision on one intent that follows from the log.
 type Verdict int
 
-// The verdicts. All but Pending are final, but that a winner may be voided.
+// The verdicts. All except Pending are final, except that a winner may still be voided.
 const (
 	Pending Verdict = iota // not read back yet
 	Won                    // the key's winner
-	Lost                   // another intent was the winner at this one's place
-	Voided                 // made harmless by its writer
+	Lost                   // another intent was the winner at this point of the log
+	Voided                 // revoked by its writer, who will not dispatch it
 )
 
 // Intent is the winner of a key.
@@ -44,84 +44,83 @@
 	Body    []byte
 }
 
-// keyState is what the fold knows of one key.
+// keyState is the fold's state of one key.
 type keyState struct {
-	winner   *Intent
-	outcome  *Outcome
-	verdicts map[string]Verdict // by attempt
-	voidedBy map[string]string  // writer of a void by attempt, until its intent comes
-	last     time.Time          // of the newest record, by the log's clock
-
-	// seen is when this process read the winner seenAttempt. The table keeps
-	// it; the fold itself reads no clock.
-	seen        clock.Time
-	seenAttempt string
+	winner       *Intent
+	outcome      *Outcome
+	verdicts     map[string]Verdict // by attempt
+	voidedBy     map[string]string  // writer of a void whose intent has not been read, by attempt
+	lastRecordAt time.Time          // of the newest record, by the log's clock
+
+	// winnerReadAt is when this process read the winner, whose attempt is readAttempt. The table
+	// sets both; the fold itself reads no clock.
+	winnerReadAt clock.Time
+	readAttempt  string
 }
 
-// forgetting is a key whose state is dropped when its time has come.
-type forgetting struct {
-	key  string
-	last time.Time
+// expiry is an entry of the expiration queue. The key expires unless it has a newer record.
+type expiry struct {
+	key          string
+	lastRecordAt time.Time
 }
 
-// Fold is the state that a prefix of the commits stream gives. It is
-// deterministic, and a record that comes twice changes nothing the second time.
+// Fold is the state computed from a prefix of the commits stream. It is deterministic, and applying
+// a record a second time changes nothing.
 type Fold struct {
-	keep    time.Duration
-	keys    map[string]*keyState
-	order   []forgetting // by record time, which is monotone
-	now     time.Time    // newest record time
-	applied uint64       // newest offset
+	retention     time.Duration
+	keys          map[string]*keyState
+	expiries      []expiry  // ordered by record time, which never decreases
+	logTime       time.Time // newest record time
+	appliedOffset uint64    // newest offset
 }
 
-// NewFold returns an empty fold that remembers a key for keep after its last
-// record. keep must be at least the longest age at which this process still
-// dispatches a key, plus MaxAhead: a key that could be forgotten while it may
-// still be dispatched would run twice.
-func NewFold(keep time.Duration) *Fold {
-	return &Fold{keep: keep, keys: map[string]*keyState{}}
+// NewFold returns an empty fold that keeps a key for retention after its last record. retention
+// must be at least the maximum age at which this process still dispatches a key, plus MaxClockSkew:
+// a key that expired while it could still be dispatched could run twice.
+func NewFold(retention time.Duration) *Fold {
+	return &Fold{retention: retention, keys: map[string]*keyState{}}
 }
 
 // Apply adds one record and returns the key that it changed, "" for none.
 func (f *Fold) Apply(r *Record) string {
-	f.applied = max(f.applied, r.Offset)
-	if r.Time.After(f.now) {
-		f.now = r.Time
+	f.appliedOffset = max(f.appliedOffset, r.Offset)
+	if r.Time.After(f.logTime) {
+		f.logTime = r.Time
 	}
 	key := f.apply(r)
 	if key != "" {
-		f.touch(key)
+		f.recordChange(key)
 	}
-	f.forget()
+	f.expireKeys()
 	return key
 }
 
 func (f *Fold) apply(r *Record) string {
 	switch k := r.Entry.GetKind().(type) {
 	case *wire.Entry_Intent:
-		f.intent(r, k.Intent)
+		f.applyIntent(r, k.Intent)
 		return k.Intent.GetKey()
 	case *wire.Entry_Void:
-		f.void(r, k.Void)
+		f.applyVoid(r, k.Void)
 		return k.Void.GetKey()
 	case *wire.Entry_Outcome:
-		f.outcome(r, k.Outcome)
+		f.applyOutcome(r, k.Outcome)
 		return k.Outcome.GetKey()
 	}
 	return ""
 }
 
-// intent decides an intent's verdict at its place in the log. An intent that
-// finds another winner is lost for good, also when that winner is voided later:
-// its writer may have answered its caller meanwhile.
-func (f *Fold) intent(r *Record, in *wire.Intent) {
+// applyIntent decides an intent's verdict from the records before it. An intent that comes after a
+// winner stays lost even if the winner is voided later, because its writer may have answered its
+// caller in the meantime.
+func (f *Fold) applyIntent(r *Record, in *wire.Intent) {
 	s := f.state(in.GetKey())
 	attempt := in.GetAttempt()
 	if s.verdicts[attempt] != Pending {
 		return
 	}
 	if s.voidedBy[attempt] == r.Writer {
-		// The late intent of a lost answer: its void came first.
+		// The append's answer was lost, and the void was appended before the intent.
 		s.verdicts[attempt] = Voided
 		delete(s.voidedBy, attempt)
 		return
@@ -138,9 +137,9 @@
 	}
 }
 
-// void takes a void only from the intent's own writer, since nobody else can
-// know that the intent was not dispatched.
-func (f *Fold) void(r *Record, v *wire.Void) {
+// applyVoid accepts a void only from the intent's own writer, because no other process can know
+// that the intent was not dispatched.
+func (f *Fold) applyVoid(r *Record, v *wire.Void) {
 	s := f.state(v.GetKey())
 	attempt := v.GetAttempt()
 	switch s.verdicts[attempt] {
@@ -158,7 +157,8 @@
 	}
 }
 
-func (f *Fold) outcome(r *Record, o *wire.Outcome) {
+// applyOutcome accepts the first outcome of the winner from the winner's writer.
+func (f *Fold) applyOutcome(r *Record, o *wire.Outcome) {
 	s := f.state(o.GetKey())
 	w := s.winner
 	if w == nil || s.outcome != nil || w.Attempt != o.GetAttempt() || w.Writer != r.Writer {
@@ -179,22 +179,23 @@
 	return s
 }
 
-func (f *Fold) touch(key string) {
-	f.keys[key].last = f.now
-	f.order = append(f.order, forgetting{key: key, last: f.now})
+// recordChange sets the time of the key's newest record and queues the key to expire.
+func (f *Fold) recordChange(key string) {
+	f.keys[key].lastRecordAt = f.logTime
+	f.expiries = append(f.expiries, expiry{key: key, lastRecordAt: f.logTime})
 }
 
-// forget drops the keys whose last record is older than keep.
-func (f *Fold) forget() {
+// expireKeys deletes the keys whose last record is older than the retention.
+func (f *Fold) expireKeys() {
 	n := 0
-	for n < len(f.order) && f.now.Sub(f.order[n].last) > f.keep {
-		one := f.order[n]
-		if s := f.keys[one.key]; s != nil && s.last.Equal(one.last) {
-			delete(f.keys, one.key)
+	for n < len(f.expiries) && f.logTime.Sub(f.expiries[n].lastRecordAt) > f.retention {
+		oldest := f.expiries[n]
+		if s := f.keys[oldest.key]; s != nil && s.lastRecordAt.Equal(oldest.lastRecordAt) {
+			delete(f.keys, oldest.key)
 		}
 		n++
 	}
 	if n > 0 {
-		f.order = f.order[n:]
+		f.expiries = f.expiries[n:]
 	}
 }
--- a/internal/commit/history_test.go
+++ b/internal/commit/history_test.go
@@ -15,7 +15,7 @@
 	"fescuestand/internal/code"
 )
 
-// event is one operation of the history: a caller's sending or an execution.
+// event is the input of one operation in the history: a caller's request or an execution.
 type event struct {
 	kind kind
 	key  string
@@ -28,16 +28,17 @@
 	executed
 )
 
-// said is what a sending was answered, or the value of an execution.
-type said struct {
+// requestResult is the output of one operation in the history: the answer to a request, or the value of an
+// execution.
+type requestResult struct {
 	run   code.Run
 	code  code.Code
 	value string
 }
 
-// commitModel is a key's life: not executed, or executed once with one value.
-// A sending answered ran must carry that value; one answered not-run must have
-// a moment within its own time at which the key was not executed.
+// commitModel is the sequential model of a key: not executed, or executed once with one value. A
+// request answered ran must carry that value; for one answered not-run there must be a moment
+// during the request at which the key was not executed.
 var commitModel = porcupine.Model{
 	Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -53,7 +54,7 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		value, out := state.(string), output.(said)
+		value, out := state.(string), output.(requestResult)
 		if input.(event).kind == executed {
 			return value == "", out.value
 		}
@@ -67,62 +68,62 @@
 	},
 }
 
-// world is one simulated run with its history.
-type world struct {
-	log   *simLog
-	svc   *simService
-	nodes []*simNode
-	tick  atomic.Int64
-
-	mu       sync.Mutex
-	ops      []porcupine.Operation
-	notRun   map[int]bool // sendings answered not-run
-	sendings int
-	counts   map[string]int
+// simulation is one simulated run with its history.
+type simulation struct {
+	log          *simLog
+	svc          *simService
+	nodes        []*simNode
+	logicalClock atomic.Int64
+
+	mu             sync.Mutex
+	ops            []porcupine.Operation
+	answeredNotRun map[int]bool // requests answered not-run, by number
+	requests       int
+	counts         map[string]int
 }
 
-func newWorld(seed uint64, nodes int, o Options, logFaults, svcFaults faults) *world {
-	w := &world{notRun: map[int]bool{}, counts: map[string]int{}}
-	w.log = newSimLog(seed, logFaults)
-	w.svc = &simService{chance: chance{seed}, faults: svcFaults, tick: &w.tick}
+func newSimulation(seed uint64, nodes int, o Options, logFaults, svcFaults faults) *simulation {
+	sim := &simulation{answeredNotRun: map[int]bool{}, counts: map[string]int{}}
+	sim.log = newSimLog(seed, logFaults)
+	sim.svc = &simService{faultSource: faultSource{seed}, faults: svcFaults, logicalClock: &sim.logicalClock}
 	for i := range nodes {
-		w.nodes = append(w.nodes, newSimNode(strings.Repeat("n", i+1), w.log, w.svc, o))
+		sim.nodes = append(sim.nodes, newSimNode(strings.Repeat("n", i+1), sim.log, sim.svc, o))
 	}
-	return w
+	return sim
 }
 
-// send is one sending of a caller with its place in the history.
-func (w *world) send(n *simNode, r *Request, deadline time.Duration) said {
-	w.mu.Lock()
-	w.sendings++
-	id := w.sendings
-	w.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.WithValue(context.Background(), sendingKey{}, id), deadline)
+// send sends one request to node n and adds it to the history.
+func (sim *simulation) send(n *simNode, r *Request, deadline time.Duration) requestResult {
+	sim.mu.Lock()
+	sim.requests++
+	id := sim.requests
+	sim.mu.Unlock()
+	ctx, cancel := context.WithTimeout(context.WithValue(context.Background(), requestKey{}, id), deadline)
 	defer cancel()
-	call := w.tick.Add(1)
+	call := sim.logicalClock.Add(1)
 	ans, err := n.send(ctx, r)
-	out := said{run: code.Ran, code: ans.Code, value: string(ans.Body)}
+	out := requestResult{run: code.Ran, code: ans.Code, value: string(ans.Body)}
 	if err != nil {
 		e := code.Of(err)
-		out = said{run: e.Run, code: e.Code}
+		out = requestResult{run: e.Run, code: e.Code}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ops = append(w.ops, porcupine.Operation{
-		ClientId: id, Input: event{sent, r.Key}, Call: call, Output: out, Return: w.tick.Add(1),
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.ops = append(sim.ops, porcupine.Operation{
+		ClientId: id, Input: event{sent, r.Key}, Call: call, Output: out, Return: sim.logicalClock.Add(1),
 	})
-	w.notRun[id] = out.run == code.NotRun
-	w.counts[fmt.Sprintf("%s/%s", out.code, out.run)]++
+	sim.answeredNotRun[id] = out.run == code.NotRun
+	sim.counts[fmt.Sprintf("%s/%s", out.code, out.run)]++
 	return out
 }
 
-// caller sends a key until its answer is final, to one node after the other.
-func (w *world) caller(key string, first, tries int) {
+// caller sends a key to one node after the other until the answer is ran.
+func (sim *simulation) caller(key string, first, tries int) {
 	r := &Request{Key: key, Issued: time.Now(), Service: "lantern", Operation: "topup", Body: []byte(key)}
 	for i := range tries {
 		again := *r
 		again.Resend = i > 0
-		out := w.send(w.nodes[(first+i)%len(w.nodes)], &again, 3*time.Second)
+		out := sim.send(sim.nodes[(first+i)%len(sim.nodes)], &again, 3*time.Second)
 		if out.run == code.Ran {
 			return
 		}
@@ -130,50 +131,53 @@
 	}
 }
 
-// finish lets late things happen, ends the nodes and judges the history.
-func (w *world) finish(settle time.Duration) []string {
+// finish waits for delayed effects, stops the nodes and returns the violations in the history.
+func (sim *simulation) finish(settle time.Duration) []string {
 	time.Sleep(settle)
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		n.c.Close(ctx)
 		cancel()
 		n.stop()
 	}
-	time.Sleep(2 * time.Second) // followers end
+	time.Sleep(2 * time.Second) // until the goroutines that replicate the log have ended
 	synctest.Wait()
-	return w.judge()
+	return sim.findViolations()
 }
 
-func (w *world) judge() []string {
-	var bad []string
+// findViolations returns the keys that were executed twice, executions that were answered not-run,
+// and the result of checking the history against commitModel.
+func (sim *simulation) findViolations() []string {
+	var violations []string
 	times := map[string]int{}
-	for _, e := range w.svc.executions() {
+	for _, e := range sim.svc.executions() {
 		times[e.key]++
 		if times[e.key] == 2 {
-			bad = append(bad, "executed twice: "+e.key)
+			violations = append(violations, "executed twice: "+e.key)
 		}
-		if w.notRun[e.sending] {
-			bad = append(bad, fmt.Sprintf("executed though answered not-run: %s", e.attempt))
+		if sim.answeredNotRun[e.request] {
+			violations = append(violations, fmt.Sprintf("executed though answered not-run: %s", e.attempt))
 		}
-		w.ops = append(w.ops, porcupine.Operation{
-			ClientId: 1 << 20, Input: event{executed, e.key}, Call: e.at, Output: said{value: e.value}, Return: e.at,
+		sim.ops = append(sim.ops, porcupine.Operation{
+			ClientId: 1 << 20, Input: event{executed, e.key},
+			Call: e.executedAt, Output: requestResult{value: e.value}, Return: e.executedAt,
 		})
 	}
-	if r := porcupine.CheckOperationsTimeout(commitModel, w.ops, 20*time.Second); r != porcupine.Ok {
-		bad = append(bad, "history: "+string(r))
+	if r := porcupine.CheckOperationsTimeout(commitModel, sim.ops, 20*time.Second); r != porcupine.Ok {
+		violations = append(violations, "history: "+string(r))
 	}
-	return bad
+	return violations
 }
 
-// simulate runs play in a bubble of fake time and returns what is wrong.
-func simulate(t *testing.T, seed uint64, o Options, logFaults, svcFaults faults, play func(w *world)) []string {
+// simulate executes run under the fake time of testing/synctest and returns the violations.
+func simulate(t *testing.T, seed uint64, o Options, logFaults, svcFaults faults, run func(sim *simulation)) []string {
 	t.Helper()
-	var bad []string
+	var violations []string
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(seed, 3, o, logFaults, svcFaults)
-		play(w)
-		bad = w.finish(time.Minute)
-		t.Logf("seed %d: %d executions, %d appends, %v", seed, len(w.svc.executions()), w.log.appends, w.counts)
+		sim := newSimulation(seed, 3, o, logFaults, svcFaults)
+		run(sim)
+		violations = sim.finish(time.Minute)
+		t.Logf("seed %d: %d executions, %d appends, %v", seed, len(sim.svc.executions()), sim.log.appends, sim.counts)
 	})
-	return bad
+	return violations
 }
--- a/internal/commit/sim_test.go
+++ b/internal/commit/sim_test.go
@@ -13,36 +13,36 @@
 	"fescuestand/internal/wire"
 )
 
-// The simulation: several committers over one faulty log and one faulty
-// service, under the fake time of testing/synctest.
+// The simulation runs several committers with one faulty log and one faulty service under the fake
+// time of testing/synctest.
 
 type wallClock struct{}
 
 func (wallClock) Now() clock.Time { return clock.Time(time.Now().UnixNano()) }
 
-// chance draws from a seed and a place, so that a fault doesn't depend on how
-// goroutines are scheduled.
-type chance struct{ seed uint64 }
+// faultSource derives random numbers from a seed and a label, so that the faults don't depend on
+// how goroutines are scheduled.
+type faultSource struct{ seed uint64 }
 
-func (c chance) at(place string) *rand.Rand {
-	return rand.New(rand.NewPCG(c.seed, maphash.String(placeSeed, place)))
+func (c faultSource) rng(label string) *rand.Rand {
+	return rand.New(rand.NewPCG(c.seed, maphash.String(labelSeed, label)))
 }
 
-var placeSeed = maphash.MakeSeed()
+var labelSeed = maphash.MakeSeed()
 
-// faults are shares of calls that go wrong in one way.
+// faults are the shares of calls that fail in each way.
 type faults struct {
-	notSent, refused   float64
-	lostAfter          float64 // took effect, answer lost
-	lostBefore         float64 // no effect, answer lost
-	late               float64 // answer lost, takes effect later
-	crossed            float64 // service only: another attempt's answer
-	failed             float64 // service only
-	maxLate            time.Duration
-	downFrom, downTill time.Duration // log only, since the start
+	notSent, refused    float64
+	answerLost          float64 // the call takes effect, its answer is lost
+	requestLost         float64 // the call has no effect and gets no answer
+	delayed             float64 // the answer is lost, the call takes effect later
+	wrongAnswer         float64 // service only: the answer belongs to another attempt
+	failed              float64 // service only
+	maxDelay            time.Duration
+	downFrom, downUntil time.Duration // log only, since the start of the run
 }
 
-// step names a moment of a commit at which a node may die or freeze.
+// step is a point in a commit at which a node may be killed or frozen.
 type step string
 
 const (
@@ -57,7 +57,7 @@
 
 var errKilled = errors.New("process killed")
 
-// simNode is one process: its table, committer and connection to both sides.
+// simNode is one process: its table, its committer and its connections to the log and the service.
 type simNode struct {
 	name   string
 	log    *simLog
@@ -66,10 +66,10 @@
 	c      *Committer
 	stop   context.CancelFunc
 	killed atomic.Bool
-	lag    atomic.Int64 // of reading the log, ns
-	// at is called at each step of a commit; it may sleep (a frozen process)
-	// or kill the node.
-	at func(n *simNode, s step, key string)
+	lag    atomic.Int64 // replication lag of the log in nanoseconds
+	// onStep is called at each step of a commit. It may sleep, which freezes the process, or kill
+	// the node.
+	onStep func(n *simNode, s step, key string)
 }
 
 func newSimNode(name string, l *simLog, svc *simService, o Options) *simNode {
@@ -86,14 +86,14 @@
 	n.table.SetReady()
 	n.c = New(o, n.table, n, n)
 	n.lag.Store(int64(1+len(name)) * int64(time.Millisecond))
-	go l.follow(ctx, n.table, &n.lag)
+	go l.replicate(ctx, n.table, &n.lag)
 	return n
 }
 
-// pass is a step of a commit: a killed process gets no further.
-func (n *simNode) pass(s step, key string) error {
-	if n.at != nil && !n.killed.Load() {
-		n.at(n, s, key)
+// passStep is called at each step of a commit and returns an error if the process was killed.
+func (n *simNode) passStep(s step, key string) error {
+	if n.onStep != nil && !n.killed.Load() {
+		n.onStep(n, s, key)
 	}
 	if n.killed.Load() {
 		return errKilled
@@ -107,14 +107,14 @@
 	if in := e.GetIntent(); in != nil {
 		before, key = beforeAppend, in.GetKey()
 	}
-	if err := n.pass(before, key); err != nil {
+	if err := n.passStep(before, key); err != nil {
 		return 0, err
 	}
 	offset, err := n.log.append(ctx, n.name, e)
 	if key == "" {
 		return offset, err
 	}
-	if killed := n.pass(afterAppend, key); killed != nil {
+	if killed := n.passStep(afterAppend, key); killed != nil {
 		return 0, killed
 	}
 	return offset, err
@@ -122,23 +122,23 @@
 
 // Dispatch implements Dispatcher.
 func (n *simNode) Dispatch(ctx context.Context, c *Call, permit func() error) ([]byte, error) {
-	if err := n.pass(beforeSend, c.Key); err != nil {
+	if err := n.passStep(beforeSend, c.Key); err != nil {
 		return nil, err
 	}
 	if err := permit(); err != nil {
 		return nil, err
 	}
 	body, err := n.svc.call(ctx, c)
-	if killed := n.pass(afterSend, c.Key); killed != nil {
+	if killed := n.passStep(afterSend, c.Key); killed != nil {
 		return nil, killed
 	}
 	return body, err
 }
 
-// send returns what the caller hears: nothing from a killed process, and
-// nothing from a frozen one either once the caller's patience is over.
+// send returns the answer that the caller gets. It is unknown if the process was killed, or if it
+// doesn't answer within callerTimeout, such as when it is frozen.
 func (n *simNode) send(ctx context.Context, r *Request) (Answer, error) {
-	silence := code.Wrap(code.PeerGone, errKilled, "no answer").WithRun(code.Unknown)
+	noAnswer := code.Wrap(code.PeerGone, errKilled, "no answer").WithRun(code.Unknown)
 	type reply struct {
 		ans Answer
 		err error
@@ -149,12 +149,12 @@
 		ch <- reply{ans, err}
 	}()
 	select {
-	case got := <-ch:
+	case res := <-ch:
 		if n.killed.Load() {
-			return Answer{}, silence
+			return Answer{}, noAnswer
 		}
-		return got.ans, got.err
-	case <-time.After(patience):
-		return Answer{}, silence
+		return res.ans, res.err
+	case <-time.After(callerTimeout):
+		return Answer{}, noAnswer
 	}
 }
--- a/internal/commit/table.go
+++ b/internal/commit/table.go
@@ -9,42 +9,43 @@
 	"fescuestand/internal/code"
 )
 
-// Entry is what a table knows of one key at a moment.
-type Entry struct {
-	Known   bool // any record or local attempt
+// KeyStatus is the state of one key at a point in time.
+type KeyStatus struct {
+	Found   bool // the table has a record of the key
 	Winner  *Intent
 	Outcome *Outcome
-	// Seen is when this process read the winner, by its own clock.
-	Seen clock.Time
+	// WinnerReadAt is when this process read the winner, by its own clock.
+	WinnerReadAt clock.Time
 }
 
-// Table is the fold as traffic goroutines see it: one goroutine applies the
-// records, many look keys up and wait for them to change.
+// Table makes a Fold available to request goroutines. One goroutine applies records; many
+// goroutines look up keys and wait for them to change.
 type Table struct {
 	clk clock.Clock
 
 	mu        sync.Mutex
 	fold      *Fold
 	appliedAt clock.Time // when the newest record was applied
-	waiters   map[string]*waiters
-	ready     chan struct{} // closed when the fold reached the end seen at start
+	waiters   map[string]*keyWaiters
+	ready     chan struct{} // closed when the fold has reached the end of the log seen at startup
 }
 
-// waiters share a channel that is closed when their key changes.
-type waiters struct {
-	ch chan struct{}
-	n  int
+// keyWaiters is the channel shared by the goroutines that wait for one key. It is closed when the
+// key changes.
+type keyWaiters struct {
+	changed chan struct{}
+	count   int
 }
 
-// NewTable returns a table over an empty fold.
-func NewTable(clk clock.Clock, keep time.Duration) *Table {
+// NewTable returns a Table with an empty fold that keeps a key for retention after its last record.
+func NewTable(clk clock.Clock, retention time.Duration) *Table {
 	return &Table{
-		clk: clk, fold: NewFold(keep),
-		waiters: map[string]*waiters{}, ready: make(chan struct{}),
+		clk: clk, fold: NewFold(retention),
+		waiters: map[string]*keyWaiters{}, ready: make(chan struct{}),
 	}
 }
 
-// Apply adds one record and wakes those who wait for its key.
+// Apply adds one record and wakes the goroutines that wait for its key.
 func (t *Table) Apply(r *Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,26 +54,28 @@
 	if key == "" {
 		return
 	}
-	t.noteSeen(key)
-	t.wake(key)
+	t.recordWinnerRead(key)
+	t.notify(key)
 }
 
-func (t *Table) noteSeen(key string) {
+// recordWinnerRead sets the read time of the key's winner if the winner is new.
+func (t *Table) recordWinnerRead(key string) {
 	s := t.fold.keys[key]
-	if s != nil && s.winner != nil && s.seenAttempt != s.winner.Attempt {
-		s.seen, s.seenAttempt = t.clk.Now(), s.winner.Attempt
+	if s != nil && s.winner != nil && s.readAttempt != s.winner.Attempt {
+		s.winnerReadAt, s.readAttempt = t.clk.Now(), s.winner.Attempt
 	}
 }
 
-func (t *Table) wake(key string) {
+// notify wakes the goroutines that wait for key.
+func (t *Table) notify(key string) {
 	if w, ok := t.waiters[key]; ok {
-		close(w.ch)
+		close(w.changed)
 		delete(t.waiters, key)
 	}
 }
 
-// SetReady says that the fold has reached the end of the log that was seen at
-// start, from the oldest offset kept.
+// SetReady records that the fold has read the log from the oldest retained offset to the end seen
+// at startup.
 func (t *Table) SetReady() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,52 +93,52 @@
 	}
 }
 
-// Ready tells whether SetReady was called.
+// Ready reports whether SetReady was called.
 func (t *Table) Ready() bool { return t.isReady() }
 
-// Applied returns the newest offset applied and its time in the log.
+// Applied returns the newest applied offset and its time in the log.
 func (t *Table) Applied() (uint64, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fold.applied, t.fold.now
+	return t.fold.appliedOffset, t.fold.logTime
 }
 
-// LogTime estimates the log's clock: the newest record's time plus what has
-// passed here since it was read. It lags behind by the time the record took.
-// It is zero as long as no record was read.
+// LogTime estimates the log's clock as the newest record's time plus the time elapsed here since it
+// was read. The estimate lags by the time the record took to arrive. It is zero until a record was
+// read.
 func (t *Table) LogTime() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.fold.now.IsZero() {
+	if t.fold.logTime.IsZero() {
 		return time.Time{}
 	}
-	return t.fold.now.Add(t.clk.Now().Sub(t.appliedAt))
+	return t.fold.logTime.Add(t.clk.Now().Sub(t.appliedAt))
 }
 
-// Len returns the number of keys remembered.
+// Len returns the number of keys in the table.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.fold.keys)
 }
 
-// Lookup returns what is known of key.
-func (t *Table) Lookup(key string) Entry {
+// Lookup returns the state of key.
+func (t *Table) Lookup(key string) KeyStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lookup(key)
 }
 
-func (t *Table) lookup(key string) Entry {
+func (t *Table) lookup(key string) KeyStatus {
 	s := t.fold.keys[key]
 	if s == nil {
-		return Entry{}
+		return KeyStatus{}
 	}
-	return Entry{Known: true, Winner: s.winner, Outcome: s.outcome, Seen: s.seen}
+	return KeyStatus{Found: true, Winner: s.winner, Outcome: s.outcome, WinnerReadAt: s.winnerReadAt}
 }
 
-// SetOutcome makes an outcome of this process visible here before its record
-// is read back, so that a resend gets it also while the log is down.
+// SetOutcome makes an outcome of this process visible before its record is read back, so that a
+// retry gets it even while the log is down.
 func (t *Table) SetOutcome(key string, o *Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -144,12 +147,12 @@
 		return
 	}
 	s.outcome = o
-	t.wake(key)
+	t.notify(key)
 }
 
-// Verdict waits for the verdict of an attempt to be read back.
+// Verdict waits until the verdict of an attempt has been read back.
 func (t *Table) Verdict(ctx context.Context, key, attempt string) (Verdict, error) {
-	return await(ctx, t, key, func() (Verdict, bool) {
+	return waitFor(ctx, t, key, func() (Verdict, bool) {
 		s := t.fold.keys[key]
 		if s == nil {
 			return Pending, false
@@ -159,50 +162,50 @@
 	})
 }
 
-// AwaitOutcome waits until key has an outcome or no winner any more.
-func (t *Table) AwaitOutcome(ctx context.Context, key string) (Entry, error) {
-	return await(ctx, t, key, func() (Entry, bool) {
+// AwaitOutcome waits until key has an outcome or no longer has a winner.
+func (t *Table) AwaitOutcome(ctx context.Context, key string) (KeyStatus, error) {
+	return waitFor(ctx, t, key, func() (KeyStatus, bool) {
 		e := t.lookup(key)
 		return e, e.Winner == nil || e.Outcome != nil
 	})
 }
 
-// await waits until look, which runs under the lock, says that it is done. On
-// the end of ctx it returns what look saw last.
-func await[T any](ctx context.Context, t *Table, key string, look func() (T, bool)) (T, error) {
+// waitFor calls check, under the lock, at every change of key until check reports that it is done.
+// When ctx ends, it returns the last value of check with an error.
+func waitFor[T any](ctx context.Context, t *Table, key string, check func() (T, bool)) (T, error) {
 	for {
 		t.mu.Lock()
-		v, done := look()
+		v, done := check()
 		if done {
 			t.mu.Unlock()
 			return v, nil
 		}
-		w := t.join(key)
+		w := t.addWaiter(key)
 		t.mu.Unlock()
 		select {
-		case <-w.ch:
+		case <-w.changed:
 		case <-ctx.Done():
-			t.leave(key, w)
+			t.removeWaiter(key, w)
 			return v, code.Wrap(code.DeadlinePassed, ctx.Err(), "waiting for the log")
 		}
 	}
 }
 
-func (t *Table) join(key string) *waiters {
+func (t *Table) addWaiter(key string) *keyWaiters {
 	w, ok := t.waiters[key]
 	if !ok {
-		w = &waiters{ch: make(chan struct{})}
+		w = &keyWaiters{changed: make(chan struct{})}
 		t.waiters[key] = w
 	}
-	w.n++
+	w.count++
 	return w
 }
 
-func (t *Table) leave(key string, w *waiters) {
+func (t *Table) removeWaiter(key string, w *keyWaiters) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w.n--
-	if w.n == 0 && t.waiters[key] == w {
+	w.count--
+	if w.count == 0 && t.waiters[key] == w {
 		delete(t.waiters, key)
 	}
 }
--- a/internal/commit/window_test.go
+++ b/internal/commit/window_test.go
@@ -13,9 +13,9 @@
 	"fescuestand/internal/wire"
 )
 
-// A caller keeps a key in a queue overnight and sends it again long after its
-// first use ran. Every entry has forgotten the key by then; running it would
-// charge twice, and "not run" would make the caller charge with a new key.
+// Guards against charging twice. A caller retries a key long after its first use ran, when every
+// entry has deleted the key. Running it would charge again, and answering not-run would make the
+// caller charge with a new key.
 func TestKeyOlderThanWindowNeverRuns(t *testing.T) {
 	executions, answer := resendAfterWindow(t, Options{})
 	assert.Equal(t, executions, 1)
@@ -23,92 +23,95 @@
 	assert.Equal(t, answer.run, code.Unknown)
 }
 
-func TestKeyOlderThanWindowWithoutWindow(t *testing.T) {
-	executions, _ := resendAfterWindow(t, Options{off: guardsOff{window: true}})
+// The same test with the age check disabled.
+func TestKeyOlderThanWindowWithoutAgeCheck(t *testing.T) {
+	executions, _ := resendAfterWindow(t, Options{disabled: guards{window: true}})
 	assert.Equal(t, executions, 2)
 }
 
-func resendAfterWindow(t *testing.T, o Options) (executions int, last said) {
+func resendAfterWindow(t *testing.T, o Options) (executions int, last requestResult) {
 	o.MaxWindow = 10 * time.Minute
-	bad := simulate(t, 1, o, faults{}, faults{}, func(w *world) {
+	violations := simulate(t, 1, o, faults{}, faults{}, func(sim *simulation) {
 		r := &Request{Key: "old", Issued: time.Now()}
-		w.send(w.nodes[0], r, time.Second)
+		sim.send(sim.nodes[0], r, time.Second)
 		time.Sleep(12 * time.Minute)
-		// Other traffic moves the log's clock on.
-		w.send(w.nodes[1], &Request{Key: "other", Issued: time.Now()}, time.Second)
+		// Other requests advance the log's clock.
+		sim.send(sim.nodes[1], &Request{Key: "other", Issued: time.Now()}, time.Second)
 		time.Sleep(time.Second)
 		again := *r
 		again.Resend = true
-		last = w.send(w.nodes[2], &again, time.Second)
-		for _, e := range w.svc.executions() {
+		last = sim.send(sim.nodes[2], &again, time.Second)
+		for _, e := range sim.svc.executions() {
 			if e.key == "old" {
 				executions++
 			}
 		}
 	})
-	assert.Equal(t, len(bad) > 0, executions > 1, "%v", bad)
+	assert.Equal(t, len(violations) > 0, executions > 1, "%v", violations)
 	return executions, last
 }
 
-// The log loses the answer to an intent and takes it late; the entry dies
-// before its void is in the log. A caller that was told "not run, send again"
-// would find its key stuck: the dead entry's intent is the winner for good.
-func TestNotRunIsToldOnlyAfterTheVoid(t *testing.T) {
+// Guards against a not-run answer for a key that can never be used again. The log loses the answer
+// to an intent and appends the intent late; the entry is killed before its void is in the log. The
+// killed entry's intent then remains the winner, and the key would be stuck for the caller's retry.
+func TestNotRunOnlyAfterVoidIsLogged(t *testing.T) {
 	assert.Equal(t, lateIntentThenDeath(t, Options{}).run, code.Unknown)
 }
 
-func TestNotRunBeforeTheVoid(t *testing.T) {
-	o := Options{off: guardsOff{voidFirst: true}}
+// The same test with the guard disabled.
+func TestNotRunWithoutVoidFirst(t *testing.T) {
+	o := Options{disabled: guards{voidFirst: true}}
 	assert.Equal(t, lateIntentThenDeath(t, o).run, code.NotRun)
 }
 
-// lateIntentThenDeath returns what the first sending is answered; whatever it
-// is, a resend then finds the key taken.
-func lateIntentThenDeath(t *testing.T, o Options) (first said) {
+// lateIntentThenDeath returns the answer to the first request. It also checks that a retry finds
+// the key taken.
+func lateIntentThenDeath(t *testing.T, o Options) (first requestResult) {
 	var second code.Run
-	lateOnly := faults{late: 1, maxLate: time.Nanosecond}
-	bad := simulate(t, 1, o, lateOnly, faults{}, func(w *world) {
-		n := w.nodes[0]
-		n.lag.Store(int64(10 * time.Second)) // it can't read its intent back in time
-		n.at = func(n *simNode, s step, _ string) {
+	lateOnly := faults{delayed: 1, maxDelay: time.Nanosecond}
+	violations := simulate(t, 1, o, lateOnly, faults{}, func(sim *simulation) {
+		n := sim.nodes[0]
+		n.lag.Store(int64(10 * time.Second)) // the node can't read its intent back in time
+		n.onStep = func(n *simNode, s step, _ string) {
 			if s == beforeRecord {
 				time.Sleep(30 * time.Second)
 			}
 		}
 		issued := time.Now()
-		first = w.send(n, &Request{Key: "k", Issued: issued}, 3*time.Second)
+		first = sim.send(n, &Request{Key: "k", Issued: issued}, 3*time.Second)
 		n.killed.Store(true)
-		again := w.send(w.nodes[1], &Request{Key: "k", Issued: issued, Resend: true}, time.Second)
+		again := sim.send(sim.nodes[1], &Request{Key: "k", Issued: issued, Resend: true}, time.Second)
 		second = again.run
 	})
-	assert.Equal(t, len(bad), 0, "%v", bad)
+	assert.Equal(t, len(violations), 0, "%v", violations)
 	assert.Equal(t, second, code.Unknown)
 	return first
 }
 
-// Without the limit on its age a key could be dispatched on a node that has
-// already forgotten it. The bound on the window keeps that apart also at a node
-// that starts from the oldest offset the log keeps.
-func TestWindowLeavesRoomInRetention(t *testing.T) {
-	w := WindowFor(time.Hour)
-	assert.Assert(t, w+MaxClockSkew < time.Hour)
-	c := New(Options{Window: func() time.Duration { return 24 * time.Hour }, MaxWindow: w}, NewTable(wallClock{}, w), nil, nil)
-	assert.Equal(t, c.Window(), w)
+// Guards against dispatching a key on a node that has already deleted it. The cap on the window
+// prevents this even on a node that starts from the oldest offset in the log.
+func TestWindowIsCappedByRetention(t *testing.T) {
+	window := WindowFor(time.Hour)
+	assert.Assert(t, window+MaxClockSkew < time.Hour)
+	c := New(Options{
+		Window: func() time.Duration { return 24 * time.Hour }, MaxWindow: window,
+	}, NewTable(wallClock{}, window), nil, nil)
+	assert.Equal(t, c.Window(), window)
 }
 
-// Whatever writers do, in whatever order, and however often a record comes: a
-// key has one winner at most, the same on every node, and one outcome.
-func TestFoldProperties(t *testing.T) {
+// Whatever writers do, in whatever order, and however often a record is applied, a key has at most
+// one winner, the same on every node, and at most one outcome.
+func TestFoldHasOneWinnerPerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records := rapid.SliceOfN(rapid.Custom(drawRecord), 1, 40).Draw(t, "records")
-		plain, twice := NewFold(time.Hour), NewFold(time.Hour)
+		records := rapid.SliceOfN(rapid.Custom(sampleRecord), 1, 40).Draw(t, "records")
+		once, twice := NewFold(time.Hour), NewFold(time.Hour)
 		var winner *Intent
 		for i, r := range records {
 			r.Offset = uint64(i + 1)
-			plain.Apply(r)
+			once.Apply(r)
 			twice.Apply(r)
 			twice.Apply(r)
-			now := plain.state("k")
+			now := once.state("k")
 			if winner != nil && now.winner != nil && winner.Attempt != now.winner.Attempt {
 				assert.Equal(t, now.verdicts[winner.Attempt], Voided)
 			}
@@ -117,14 +120,14 @@
 			}
 			winner = now.winner
 		}
-		a, b := plain.state("k"), twice.state("k")
+		a, b := once.state("k"), twice.state("k")
 		assert.DeepEqual(t, a.winner, b.winner)
 		assert.DeepEqual(t, a.outcome, b.outcome)
 		assert.DeepEqual(t, a.verdicts, b.verdicts)
 	})
 }
 
-func drawRecord(t *rapid.T) *Record {
+func sampleRecord(t *rapid.T) *Record {
 	writer := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "writer")
 	attempt := rapid.SampledFrom([]string{"a.1", "a.2", "b.1", "b.2"}).Draw(t, "attempt")
 	e := &wire.Entry{}
@@ -140,8 +143,8 @@
 	return &Record{Time: time.Unix(1, 0), Writer: writer, Entry: e}
 }
 
-// A process that starts must not take commits before it has read the window.
-func TestNotReadyRefuses(t *testing.T) {
+// A process must not accept commits after its start before it has read the window.
+func TestRefusesUntilTableIsReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Options{Clock: wallClock{}}, NewTable(wallClock{}, time.Hour), nil, nil)
 		_, err := c.Do(context.Background(), &Request{Key: "k"})
