--- a/internal/commit/committer_test.go
+++ b/internal/commit/committer_test.go
@@ -149,9 +149,9 @@
 	return res
 }
 
-// The log service is down for a while, around each step of a commit. Requests are refused as not
-// run, those whose intent is already in the log get their outcome, and nothing may run twice when
-// the log is back.
+// The log service is down for a while, around each step of a commit. Requests must be refused at
+// once as not run, those whose intent is already in the log get their outcome, and nothing may run
+// twice when the log is back.
 func TestLogOutageAroundEachStep(t *testing.T) {
 	for seed := range uint64(6) {
 		f := faultyLog
--- a/internal/commit/history_test.go
+++ b/internal/commit/history_test.go
@@ -28,8 +28,8 @@
 	executed
 )
 
-// requestResult is the output of one operation in the history: the answer to a request, or the value of an
-// execution.
+// requestResult is the output of one operation in the history: the answer to a request, or the
+// value of an execution.
 type requestResult struct {
 	run   code.Run
 	code  code.Code
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -27,7 +27,7 @@
 	"fescuestand/internal/sheet"
 )
 
-// Dispatcher artifact the requests of one entry.
+// Dispatcher serves the requests of one entry.
 type Dispatcher struct {
 	fleet         *fleet.Fleet
 	router        *route.Router
--- a/internal/entry/dispatch/gate.go
+++ b/internal/entry/dispatch/gate.go
@@ -150,7 +150,7 @@
 		return false
 	}
 	a.req.FirstTokenDeadline = 0
-	a.req.Deadline = q.clk.Now().Add(maxDeadline)
+	a.req.Deadline = q.clk.Now().Add(defaultDeadline)
 	return true
 }
 
--- a/internal/entry/dispatch/generate.go
+++ b/internal/entry/dispatch/generate.go
@@ -24,8 +24,8 @@
 	// maxAttempts bounds the attempts of one completion, including those after moves. Engines are
 	// moved rarely, so more attempts mean a fault that retries can't fix.
 	maxAttempts = 12
-	// maxDeadline replaces a missing deadline.
-	maxDeadline = time.Hour
+	// defaultDeadline replaces a missing deadline, and that of a probe in admission.
+	defaultDeadline = time.Hour
 	// placementTimeout is how long an admitted request waits for an endpoint to accept work again,
 	// for example between two phases of a planned change.
 	placementTimeout    = 500 * time.Millisecond
@@ -234,12 +234,12 @@
 	return deadline
 }
 
-// deadlineOf returns the deadline of ctx on clk, or maxDeadline from now if ctx has none.
+// deadlineOf returns the deadline of ctx on clk, or defaultDeadline from now if ctx has none.
 func deadlineOf(ctx context.Context, clk clock.Clock) clock.Time {
 	if at, ok := ctx.Deadline(); ok {
 		return clk.Now().Add(time.Until(at))
 	}
-	return clk.Now().Add(maxDeadline)
+	return clk.Now().Add(defaultDeadline)
 }
 
 func findClass(s *sheet.Sheet, name string) (*sheet.Class, *code.Error) {
