--- a/internal/gossip/active_test.go
+++ b/internal/gossip/active_test.go
@@ -123,7 +123,7 @@
 		return g.joins
 	}
 	assert.Equal(t, joins(), 0)
-	m.SetDuty(true)
+	m.SetLeader(true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if joins() > 0 {
 			return poll.Success()
@@ -169,7 +169,7 @@
 	c.T, c2.T = c.T.Add(leaveAfter+1), c2.T.Add(leaveAfter+1)
 	assert.Assert(t, !r.superfluous())
 	assert.Assert(t, r2.superfluous())
-	m2.SetDuty(true)
+	m2.SetLeader(true)
 	assert.Assert(t, !r2.superfluous())
 }
 
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -85,8 +85,8 @@
 // SetReady tells whether this VM takes callers.
 func (m *Members) SetReady(ready bool) { m.change(func(r *swim.Record) { r.Ready = ready }) }
 
-// SetDuty tells whether this VM has been dealt the duty of giving orders.
-func (m *Members) SetDuty(duty bool) { m.change(func(r *swim.Record) { r.Duty = duty }) }
+// SetLeader tells whether this VM has been dealt the duty of giving orders.
+func (m *Members) SetLeader(duty bool) { m.change(func(r *swim.Record) { r.Duty = duty }) }
 
 // SetInformed tells whether this VM knows what engines have cached.
 func (m *Members) SetInformed(informed bool) {
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -294,7 +294,7 @@
 func (n *Node) news() { n.gossip.Push() }
 
 func (n *Node) renewed(sentAt clock.Time, h gossip.Holding) {
-	n.members.SetDuty(h.Duty)
+	n.members.SetLeader(h.Duty)
 	n.duty.Renewed(sentAt, h.Duty && !n.members.Leaving(), h.Generation)
 }
 
