--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -138,7 +138,7 @@
 	m := r.members
 	age := m.clock.Now().Sub(m.started)
 	switch {
-	case m.Duty(), m.listedItself():
+	case m.IsLeader(), m.listedItself():
 		return true
 	case !m.Known():
 		return age >= time.Duration(xxhash.Sum64String(m.own.Peer)%uint64(joinSpread))
@@ -149,7 +149,7 @@
 // superfluous tells whether this VM has been none of the active set for long.
 func (r *Registration) superfluous() bool {
 	now := r.members.clock.Now()
-	if r.seenAt == 0 || r.members.Active() || r.members.Duty() {
+	if r.seenAt == 0 || r.members.Active() || r.members.IsLeader() {
 		r.seenAt = now
 	}
 	return now.Sub(r.seenAt) > leaveAfter
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -141,8 +141,8 @@
 // Leaving tells whether this VM was told to stop.
 func (m *Members) Leaving() bool { return m.ownRecord().Leaving }
 
-// Duty tells whether this VM has been dealt the duty of giving orders.
-func (m *Members) Duty() bool { return m.ownRecord().Duty }
+// IsLeader tells whether this VM has been dealt the duty of giving orders.
+func (m *Members) IsLeader() bool { return m.ownRecord().Duty }
 
 // List takes the group's members.
 func (m *Members) List(nodes []Node) {
