--- a/internal/gossip/beat.go
+++ b/internal/gossip/beat.go
@@ -108,7 +108,7 @@
 
 // Drain implements kernel.Drainer: the others hear at once that this VM leaves.
 func (u *Unit) Drain(context.Context) error {
-	u.members.Leave()
+	u.members.SetLeaving()
 	u.Soon()
 	u.Push()
 	return nil
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -63,7 +63,7 @@
 	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true, Leaving: true}})
 	m.hear(heard{Record: swim.Record{Node: node(2)}})
 	assert.DeepEqual(t, m.Callers(""), []string{"10.0.0.0:1"})
-	m.Leave()
+	m.SetLeaving()
 	assert.Equal(t, len(m.Callers("")), 0)
 	assert.Assert(t, !m.Ready())
 }
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -95,7 +95,7 @@
 
 // Drain implements kernel.Drainer.
 func (r *Registration) Drain(ctx context.Context) error {
-	r.members.Leave()
+	r.members.SetLeaving()
 	r.leave(ctx) // if the call is lost, the entry lapses; the beats have said it already
 	return nil
 }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -93,8 +93,8 @@
 	m.change(func(r *swim.Record) { r.Informed = informed })
 }
 
-// Leave marks this VM as one that stops.
-func (m *Members) Leave() { m.change(func(r *swim.Record) { r.Leaving = true }) }
+// SetLeaving marks this VM as one that stops.
+func (m *Members) SetLeaving() { m.change(func(r *swim.Record) { r.Leaving = true }) }
 
 // rateStep of the rate of requests, and rateShare of what the VM can take, is the
 // least change that is told: naming VMs by it has room for several times the rate.
