--- a/internal/gossip/active_test.go
+++ b/internal/gossip/active_test.go
@@ -146,7 +146,7 @@
 	c, m = many(60, standby(t, 60))
 	c.T = c.T.Add(knownAfter)
 	assert.Assert(t, !joins(m))
-	m.List([]Node{m.own})
+	m.MergeListed([]Node{m.own})
 	assert.Assert(t, joins(m), "an earlier process of it may hold the duty")
 
 	c, m = many(60, 0)
--- a/internal/gossip/beat_test.go
+++ b/internal/gossip/beat_test.go
@@ -69,7 +69,7 @@
 	var ha, hb hub
 	a, ma := start(t, &ha)
 	_, mb := start(t, &hb)
-	ma.List([]Node{mb.own})
+	ma.MergeListed([]Node{mb.own})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if len(mb.Callers("")) == 2 && len(ma.Callers("")) == 2 {
 			return poll.Success()
@@ -137,7 +137,7 @@
 	}
 	var other hub
 	_, mo := start(t, &other)
-	mo.List([]Node{u.members.own})
+	mo.MergeListed([]Node{u.members.own})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if m.Count() == 2 {
 			return poll.Success()
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -71,10 +71,10 @@
 // Guards against callers being sent to a frozen VM for as long as the group lists it.
 func TestASilentVMIsNamedNoMore(t *testing.T) {
 	c, m := newMembers()
-	m.List([]Node{node(1)})
+	m.MergeListed([]Node{node(1)})
 	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true}})
 	c.T = c.T.Add(silence)
-	m.List([]Node{node(1)})
+	m.MergeListed([]Node{node(1)})
 	assert.DeepEqual(t, m.Callers(""), []string{"10.0.0.0:1"})
 	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true}})
 	assert.Equal(t, len(m.Callers("")), 2)
@@ -89,13 +89,13 @@
 // Guards against all callers being sent to one VM while all start at once.
 func TestAListedVMCountsUntilItShouldHaveBeenHeard(t *testing.T) {
 	c, m := newMembers()
-	m.List([]Node{node(0), node(1)})
+	m.MergeListed([]Node{node(0), node(1)})
 	assert.Equal(t, len(m.Callers("")), 2)
 	assert.Equal(t, m.Count(), 2)
 	c.T = c.T.Add(unheard)
 	assert.Equal(t, len(m.Callers("")), 1)
 	c.T = c.T.Add(forget)
-	m.List([]Node{node(0)})
+	m.MergeListed([]Node{node(0)})
 	assert.Equal(t, m.Count(), 1)
 	assert.Assert(t, !m.Known())
 }
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -183,7 +183,7 @@
 		if err != nil {
 			log.WithError(err).Warn("group not read")
 		} else {
-			r.members.List(nodes)
+			r.members.MergeListed(nodes)
 		}
 		once.Do(func() { close(r.listed) })
 		switch {
--- a/internal/gossip/knowledge_test.go
+++ b/internal/gossip/knowledge_test.go
@@ -38,8 +38,8 @@
 	h := &hub{}
 	ua, a := startKnowing(t, h, reader)
 	_, b := startKnowing(t, h, other)
-	a.List([]Node{b.own})
-	b.List([]Node{a.own})
+	a.MergeListed([]Node{b.own})
+	b.MergeListed([]Node{a.own})
 	assert.Assert(t, ua.Knowledge != nil)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		other.mu.Lock()
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -144,8 +144,8 @@
 // IsLeader tells whether this VM has been dealt the duty of giving orders.
 func (m *Members) IsLeader() bool { return m.ownRecord().Duty }
 
-// List takes the group's members.
-func (m *Members) List(nodes []Node) {
+// MergeListed takes the group's members.
+func (m *Members) MergeListed(nodes []Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.list.List(m.clock.Now(), nodes)
--- a/internal/gossip/start_test.go
+++ b/internal/gossip/start_test.go
@@ -14,7 +14,7 @@
 	_, all[0] = start(t, &hubs[0])
 	for i := 1; i < vms; i++ {
 		_, all[i] = start(t, &hubs[i])
-		all[i].List([]Node{all[0].own})
+		all[i].MergeListed([]Node{all[0].own})
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for i, m := range all {
