--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -97,7 +97,7 @@
 	c.T = c.T.Add(forget)
 	m.MergeListed([]Node{node(0)})
 	assert.Equal(t, m.Count(), 1)
-	assert.Assert(t, !m.Known())
+	assert.Assert(t, !m.HasPeers())
 }
 
 // group is a list that can be down.
@@ -154,7 +154,7 @@
 	})
 	assert.DeepEqual(t, <-renewed, Holding{Duty: true, Generation: 3})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if m.Known() {
+		if m.HasPeers() {
 			return poll.Success()
 		}
 		return poll.Continue("not listed")
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -140,7 +140,7 @@
 	switch {
 	case m.IsLeader(), m.listedItself():
 		return true
-	case !m.Known():
+	case !m.HasPeers():
 		return age >= time.Duration(xxhash.Sum64String(m.own.Peer)%uint64(joinSpread))
 	}
 	return age >= knownAfter && m.Active()
@@ -187,7 +187,7 @@
 		}
 		once.Do(func() { close(r.listed) })
 		switch {
-		case !r.members.Known():
+		case !r.members.HasPeers():
 			return firstPeriod
 		case r.members.Alone():
 			return earlyPeriod
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -241,8 +241,8 @@
 	return n
 }
 
-// Known tells whether any other VM has been listed or heard.
-func (m *Members) Known() bool { return m.Count() > 1 }
+// HasPeers tells whether any other VM has been listed or heard.
+func (m *Members) HasPeers() bool { return m.Count() > 1 }
 
 // Alone tells whether no other VM has been heard lately.
 func (m *Members) Alone() bool {
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -115,7 +115,7 @@
 		f.n.catalog.Settle()
 		f.n.confirmSoon()
 		f.n.members.SetReady(f.n.catalog.View().Config != nil)
-		if f.n.members.Known() {
+		if f.n.members.HasPeers() {
 			f.n.budget.SetMembers(f.n.members.Count())
 		}
 		select {
