--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -189,7 +189,7 @@
 		switch {
 		case !r.members.HasPeers():
 			return firstPeriod
-		case r.members.Alone():
+		case r.members.Isolated():
 			return earlyPeriod
 		}
 		return listPeriod * time.Duration(max(r.members.Count(), idleUnit)) / idleUnit
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -244,8 +244,8 @@
 // HasPeers tells whether any other VM has been listed or heard.
 func (m *Members) HasPeers() bool { return m.Count() > 1 }
 
-// Alone tells whether no other VM has been heard lately.
-func (m *Members) Alone() bool {
+// Isolated tells whether no other VM has been heard lately.
+func (m *Members) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.heardAt == 0 || m.clock.Now().Sub(m.heardAt) > aloneAfter
