--- a/internal/gossip/beat_test.go
+++ b/internal/gossip/beat_test.go
@@ -71,7 +71,7 @@
 	_, mb := start(t, &hb)
 	ma.MergeListed([]Node{mb.own})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if len(mb.Callers("")) == 2 && len(ma.Callers("")) == 2 {
+		if len(mb.AdvertisedAddresses("")) == 2 && len(ma.AdvertisedAddresses("")) == 2 {
 			return poll.Success()
 		}
 		return poll.Continue("not yet")
@@ -86,7 +86,7 @@
 	})
 	assert.NilError(t, a.Drain(t.Context()))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if len(mb.Callers("")) == 1 {
+		if len(mb.AdvertisedAddresses("")) == 1 {
 			return poll.Success()
 		}
 		return poll.Continue("still named")
--- a/internal/gossip/callers.go
+++ b/internal/gossip/callers.go
@@ -7,9 +7,9 @@
 	"fescuestand/internal/policy/serving"
 )
 
-// Callers returns the callers' addresses of the VMs that take them, those in
+// AdvertisedAddresses returns the callers' addresses of the VMs that take them, those in
 // zone first.
-func (m *Members) Callers(zone string) []string {
+func (m *Members) AdvertisedAddresses(zone string) []string {
 	m.mu.Lock()
 	vms := slices.Clone(m.choose(m.clock.Now()).named)
 	m.mu.Unlock()
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -34,7 +34,7 @@
 	for i := 1; i < 4; i++ {
 		m.hear(heard{Record: swim.Record{Node: node(i), Ready: true}})
 	}
-	assert.DeepEqual(t, m.Callers("z1"), []string{"10.0.0.1:1", "10.0.0.3:1", "10.0.0.0:1", "10.0.0.2:1"})
+	assert.DeepEqual(t, m.AdvertisedAddresses("z1"), []string{"10.0.0.1:1", "10.0.0.3:1", "10.0.0.0:1", "10.0.0.2:1"})
 }
 
 // Guards against a few requests being spread over all VMs, and against a silent one among
@@ -50,10 +50,10 @@
 		}
 	}
 	beat(1)
-	assert.DeepEqual(t, m.Callers("z0"), []string{"10.0.0.0:1", "10.0.0.2:1", "10.0.0.1:1"})
+	assert.DeepEqual(t, m.AdvertisedAddresses("z0"), []string{"10.0.0.0:1", "10.0.0.2:1", "10.0.0.1:1"})
 	c.T = c.T.Add(silence)
 	beat(2)
-	assert.DeepEqual(t, m.Callers("z0"), []string{"10.0.0.0:1", "10.0.0.2:1", "10.0.0.3:1"})
+	assert.DeepEqual(t, m.AdvertisedAddresses("z0"), []string{"10.0.0.0:1", "10.0.0.2:1", "10.0.0.3:1"})
 }
 
 // Guards against callers that a VM which was told to stop can't serve to the end.
@@ -62,9 +62,9 @@
 	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true}})
 	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true, Leaving: true}})
 	m.hear(heard{Record: swim.Record{Node: node(2)}})
-	assert.DeepEqual(t, m.Callers(""), []string{"10.0.0.0:1"})
+	assert.DeepEqual(t, m.AdvertisedAddresses(""), []string{"10.0.0.0:1"})
 	m.SetLeaving()
-	assert.Equal(t, len(m.Callers("")), 0)
+	assert.Equal(t, len(m.AdvertisedAddresses("")), 0)
 	assert.Assert(t, !m.Ready())
 }
 
@@ -75,9 +75,9 @@
 	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true}})
 	c.T = c.T.Add(silence)
 	m.MergeListed([]Node{node(1)})
-	assert.DeepEqual(t, m.Callers(""), []string{"10.0.0.0:1"})
+	assert.DeepEqual(t, m.AdvertisedAddresses(""), []string{"10.0.0.0:1"})
 	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true}})
-	assert.Equal(t, len(m.Callers("")), 2)
+	assert.Equal(t, len(m.AdvertisedAddresses("")), 2)
 }
 
 // How long a listed VM that was never heard counts as alive, and is remembered.
@@ -90,10 +90,10 @@
 func TestAListedVMCountsUntilItShouldHaveBeenHeard(t *testing.T) {
 	c, m := newMembers()
 	m.MergeListed([]Node{node(0), node(1)})
-	assert.Equal(t, len(m.Callers("")), 2)
+	assert.Equal(t, len(m.AdvertisedAddresses("")), 2)
 	assert.Equal(t, m.Count(), 2)
 	c.T = c.T.Add(unheard)
-	assert.Equal(t, len(m.Callers("")), 1)
+	assert.Equal(t, len(m.AdvertisedAddresses("")), 1)
 	c.T = c.T.Add(forget)
 	m.MergeListed([]Node{node(0)})
 	assert.Equal(t, m.Count(), 1)
--- a/internal/gossip/start_test.go
+++ b/internal/gossip/start_test.go
@@ -18,7 +18,7 @@
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for i, m := range all {
-			if n := len(m.Callers("")); n < vms {
+			if n := len(m.AdvertisedAddresses("")); n < vms {
 				return poll.Continue("VM %d knows %d", i, n)
 			}
 		}
