--- a/internal/gossip/callers.go
+++ b/internal/gossip/callers.go
@@ -23,8 +23,8 @@
 	return out
 }
 
-// Serving is how many VMs callers are sent to.
-func (m *Members) Serving() int {
+// AdvertisedCount is how many VMs callers are sent to.
+func (m *Members) AdvertisedCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return max(len(m.choose(m.clock.Now()).named), 1)
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -161,12 +161,12 @@
 	n.gateway = gateway.New(gateway.Options{
 		Codec: a.Codec(), Catalog: n.catalog, Planner: n.planner, Budget: n.budget, Crashes: n.crashes,
 		Pressure: n.pressure, Pool: n.pool, Clock: c, Leaving: n.members.Leaving,
-		VMs: n.members.Serving, Sent: n.sent, Cached: n.cached, Crashed: n.crashed, Leaves: n.leaves,
+		VMs: n.members.AdvertisedCount, Sent: n.sent, Cached: n.cached, Crashed: n.crashed, Leaves: n.leaves,
 		Keys: n.judgeKeys, Began: n.began,
 	})
 	n.planner.Admits = n.pressure.Admits
 	n.pressure.Self = o.Self.Peer
-	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.Rate, n.members.Serving
+	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.Rate, n.members.AdvertisedCount
 	n.orders.Leaves = n.leaves
 	n.exchange = &gateway.Exchange{
 		Clock: c, Planner: n.planner, Pressure: n.pressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.changes,
@@ -247,7 +247,7 @@
 // Metrics returns the counters as they are now.
 func (n *Node) Metrics() Metrics {
 	v := n.View()
-	m := Metrics{Snapshot: n.gateway.Metrics().Snapshot(), Endpoints: len(v.All()), VMs: n.members.Serving(), ConfigVersion: n.version(), Limited: n.pressure.LimitedCount(), Draining: len(v.All()) - v.Working()}
+	m := Metrics{Snapshot: n.gateway.Metrics().Snapshot(), Endpoints: len(v.All()), VMs: n.members.AdvertisedCount(), ConfigVersion: n.version(), Limited: n.pressure.LimitedCount(), Draining: len(v.All()) - v.Working()}
 	return m
 }
 
