--- a/internal/gossip/active_test.go
+++ b/internal/gossip/active_test.go
@@ -179,11 +179,11 @@
 	c, m := many(60, standby(t, 60))
 	c.T = c.T.Add(settleFor)
 	m.hearRead(1)
-	assert.Assert(t, m.ReadPause() >= idlePause)
+	assert.Assert(t, m.ReadInterval() >= idlePause)
 	c.T = c.T.Add(freshRead + toldLate - time.Millisecond)
-	assert.Assert(t, m.ReadPause() >= idlePause)
+	assert.Assert(t, m.ReadInterval() >= idlePause)
 	c.T = c.T.Add(4 * standInStep)
-	assert.Equal(t, m.ReadPause(), leadPause)
+	assert.Equal(t, m.ReadInterval(), leadPause)
 }
 
 // Guards against a rate that wavers being told to all VMs several times a second.
--- a/internal/gossip/readers.go
+++ b/internal/gossip/readers.go
@@ -46,12 +46,12 @@
 	toldLate = 3 * time.Second
 )
 
-// ReadPause is how long this VM may wait until it reads the endpoints' entries
+// ReadInterval is how long this VM may wait until it reads the endpoints' entries
 // from the store again. The VMs of the active set agree on the readers by an order of
 // all, so that no message is needed for it: the first ones read, and those after
 // them while too few before them have a fresh view. The others read only when
 // nobody has had one for a while.
-func (m *Members) ReadPause() time.Duration {
+func (m *Members) ReadInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
@@ -66,7 +66,7 @@
 }
 
 // Reads tells whether this VM reads the endpoints' entries for all.
-func (m *Members) Reads() bool { return m.ReadPause() == leadPause }
+func (m *Members) Reads() bool { return m.ReadInterval() == leadPause }
 
 // IdlePause is how long this VM may go without a read of its own while others
 // read for it.
--- a/internal/gossip/readers_test.go
+++ b/internal/gossip/readers_test.go
@@ -33,7 +33,7 @@
 				m.hear(heard{Record: swim.Record{Node: node(i), Ready: true}, readAgeMs: uint32(age.Milliseconds()) + 1})
 			}
 		}
-		if m.ReadPause() == leadPause {
+		if m.ReadInterval() == leadPause {
 			often++
 		}
 	}
@@ -82,7 +82,7 @@
 				m.hear(heard{Record: swim.Record{Node: n, Ready: true}, readAgeMs: age})
 			}
 		}
-		return m.ReadPause() == leadPause
+		return m.ReadInterval() == leadPause
 	}
 	for own := range vms {
 		assert.Equal(t, lead(own, nil), own < readers, "at rest, %d", own)
@@ -100,19 +100,19 @@
 		m.hear(heard{Record: swim.Record{Node: n, Ready: true}, readAgeMs: 1})
 	}
 	assert.Assert(t, !m.ReadsConfig())
-	assert.Assert(t, m.ReadPause() >= idlePause)
+	assert.Assert(t, m.ReadInterval() >= idlePause)
 	m.own.Capacity = 400
 	assert.Assert(t, m.ReadsConfig())
-	assert.Equal(t, m.ReadPause(), leadPause)
+	assert.Equal(t, m.ReadInterval(), leadPause)
 }
 
 // Guards against each VM taking itself for the first of all when it starts.
 func TestAVMThatHasJustStartedDoesNotReadForAll(t *testing.T) {
 	c, m := newMembers()
-	assert.Assert(t, m.ReadPause() >= idlePause)
+	assert.Assert(t, m.ReadInterval() >= idlePause)
 	assert.Assert(t, !m.ReadsConfig())
 	c.T = c.T.Add(settleFor)
-	assert.Equal(t, m.ReadPause(), leadPause)
+	assert.Equal(t, m.ReadInterval(), leadPause)
 	assert.Assert(t, m.ReadsConfig())
 }
 
@@ -136,6 +136,6 @@
 	period := beatPeriodFor(vms, true)
 	assert.Assert(t, period > silence)
 	c.T = c.T.Add(period)
-	assert.Assert(t, m.ReadPause() >= idlePause)
+	assert.Assert(t, m.ReadInterval() >= idlePause)
 	assert.Assert(t, !m.ReadsConfig())
 }
