--- a/internal/gossip/readers.go
+++ b/internal/gossip/readers.go
@@ -68,9 +68,9 @@
 // Reads tells whether this VM reads the endpoints' entries for all.
 func (m *Members) Reads() bool { return m.ReadInterval() == leadPause }
 
-// IdlePause is how long this VM may go without a read of its own while others
+// IdleReadInterval is how long this VM may go without a read of its own while others
 // read for it.
-func (m *Members) IdlePause() time.Duration {
+func (m *Members) IdleReadInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.idlePause(m.clock.Now())
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -79,7 +79,7 @@
 	if n.members.ReadsConfig() || n.confirms() {
 		return configPause
 	}
-	return n.members.IdlePause()
+	return n.members.IdleReadInterval()
 }
 
 // version is that of the configuration in force, zero if there is none.
