--- a/internal/gossip/readers.go
+++ b/internal/gossip/readers.go
@@ -65,8 +65,8 @@
 	return m.idlePause(now)
 }
 
-// Reads tells whether this VM reads the endpoints' entries for all.
-func (m *Members) Reads() bool { return m.ReadInterval() == leadPause }
+// IsReader tells whether this VM reads the endpoints' entries for all.
+func (m *Members) IsReader() bool { return m.ReadInterval() == leadPause }
 
 // IdleReadInterval is how long this VM may go without a read of its own while others
 // read for it.
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -54,7 +54,7 @@
 		n.changes.HaveRead(n.fleet.Next())
 	}
 	n.changes = gateway.NewChanges(n.clock, n.fleet)
-	n.changes.Reads = n.members.Reads
+	n.changes.Reads = n.members.IsReader
 }
 
 // configWait is how long a read of the configuration waits for a newer one.
@@ -64,7 +64,7 @@
 		return freshWait
 	case !n.members.ReadsConfig():
 		return 0
-	case n.members.Reads():
+	case n.members.IsReader():
 		return readerWait
 	}
 	return configWait
@@ -72,7 +72,7 @@
 
 // confirms tells whether this VM reads the store so often that others can judge keys by
 // what it knows. While the store is away its reads of the endpoints show the return.
-func (n *Node) confirms() bool { return n.fresh != nil && n.members.Reads() && n.members.HasRead() }
+func (n *Node) confirms() bool { return n.fresh != nil && n.members.IsReader() && n.members.HasRead() }
 
 // configPause is the time between two reads of the configuration.
 func (n *Node) configPause() time.Duration {
