--- a/internal/gossip/readers.go
+++ b/internal/gossip/readers.go
@@ -86,8 +86,8 @@
 // maxDoublings of standIns are more VMs than there are.
 const maxDoublings = 10
 
-// ReadsConfig tells whether this VM waits at the store for configurations.
-func (m *Members) ReadsConfig() bool {
+// IsConfigReader tells whether this VM waits at the store for configurations.
+func (m *Members) IsConfigReader() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
--- a/internal/gossip/readers_test.go
+++ b/internal/gossip/readers_test.go
@@ -99,10 +99,10 @@
 		n.Capacity = 360
 		m.hear(heard{Record: swim.Record{Node: n, Ready: true}, readAgeMs: 1})
 	}
-	assert.Assert(t, !m.ReadsConfig())
+	assert.Assert(t, !m.IsConfigReader())
 	assert.Assert(t, m.ReadInterval() >= idlePause)
 	m.own.Capacity = 400
-	assert.Assert(t, m.ReadsConfig())
+	assert.Assert(t, m.IsConfigReader())
 	assert.Equal(t, m.ReadInterval(), leadPause)
 }
 
@@ -110,10 +110,10 @@
 func TestAVMThatHasJustStartedDoesNotReadForAll(t *testing.T) {
 	c, m := newMembers()
 	assert.Assert(t, m.ReadInterval() >= idlePause)
-	assert.Assert(t, !m.ReadsConfig())
+	assert.Assert(t, !m.IsConfigReader())
 	c.T = c.T.Add(settleFor)
 	assert.Equal(t, m.ReadInterval(), leadPause)
-	assert.Assert(t, m.ReadsConfig())
+	assert.Assert(t, m.IsConfigReader())
 }
 
 // Guards against an active set so large that its beats come seconds apart: each VM of it
@@ -137,5 +137,5 @@
 	assert.Assert(t, period > silence)
 	c.T = c.T.Add(period)
 	assert.Assert(t, m.ReadInterval() >= idlePause)
-	assert.Assert(t, !m.ReadsConfig())
+	assert.Assert(t, !m.IsConfigReader())
 }
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -62,7 +62,7 @@
 	switch {
 	case n.confirms():
 		return freshWait
-	case !n.members.ReadsConfig():
+	case !n.members.IsConfigReader():
 		return 0
 	case n.members.IsReader():
 		return readerWait
@@ -76,7 +76,7 @@
 
 // configPause is the time between two reads of the configuration.
 func (n *Node) configPause() time.Duration {
-	if n.members.ReadsConfig() || n.confirms() {
+	if n.members.IsConfigReader() || n.confirms() {
 		return configPause
 	}
 	return n.members.IdleReadInterval()
