--- a/internal/gossip/readers.go
+++ b/internal/gossip/readers.go
@@ -188,8 +188,8 @@
 // by much.
 const settleFor = 700 * time.Millisecond
 
-// HasRead tells whether this VM's last read of the entries is a fresh one.
-func (m *Members) HasRead() bool {
+// HasFreshRead tells whether this VM's last read of the entries is a fresh one.
+func (m *Members) HasFreshRead() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.readAt != 0 && m.clock.Now().Sub(m.readAt) < freshRead
