--- a/internal/gossip/readers.go
+++ b/internal/gossip/readers.go
@@ -195,8 +195,8 @@
 	return m.readAt != 0 && m.clock.Now().Sub(m.readAt) < freshRead
 }
 
-// HaveRead notes that this VM has read the entries.
-func (m *Members) HaveRead() {
+// RecordRead notes that this VM has read the entries.
+func (m *Members) RecordRead() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.readAt = m.clock.Now()
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -50,7 +50,7 @@
 	n.fleet.Apply, n.fleet.Begin, n.fleet.End = n.applyEndpoint, n.catalog.Hold, n.catalog.Release
 	n.fleet.Pause, n.fleet.Lost = n.members.ReadInterval, n.catalog.Unreachable
 	n.fleet.Read = func(clock.Time) {
-		n.members.HaveRead()
+		n.members.RecordRead()
 		n.changes.HaveRead(n.fleet.Next())
 	}
 	n.changes = gateway.NewChanges(n.clock, n.fleet)
