--- a/internal/gossip/active_test.go
+++ b/internal/gossip/active_test.go
@@ -111,7 +111,7 @@
 	g := &group{}
 	c, m := many(60, standby(t, 60))
 	c.T = c.T.Add(knownAfter)
-	r := NewRegistration(g, m, func(clock.Time, Holding) {})
+	r := NewRegistration(g, m, func(clock.Time, Assignment) {})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = r.Run(ctx) }()
@@ -136,7 +136,7 @@
 // the group: nobody gives orders until it lapses and the next holder has waited.
 func TestAVMThatStartsJoinsOnlyIfItIsToStay(t *testing.T) {
 	joins := func(m *Members) bool {
-		return NewRegistration(&group{}, m, func(clock.Time, Holding) {}).wanted()
+		return NewRegistration(&group{}, m, func(clock.Time, Assignment) {}).wanted()
 	}
 	c, m := newMembers()
 	assert.Assert(t, !joins(m), "others may be first")
@@ -160,11 +160,11 @@
 // others have taken its place in the active set for good.
 func TestAVMLeavesTheGroupSomeTimeAfterTheActiveSet(t *testing.T) {
 	c, m := many(60, 0)
-	r := NewRegistration(&group{}, m, func(clock.Time, Holding) {})
+	r := NewRegistration(&group{}, m, func(clock.Time, Assignment) {})
 	assert.Assert(t, !r.superfluous())
 	outside := standby(t, 60)
 	c2, m2 := many(60, outside)
-	r2 := NewRegistration(&group{}, m2, func(clock.Time, Holding) {})
+	r2 := NewRegistration(&group{}, m2, func(clock.Time, Assignment) {})
 	assert.Assert(t, !r2.superfluous())
 	c.T, c2.T = c.T.Add(leaveAfter+1), c2.T.Add(leaveAfter+1)
 	assert.Assert(t, !r.superfluous())
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -110,15 +110,15 @@
 
 var errDown = errors.New("down")
 
-func (g *group) Join(_ context.Context, n Node, _ time.Duration) (Holding, error) {
+func (g *group) Join(_ context.Context, n Node, _ time.Duration) (Assignment, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.joins++
 	if g.down {
-		return Holding{}, errDown
+		return Assignment{}, errDown
 	}
 	g.list = append(g.list, n)
-	return Holding{Duty: true, Generation: 3}, nil
+	return Assignment{Duty: true, Generation: 3}, nil
 }
 
 func (g *group) Members(context.Context) ([]Node, error) {
@@ -137,8 +137,8 @@
 	g := &group{down: true, list: []Node{node(5)}}
 	c, m := newMembers()
 	c.T = c.T.Add(joinSpread)
-	renewed := make(chan Holding, 8)
-	r := NewRegistration(g, m, func(_ clock.Time, h Holding) { renewed <- h })
+	renewed := make(chan Assignment, 8)
+	r := NewRegistration(g, m, func(_ clock.Time, h Assignment) { renewed <- h })
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = r.Run(ctx) }()
@@ -152,7 +152,7 @@
 		g.down = false
 		return poll.Success()
 	})
-	assert.DeepEqual(t, <-renewed, Holding{Duty: true, Generation: 3})
+	assert.DeepEqual(t, <-renewed, Assignment{Duty: true, Generation: 3})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if m.HasPeers() {
 			return poll.Success()
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -52,15 +52,15 @@
 // Group is the platform's list of the processes that take part.
 type Group interface {
 	// Join adds n or keeps it in the list for ttl.
-	Join(ctx context.Context, n Node, ttl time.Duration) (Holding, error)
+	Join(ctx context.Context, n Node, ttl time.Duration) (Assignment, error)
 	// Members returns the list.
 	Members(ctx context.Context) ([]Node, error)
 	// Leave takes n off the list.
 	Leave(ctx context.Context, n Node) error
 }
 
-// Holding is what the group has dealt to a member.
-type Holding struct {
+// Assignment is what the group has dealt to a member.
+type Assignment struct {
 	Duty       bool  // of giving orders, which one member has
 	Generation int64 // grows with each change of the dealing
 }
@@ -69,7 +69,7 @@
 type Registration struct {
 	group   Group
 	members *Members
-	renewed func(sentAt clock.Time, h Holding)
+	renewed func(sentAt clock.Time, h Assignment)
 	listed  chan struct{} // closed after the first try to read the list
 
 	// Of the joining goroutine:
@@ -78,7 +78,7 @@
 }
 
 // NewRegistration returns the unit. renewed is told of each confirmed renewal.
-func NewRegistration(g Group, m *Members, renewed func(sentAt clock.Time, h Holding)) *Registration {
+func NewRegistration(g Group, m *Members, renewed func(sentAt clock.Time, h Assignment)) *Registration {
 	return &Registration{group: g, members: m, renewed: renewed, listed: make(chan struct{})}
 }
 
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -293,7 +293,7 @@
 // news has something told that all VMs must know.
 func (n *Node) news() { n.gossip.Push() }
 
-func (n *Node) renewed(sentAt clock.Time, h gossip.Holding) {
+func (n *Node) renewed(sentAt clock.Time, h gossip.Assignment) {
 	n.members.SetLeader(h.Duty)
 	n.duty.Renewed(sentAt, h.Duty && !n.members.Leaving(), h.Generation)
 }
