--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -118,7 +118,7 @@
 		return Assignment{}, errDown
 	}
 	g.list = append(g.list, n)
-	return Assignment{Duty: true, Generation: 3}, nil
+	return Assignment{Leader: true, Generation: 3}, nil
 }
 
 func (g *group) Members(context.Context) ([]Node, error) {
@@ -152,7 +152,7 @@
 		g.down = false
 		return poll.Success()
 	})
-	assert.DeepEqual(t, <-renewed, Assignment{Duty: true, Generation: 3})
+	assert.DeepEqual(t, <-renewed, Assignment{Leader: true, Generation: 3})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if m.HasPeers() {
 			return poll.Success()
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -61,7 +61,7 @@
 
 // Assignment is what the group has dealt to a member.
 type Assignment struct {
-	Duty       bool  // of giving orders, which one member has
+	Leader       bool  // of giving orders, which one member has
 	Generation int64 // grows with each change of the dealing
 }
 
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -294,8 +294,8 @@
 func (n *Node) news() { n.gossip.Push() }
 
 func (n *Node) renewed(sentAt clock.Time, h gossip.Assignment) {
-	n.members.SetLeader(h.Duty)
-	n.duty.Renewed(sentAt, h.Duty && !n.members.Leaving(), h.Generation)
+	n.members.SetLeader(h.Leader)
+	n.duty.Renewed(sentAt, h.Leader && !n.members.Leaving(), h.Generation)
 }
 
 // seedOf makes the planners of different processes break ties differently.
