--- a/internal/gossip/beat.go
+++ b/internal/gossip/beat.go
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// Tell changes what the next beat carries once.
-func (u *Unit) Tell(add func(b *wire.Beat)) {
+// QueueUpdate changes what the next beat carries once.
+func (u *Unit) QueueUpdate(add func(b *wire.Beat)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.next.GetCached())+len(u.next.GetCrashes()) < maxTold {
--- a/internal/gossip/beat_test.go
+++ b/internal/gossip/beat_test.go
@@ -76,7 +76,7 @@
 		}
 		return poll.Continue("not yet")
 	})
-	a.Tell(func(b *wire.Beat) { b.Cached = append(b.Cached, &wire.CachedPrefix{Endpoint: 7}) })
+	a.QueueUpdate(func(b *wire.Beat) { b.Cached = append(b.Cached, &wire.CachedPrefix{Endpoint: 7}) })
 	a.Soon()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if hb.cached() == 1 {
@@ -104,7 +104,7 @@
 	assert.Equal(t, len(m.busy()), 0)
 
 	u := NewUnit(m, &hub{})
-	u.Tell(func(b *wire.Beat) {
+	u.QueueUpdate(func(b *wire.Beat) {
 		b.Cached = append(b.Cached, &wire.CachedPrefix{Endpoint: 7})
 		b.Crashes = append(b.Crashes, &wire.Crash{Request: 1})
 		b.Changing = append(b.Changing, "e")
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -223,7 +223,7 @@
 		Clock: n.clock, Planner: n.planner, Catalog: n.catalog, Members: n.members, Engines: n.adapter.Caches(n.pool),
 		Own: n.o.Self.Peer, NothingCached: n.o.FirstStart,
 		Tell: func(c *wire.CachedPrefix) {
-			n.gossip.Tell(func(b *wire.Beat) { b.Cached = append(b.Cached, c) })
+			n.gossip.QueueUpdate(func(b *wire.Beat) { b.Cached = append(b.Cached, c) })
 		},
 	}
 }
@@ -268,12 +268,12 @@
 
 func (n *Node) ordered(id string) {
 	n.planner.MarkChangingStage(n.clock.Now(), id)
-	n.gossip.Tell(func(b *wire.Beat) { b.Changing = append(b.Changing, id) })
+	n.gossip.QueueUpdate(func(b *wire.Beat) { b.Changing = append(b.Changing, id) })
 	n.gossip.Soon()
 }
 
 func (n *Node) cached(e *catalog.Endpoint, parts []place.Part) {
-	n.gossip.Tell(func(b *wire.Beat) { b.Cached = append(b.Cached, cachesync.Prefix(e, parts)) })
+	n.gossip.QueueUpdate(func(b *wire.Beat) { b.Cached = append(b.Cached, cachesync.Prefix(e, parts)) })
 }
 
 func (n *Node) crashed(fingerprint uint64, endpoint string) {
@@ -281,7 +281,7 @@
 		return
 	}
 	c := &wire.Crash{Request: fingerprint, Endpoint: endpoint}
-	n.gossip.Tell(func(b *wire.Beat) { b.Crashes = append(b.Crashes, c) })
+	n.gossip.QueueUpdate(func(b *wire.Beat) { b.Crashes = append(b.Crashes, c) })
 	n.gossip.Soon()
 	n.exchange.Crashed(c)
 	n.news()
