--- a/internal/gossip/beat.go
+++ b/internal/gossip/beat.go
@@ -128,12 +128,12 @@
 	u.mu.Lock()
 	u.toAll = true
 	u.mu.Unlock()
-	u.SoonToBusy()
+	u.SendEarlyToBusy()
 }
 
-// SoonToBusy sends the next beat early to the VMs that serve callers: it carries
+// SendEarlyToBusy sends the next beat early to the VMs that serve callers: it carries
 // load, which others don't need between two beats.
-func (u *Unit) SoonToBusy() {
+func (u *Unit) SendEarlyToBusy() {
 	wake(u.soon)
 }
 
--- a/internal/gossip/beat_test.go
+++ b/internal/gossip/beat_test.go
@@ -117,7 +117,7 @@
 	assert.Equal(t, len(late.GetCrashes())+len(late.GetChanging()), 2)
 	assert.Equal(t, len(late.GetCached()), 0)
 
-	u.SoonToBusy()
+	u.SendEarlyToBusy()
 	assert.Assert(t, !u.allWanted())
 	u.Soon()
 	assert.Assert(t, u.allWanted())
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -257,7 +257,7 @@
 
 func (n *Node) sent(work time.Duration) {
 	if work >= urgentWork {
-		n.gossip.SoonToBusy()
+		n.gossip.SendEarlyToBusy()
 	}
 }
 
