--- a/internal/gossip/beat.go
+++ b/internal/gossip/beat.go
@@ -109,7 +109,7 @@
 // Drain implements kernel.Drainer: the others hear at once that this VM leaves.
 func (u *Unit) Drain(context.Context) error {
 	u.members.SetLeaving()
-	u.Soon()
+	u.SendEarly()
 	u.Push()
 	return nil
 }
@@ -123,8 +123,8 @@
 	}
 }
 
-// Soon sends the next beat early, to the whole active set: it carries something urgent.
-func (u *Unit) Soon() {
+// SendEarly sends the next beat early, to the whole active set: it carries something urgent.
+func (u *Unit) SendEarly() {
 	u.mu.Lock()
 	u.toAll = true
 	u.mu.Unlock()
--- a/internal/gossip/beat_test.go
+++ b/internal/gossip/beat_test.go
@@ -77,7 +77,7 @@
 		return poll.Continue("not yet")
 	})
 	a.QueueUpdate(func(b *wire.Beat) { b.Cached = append(b.Cached, &wire.CachedPrefix{Endpoint: 7}) })
-	a.Soon()
+	a.SendEarly()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if hb.cached() == 1 {
 			return poll.Success()
@@ -119,7 +119,7 @@
 
 	u.SendEarlyToBusy()
 	assert.Assert(t, !u.allWanted())
-	u.Soon()
+	u.SendEarly()
 	assert.Assert(t, u.allWanted())
 	assert.Assert(t, !u.allWanted(), "once")
 }
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -159,7 +159,7 @@
 	}
 	n.share.Set(e)
 	if !e.Heard {
-		n.gossip.Soon() // those that don't read the store wait for it
+		n.gossip.SendEarly() // those that don't read the store wait for it
 	}
 	n.news()
 }
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -176,7 +176,7 @@
 		n.exchange.Time, n.exchange.Usage = n.time, n.usage
 	}
 	n.gossip = gossip.NewUnit(n.members, n.exchange)
-	n.pressure.OnChange = n.gossip.Soon
+	n.pressure.OnChange = n.gossip.SendEarly
 	if n.fresh != nil {
 		n.gossip.Knowledge = &knowledge{n}
 	}
@@ -269,7 +269,7 @@
 func (n *Node) ordered(id string) {
 	n.planner.MarkChangingStage(n.clock.Now(), id)
 	n.gossip.QueueUpdate(func(b *wire.Beat) { b.Changing = append(b.Changing, id) })
-	n.gossip.Soon()
+	n.gossip.SendEarly()
 }
 
 func (n *Node) cached(e *catalog.Endpoint, parts []place.Part) {
@@ -282,7 +282,7 @@
 	}
 	c := &wire.Crash{Request: fingerprint, Endpoint: endpoint}
 	n.gossip.QueueUpdate(func(b *wire.Beat) { b.Crashes = append(b.Crashes, c) })
-	n.gossip.Soon()
+	n.gossip.SendEarly()
 	n.exchange.Crashed(c)
 	n.news()
 }
