--- a/internal/gossip/beat.go
+++ b/internal/gossip/beat.go
@@ -110,7 +110,7 @@
 func (u *Unit) Drain(context.Context) error {
 	u.members.SetLeaving()
 	u.SendEarly()
-	u.Push()
+	u.PushUpdates()
 	return nil
 }
 
--- a/internal/gossip/probes.go
+++ b/internal/gossip/probes.go
@@ -10,8 +10,8 @@
 // longestStep bounds the pause between two looks at the list.
 const longestStep = time.Second
 
-// Push tells a few VMs at once what all must know; they pass it on.
-func (u *Unit) Push() {
+// PushUpdates tells a few VMs at once what all must know; they pass it on.
+func (u *Unit) PushUpdates() {
 	u.members.push()
 	wake(u.stepSoon)
 }
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -291,7 +291,7 @@
 func (n *Node) leaves(e *catalog.Endpoint) { n.exchange.Leaves(e) }
 
 // news has something told that all VMs must know.
-func (n *Node) news() { n.gossip.Push() }
+func (n *Node) news() { n.gossip.PushUpdates() }
 
 func (n *Node) renewed(sentAt clock.Time, h gossip.Assignment) {
 	n.members.SetLeader(h.Leader)
