--- a/internal/gossip/beat.go
+++ b/internal/gossip/beat.go
@@ -39,8 +39,8 @@
 type Content interface {
 	// Fill adds what this VM tells the active set: its load, and news.
 	Fill(b *wire.Beat)
-	// FillNews adds what all VMs must know.
-	FillNews(b *wire.Beat)
+	// FillUpdates adds what all VMs must know.
+	FillUpdates(b *wire.Beat)
 	// Totals returns counts that are due to be told to a few VMs.
 	Totals() []*wire.UsageWindow
 	// Take takes what the VM with the given address told.
--- a/internal/gossip/beat_test.go
+++ b/internal/gossip/beat_test.go
@@ -25,7 +25,7 @@
 
 func (h *hub) Totals() []*wire.UsageWindow { return nil }
 
-func (h *hub) FillNews(b *wire.Beat) { b.ConfigVersion = 7 }
+func (h *hub) FillUpdates(b *wire.Beat) { b.ConfigVersion = 7 }
 
 func (h *hub) Take(_ string, b *wire.Beat) {
 	h.mu.Lock()
--- a/internal/gossip/probes.go
+++ b/internal/gossip/probes.go
@@ -39,7 +39,7 @@
 	for i := range out {
 		b := probeBeat(&out[i].Message)
 		_, b.NewestReadMs = u.members.told()
-		u.content.FillNews(b)
+		u.content.FillUpdates(b)
 		u.sendTo([]string{out[i].To}, b)
 	}
 }
