--- a/internal/gossip/beat.go
+++ b/internal/gossip/beat.go
@@ -49,8 +49,8 @@
 
 // Unit sends and receives beats. It is a kernel unit.
 type Unit struct {
-	// Knowledge is kept new by asking other VMs, unless it is nil.
-	Knowledge Knowledge
+	// Freshness is kept new by asking other VMs, unless it is nil.
+	Freshness Knowledge
 
 	members *Members
 	content Content
@@ -100,7 +100,7 @@
 	group.Go(func() error { return u.receive(ctx) })
 	group.Go(func() error { return u.send(ctx) })
 	group.Go(func() error { return u.probe(ctx) })
-	if u.Knowledge != nil {
+	if u.Freshness != nil {
 		group.Go(func() error { return u.askAround(ctx) })
 	}
 	return group.Wait()
@@ -281,7 +281,7 @@
 			continue
 		}
 		if b.GetKnowledge() != nil {
-			if u.Knowledge != nil {
+			if u.Freshness != nil {
 				u.takeKnowledge(&b)
 			}
 			continue
--- a/internal/gossip/beat_test.go
+++ b/internal/gossip/beat_test.go
@@ -56,7 +56,7 @@
 	m := NewMembers(clock.Boot{}, Node{Incarnation: addr, Caller: addr, Peer: addr})
 	m.SetReady(true)
 	u := NewUnit(m, h)
-	u.Knowledge = k
+	u.Freshness = k
 	ctx, cancel := context.WithCancel(t.Context())
 	assert.NilError(t, u.Provision(ctx))
 	done := make(chan struct{})
--- a/internal/gossip/knowledge.go
+++ b/internal/gossip/knowledge.go
@@ -43,7 +43,7 @@
 
 // askWhenDue asks if what is known is old enough, and returns when to look again.
 func (u *Unit) askWhenDue() time.Duration {
-	age, _, ok := u.Knowledge.Age()
+	age, _, ok := u.Freshness.Age()
 	switch {
 	case !ok || age >= urgentAge:
 		u.ask(askedAtOnce)
@@ -71,11 +71,11 @@
 	if k.GetAnswer() {
 		if k.GetAsker() == askerOf(&u.members.own) {
 			age := time.Duration(k.GetAgeMs()) * time.Millisecond
-			u.Knowledge.Confirmed(b.GetPeer(), clock.Time(k.GetAskedAt()), age, b.GetConfigVersion())
+			u.Freshness.Confirmed(b.GetPeer(), clock.Time(k.GetAskedAt()), age, b.GetConfigVersion())
 		}
 		return
 	}
-	age, version, ok := u.Knowledge.Age()
+	age, version, ok := u.Freshness.Age()
 	if !ok {
 		return
 	}
--- a/internal/gossip/knowledge_test.go
+++ b/internal/gossip/knowledge_test.go
@@ -40,7 +40,7 @@
 	_, b := startKnowing(t, h, other)
 	a.MergeListed([]Node{b.own})
 	b.MergeListed([]Node{a.own})
-	assert.Assert(t, ua.Knowledge != nil)
+	assert.Assert(t, ua.Freshness != nil)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		other.mu.Lock()
 		defer other.mu.Unlock()
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -178,7 +178,7 @@
 	n.gossip = gossip.NewUnit(n.members, n.exchange)
 	n.pressure.OnChange = n.gossip.SendEarly
 	if n.fresh != nil {
-		n.gossip.Knowledge = &knowledge{n}
+		n.gossip.Freshness = &knowledge{n}
 	}
 	return n
 }
