--- a/internal/gossip/beat.go
+++ b/internal/gossip/beat.go
@@ -50,7 +50,7 @@
 // Unit sends and receives beats. It is a kernel unit.
 type Unit struct {
 	// Freshness is kept new by asking other VMs, unless it is nil.
-	Freshness Knowledge
+	Freshness ConfigFreshness
 
 	members *Members
 	content Content
--- a/internal/gossip/beat_test.go
+++ b/internal/gossip/beat_test.go
@@ -50,7 +50,7 @@
 }
 
 // startKnowing runs a unit that keeps knowledge new.
-func startKnowing(t *testing.T, h *hub, k Knowledge) (*Unit, *Members) {
+func startKnowing(t *testing.T, h *hub, k ConfigFreshness) (*Unit, *Members) {
 	t.Helper()
 	addr := loopback.FreeAddress()
 	m := NewMembers(clock.Boot{}, Node{Incarnation: addr, Caller: addr, Peer: addr})
--- a/internal/gossip/knowledge.go
+++ b/internal/gossip/knowledge.go
@@ -23,8 +23,8 @@
 	askedAtOnce = 3
 )
 
-// Knowledge is how new the configuration is that this VM serves by.
-type Knowledge interface {
+// ConfigFreshness is how new the configuration is that this VM serves by.
+type ConfigFreshness interface {
 	// Age returns the age of what is known and the version in force.
 	Age() (age time.Duration, version uint64, ok bool)
 	// Confirmed takes the answer of a VM to a question of askedAt.
