--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -19,8 +19,8 @@
 
 // Limits say how old the knowledge may be by which keys are judged.
 type Limits struct {
-	// Accept is the greatest age by which a key is accepted, zero for any.
-	Accept time.Duration
+	// MaxAcceptAge is the greatest age by which a key is accepted, zero for any.
+	MaxAcceptAge time.Duration
 	// Deny is the greatest age by which a key is called unknown, zero for any.
 	Deny time.Duration
 }
@@ -119,7 +119,7 @@
 	age := t.clock.Now().Sub(t.known)
 	v := Judge
 	switch {
-	case t.limits.Accept > 0 && (t.known == 0 || age > t.limits.Accept):
+	case t.limits.MaxAcceptAge > 0 && (t.known == 0 || age > t.limits.MaxAcceptAge):
 		v = Stale
 	case t.limits.Deny > 0 && (t.known == 0 || age > t.limits.Deny):
 		v = Accept
--- a/internal/gossip/knowledge_test.go
+++ b/internal/gossip/knowledge_test.go
@@ -20,7 +20,7 @@
 }
 
 func newTracked() *tracked {
-	return &tracked{Tracker: freshness.New(clock.Boot{}, freshness.Limits{Accept: time.Minute})}
+	return &tracked{Tracker: freshness.New(clock.Boot{}, freshness.Limits{MaxAcceptAge: time.Minute})}
 }
 
 func (k *tracked) Confirmed(_ string, askedAt clock.Time, age time.Duration, version uint64) {
