--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -21,8 +21,8 @@
 type Limits struct {
 	// MaxAcceptAge is the greatest age by which a key is accepted, zero for any.
 	MaxAcceptAge time.Duration
-	// Deny is the greatest age by which a key is called unknown, zero for any.
-	Deny time.Duration
+	// MaxDenyAge is the greatest age by which a key is called unknown, zero for any.
+	MaxDenyAge time.Duration
 }
 
 // Tracker keeps the age of one VM's knowledge. It is safe for concurrent use.
@@ -121,7 +121,7 @@
 	switch {
 	case t.limits.MaxAcceptAge > 0 && (t.known == 0 || age > t.limits.MaxAcceptAge):
 		v = Stale
-	case t.limits.Deny > 0 && (t.known == 0 || age > t.limits.Deny):
+	case t.limits.MaxDenyAge > 0 && (t.known == 0 || age > t.limits.MaxDenyAge):
 		v = Accept
 	}
 	t.note(v == Stale, age)
