--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -108,7 +108,7 @@
 // The verdicts.
 const (
 	Stale  Verdict = iota // neither can be said
-	Accept                // a key that is known is valid
+	AcceptOnly                // a key that is known is valid
 	Judge                 // and one that isn't known is invalid
 )
 
@@ -122,7 +122,7 @@
 	case t.limits.MaxAcceptAge > 0 && (t.known == 0 || age > t.limits.MaxAcceptAge):
 		v = Stale
 	case t.limits.MaxDenyAge > 0 && (t.known == 0 || age > t.limits.MaxDenyAge):
-		v = Accept
+		v = AcceptOnly
 	}
 	t.note(v == Stale, age)
 	return v
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -27,7 +27,7 @@
 	for _, step := range []struct {
 		after time.Duration
 		want  Verdict
-	}{{0, Judge}, {deny, Judge}, {deny + 1, Accept}, {accept, Accept}, {accept + 1, Stale}} {
+	}{{0, Judge}, {deny, Judge}, {deny + 1, AcceptOnly}, {accept, AcceptOnly}, {accept + 1, Stale}} {
 		tr.Read(clock.Time(time.Hour)) // an older read changes nothing
 		c.T = clock.Time(time.Hour).Add(step.after)
 		assert.Equal(t, tr.Verdict(), step.want, "after %s", step.after)
--- a/internal/gateway/authorize.go
+++ b/internal/gateway/authorize.go
@@ -34,7 +34,7 @@
 	switch {
 	case c.Workspace != nil:
 		return nil
-	case v == freshness.Accept:
+	case v == freshness.AcceptOnly:
 		return staleKeys()
 	}
 	return refuse(code.UnknownAPIKey, "no workspace holds the request's API key")
--- a/internal/gateway/authorize_test.go
+++ b/internal/gateway/authorize_test.go
@@ -90,10 +90,10 @@
 		status  int
 	}{
 		{"known", payment, "k1", freshness.Judge, 200},
-		{"known, older knowledge", payment, "k1", freshness.Accept, 200},
+		{"known, older knowledge", payment, "k1", freshness.AcceptOnly, 200},
 		{"known, stale knowledge", payment, "k1", freshness.Stale, 503},
 		{"unknown", payment, "k2", freshness.Judge, 401},
-		{"unknown, older knowledge", payment, "k2", freshness.Accept, 503},
+		{"unknown, older knowledge", payment, "k2", freshness.AcceptOnly, 503},
 		{"unknown, stale knowledge", payment, "k2", freshness.Stale, 503},
 		{"none", payment, "", freshness.Judge, 401},
 		{"none on an anonymous route", open, "", freshness.Stale, 200},
