--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -109,7 +109,7 @@
 const (
 	Stale  Verdict = iota // neither can be said
 	AcceptOnly                // a key that is known is valid
-	Judge                 // and one that isn't known is invalid
+	AcceptOrDeny                 // and one that isn't known is invalid
 )
 
 // Verdict returns what the knowledge as it is now can say of keys.
@@ -117,7 +117,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	age := t.clock.Now().Sub(t.known)
-	v := Judge
+	v := AcceptOrDeny
 	switch {
 	case t.limits.MaxAcceptAge > 0 && (t.known == 0 || age > t.limits.MaxAcceptAge):
 		v = Stale
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -27,13 +27,13 @@
 	for _, step := range []struct {
 		after time.Duration
 		want  Verdict
-	}{{0, Judge}, {deny, Judge}, {deny + 1, AcceptOnly}, {accept, AcceptOnly}, {accept + 1, Stale}} {
+	}{{0, AcceptOrDeny}, {deny, AcceptOrDeny}, {deny + 1, AcceptOnly}, {accept, AcceptOnly}, {accept + 1, Stale}} {
 		tr.Read(clock.Time(time.Hour)) // an older read changes nothing
 		c.T = clock.Time(time.Hour).Add(step.after)
 		assert.Equal(t, tr.Verdict(), step.want, "after %s", step.after)
 	}
 	tr.Read(c.T)
-	assert.Equal(t, tr.Verdict(), Judge)
+	assert.Equal(t, tr.Verdict(), AcceptOrDeny)
 }
 
 // Guards against a message that waited in the socket of a suspended process and made its knowledge look new.
@@ -52,7 +52,7 @@
 	tr.Confirmed(c.T, 0, 4)
 	assert.Equal(t, tr.Verdict(), Stale)
 	tr.InForce(4)
-	assert.Equal(t, tr.Verdict(), Judge)
+	assert.Equal(t, tr.Verdict(), AcceptOrDeny)
 }
 
 // Guards against a configuration that isn't understood and whose revoked keys would go on working.
@@ -65,7 +65,7 @@
 	assert.Equal(t, tr.Verdict(), Stale)
 	tr.InForce(5)
 	tr.Read(c.T)
-	assert.Equal(t, tr.Verdict(), Judge)
+	assert.Equal(t, tr.Verdict(), AcceptOrDeny)
 }
 
 // Guards against impossible answers: from the future, or of a negative age.
--- a/internal/gateway/authorize_test.go
+++ b/internal/gateway/authorize_test.go
@@ -37,7 +37,7 @@
 
 func newKeyedWorld(t *testing.T, r catalog.Route) *keyedWorld {
 	t.Helper()
-	w := &keyedWorld{world: newWorld(t), verdict: freshness.Judge}
+	w := &keyedWorld{world: newWorld(t), verdict: freshness.AcceptOrDeny}
 	o := &w.gateway.o
 	o.Codec = keyedCodec{}
 	o.Keys = func() freshness.Verdict {
@@ -89,15 +89,15 @@
 		verdict freshness.Verdict
 		status  int
 	}{
-		{"known", payment, "k1", freshness.Judge, 200},
+		{"known", payment, "k1", freshness.AcceptOrDeny, 200},
 		{"known, older knowledge", payment, "k1", freshness.AcceptOnly, 200},
 		{"known, stale knowledge", payment, "k1", freshness.Stale, 503},
-		{"unknown", payment, "k2", freshness.Judge, 401},
+		{"unknown", payment, "k2", freshness.AcceptOrDeny, 401},
 		{"unknown, older knowledge", payment, "k2", freshness.AcceptOnly, 503},
 		{"unknown, stale knowledge", payment, "k2", freshness.Stale, 503},
-		{"none", payment, "", freshness.Judge, 401},
+		{"none", payment, "", freshness.AcceptOrDeny, 401},
 		{"none on an anonymous route", open, "", freshness.Stale, 200},
-		{"unknown on an anonymous route", open, "k2", freshness.Judge, 401},
+		{"unknown on an anonymous route", open, "k2", freshness.AcceptOrDeny, 401},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newKeyedWorld(t, tc.route)
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -69,7 +69,7 @@
 // judgeKeys says whether keys can be judged by the configuration in force.
 func (n *Node) judgeKeys() freshness.Verdict {
 	if n.fresh == nil {
-		return freshness.Judge
+		return freshness.AcceptOrDeny
 	}
 	return n.fresh.Verdict()
 }
