--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -89,8 +89,8 @@
 	return out
 }
 
-// FillNews implements gossip.Content.
-func (x *Exchange) FillNews(b *wire.Beat) {
+// FillUpdates implements gossip.Content.
+func (x *Exchange) FillUpdates(b *wire.Beat) {
 	if c := x.Catalog.View().Config; c != nil {
 		b.ConfigVersion = c.Version
 	}
