--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -99,8 +99,8 @@
 	b.LeavingEndpoints = x.leaving.tell(x.Clock.Now())
 }
 
-// Totals implements gossip.Content.
-func (x *Exchange) Totals() []*wire.UsageWindow {
+// DueUsage implements gossip.Content.
+func (x *Exchange) DueUsage() []*wire.UsageWindow {
 	if x.Usage == nil {
 		return nil
 	}
--- a/internal/gossip/beat.go
+++ b/internal/gossip/beat.go
@@ -41,8 +41,8 @@
 	Fill(b *wire.Beat)
 	// FillUpdates adds what all VMs must know.
 	FillUpdates(b *wire.Beat)
-	// Totals returns counts that are due to be told to a few VMs.
-	Totals() []*wire.UsageWindow
+	// DueUsage returns counts that are due to be told to a few VMs.
+	DueUsage() []*wire.UsageWindow
 	// Take takes what the VM with the given address told.
 	Take(from string, b *wire.Beat)
 }
@@ -221,7 +221,7 @@
 	targets := u.members.beatTargets(!u.busyAt.IsZero() && time.Since(u.busyAt) < busyFor)
 	u.told = len(targets)
 	u.due = time.Now().Add(u.period())
-	totals := u.content.Totals()
+	totals := u.content.DueUsage()
 	if len(totals) == 0 {
 		u.sendTo(targets, b)
 		return
--- a/internal/gossip/beat_test.go
+++ b/internal/gossip/beat_test.go
@@ -23,7 +23,7 @@
 
 func (h *hub) Fill(b *wire.Beat) { b.ConfigVersion = 7 }
 
-func (h *hub) Totals() []*wire.UsageWindow { return nil }
+func (h *hub) DueUsage() []*wire.UsageWindow { return nil }
 
 func (h *hub) FillUpdates(b *wire.Beat) { b.ConfigVersion = 7 }
 
