--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -64,7 +64,7 @@
 		from.beats.Fill(b)
 		for j, to := range all {
 			if j != i {
-				to.beats.Take(b.GetPeer(), b)
+				to.beats.Receive(b.GetPeer(), b)
 			}
 		}
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Take implements gossip.Content.
-func (x *Exchange) Take(from string, b *wire.Beat) {
+// Receive implements gossip.Content.
+func (x *Exchange) Receive(from string, b *wire.Beat) {
 	if b.GetProbe() == nil {
 		x.takeLoad(from, b)
 		if x.Usage != nil {
--- a/internal/gossip/beat.go
+++ b/internal/gossip/beat.go
@@ -43,8 +43,8 @@
 	FillUpdates(b *wire.Beat)
 	// DueUsage returns counts that are due to be told to a few VMs.
 	DueUsage() []*wire.UsageWindow
-	// Take takes what the VM with the given address told.
-	Take(from string, b *wire.Beat)
+	// Receive takes what the VM with the given address told.
+	Receive(from string, b *wire.Beat)
 }
 
 // Unit sends and receives beats. It is a kernel unit.
@@ -293,6 +293,6 @@
 		} else {
 			u.members.hear(heard{Record: senderOf(&b), readAgeMs: b.GetReadAgeMs(), busy: len(b.GetOutstanding()) > 0})
 		}
-		u.content.Take(b.GetPeer(), &b)
+		u.content.Receive(b.GetPeer(), &b)
 	}
 }
--- a/internal/gossip/beat_test.go
+++ b/internal/gossip/beat_test.go
@@ -27,7 +27,7 @@
 
 func (h *hub) FillUpdates(b *wire.Beat) { b.ConfigVersion = 7 }
 
-func (h *hub) Take(_ string, b *wire.Beat) {
+func (h *hub) Receive(_ string, b *wire.Beat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.seen = append(h.seen, b)
