--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// Confirmed takes the answer of another VM to a question of askedAt: up to age before
+// MergeAnswer takes the answer of another VM to a question of askedAt: up to age before
 // the answer it knew all versions, of which version was the newest.
-func (t *Tracker) Confirmed(askedAt clock.Time, age time.Duration, version uint64) {
+func (t *Tracker) MergeAnswer(askedAt clock.Time, age time.Duration, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if askedAt > t.clock.Now() || age < 0 {
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -41,7 +41,7 @@
 	c, tr := newTracker()
 	asked := c.T
 	c.T = c.T.Add(10 * time.Second)
-	tr.Confirmed(asked, 0, 0)
+	tr.MergeAnswer(asked, 0, 0)
 	assert.Equal(t, tr.Verdict(), Stale)
 }
 
@@ -49,7 +49,7 @@
 func TestAnAnswerCountsOnlyWithItsVersion(t *testing.T) {
 	c, tr := newTracker()
 	tr.InForce(3)
-	tr.Confirmed(c.T, 0, 4)
+	tr.MergeAnswer(c.T, 0, 4)
 	assert.Equal(t, tr.Verdict(), Stale)
 	tr.InForce(4)
 	assert.Equal(t, tr.Verdict(), AcceptOrDeny)
@@ -71,8 +71,8 @@
 // Guards against impossible answers: from the future, or of a negative age.
 func TestImpossibleAnswersAreDropped(t *testing.T) {
 	c, tr := newTracker()
-	tr.Confirmed(c.T.Add(time.Second), 0, 0)
-	tr.Confirmed(c.T, -time.Second, 0)
+	tr.MergeAnswer(c.T.Add(time.Second), 0, 0)
+	tr.MergeAnswer(c.T, -time.Second, 0)
 	assert.Equal(t, tr.Verdict(), Stale)
 }
 
@@ -159,7 +159,7 @@
 				if trusting {
 					asked = now.T
 				}
-				tr.Confirmed(asked, m.age, m.version)
+				tr.MergeAnswer(asked, m.age, m.version)
 				if m.version > versions[i] && rng.IntN(3) == 0 {
 					versions[i] = m.version // the version is fetched
 					tr.InForce(m.version)
--- a/internal/gossip/knowledge.go
+++ b/internal/gossip/knowledge.go
@@ -27,8 +27,8 @@
 type ConfigFreshness interface {
 	// Age returns the age of what is known and the version in force.
 	Age() (age time.Duration, version uint64, ok bool)
-	// Confirmed takes the answer of a VM to a question of askedAt.
-	Confirmed(vm string, askedAt clock.Time, age time.Duration, version uint64)
+	// MergeAnswer takes the answer of a VM to a question of askedAt.
+	MergeAnswer(vm string, askedAt clock.Time, age time.Duration, version uint64)
 }
 
 // askAround asks other VMs for newer knowledge until ctx ends. A question comes back
@@ -71,7 +71,7 @@
 	if k.GetAnswer() {
 		if k.GetAsker() == askerOf(&u.members.own) {
 			age := time.Duration(k.GetAgeMs()) * time.Millisecond
-			u.Freshness.Confirmed(b.GetPeer(), clock.Time(k.GetAskedAt()), age, b.GetConfigVersion())
+			u.Freshness.MergeAnswer(b.GetPeer(), clock.Time(k.GetAskedAt()), age, b.GetConfigVersion())
 		}
 		return
 	}
--- a/internal/gossip/knowledge_test.go
+++ b/internal/gossip/knowledge_test.go
@@ -23,11 +23,11 @@
 	return &tracked{Tracker: freshness.New(clock.Boot{}, freshness.Limits{MaxAcceptAge: time.Minute})}
 }
 
-func (k *tracked) Confirmed(_ string, askedAt clock.Time, age time.Duration, version uint64) {
+func (k *tracked) MergeAnswer(_ string, askedAt clock.Time, age time.Duration, version uint64) {
 	k.mu.Lock()
 	k.heard = max(k.heard, version)
 	k.mu.Unlock()
-	k.Tracker.Confirmed(askedAt, age, version)
+	k.Tracker.MergeAnswer(askedAt, age, version)
 }
 
 // Guards against a VM that the store turns away and that no peer tells how new the configuration is.
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -80,8 +80,8 @@
 // Age implements gossip.Knowledge.
 func (k *knowledge) Age() (age time.Duration, version uint64, ok bool) { return k.n.fresh.Age() }
 
-// Confirmed implements gossip.Knowledge.
-func (k *knowledge) Confirmed(vm string, askedAt clock.Time, age time.Duration, version uint64) {
-	k.n.fresh.Confirmed(askedAt, age, version)
+// MergeAnswer implements gossip.Knowledge.
+func (k *knowledge) MergeAnswer(vm string, askedAt clock.Time, age time.Duration, version uint64) {
+	k.n.fresh.MergeAnswer(askedAt, age, version)
 	k.n.puller.Heard(vm, version)
 }
