--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -75,8 +75,8 @@
 // hearStep is a beat's time.
 const hearStep = 35 * time.Millisecond
 
-// SetInformed implements Members.
-func (v *vm) SetInformed(informed bool) {
+// SetTracksCaches implements Members.
+func (v *vm) SetTracksCaches(informed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.informed = informed
--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -55,8 +55,8 @@
 	Informed() []string
 	// Heard returns the addresses of the VMs that are heard, with this one's.
 	Heard() []string
-	// SetInformed tells the others whether this VM knows.
-	SetInformed(informed bool)
+	// SetTracksCaches tells the others whether this VM knows.
+	SetTracksCaches(informed bool)
 	// Active tells whether this VM places requests, or is one of those that will
 	// next.
 	Active() bool
@@ -95,11 +95,11 @@
 			}
 			continue
 		}
-		u.Members.SetInformed(true)
+		u.Members.SetTracksCaches(true)
 		if !u.stay(ctx) {
 			return ctx.Err()
 		}
-		u.Members.SetInformed(false)
+		u.Members.SetTracksCaches(false)
 		learnt = false
 	}
 }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -88,8 +88,8 @@
 // SetLeader tells whether this VM has been dealt the duty of giving orders.
 func (m *Members) SetLeader(duty bool) { m.change(func(r *swim.Record) { r.Duty = duty }) }
 
-// SetInformed tells whether this VM knows what engines have cached.
-func (m *Members) SetInformed(informed bool) {
+// SetTracksCaches tells whether this VM knows what engines have cached.
+func (m *Members) SetTracksCaches(informed bool) {
 	m.change(func(r *swim.Record) { r.Informed = informed })
 }
 
