--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -48,8 +48,8 @@
 	return d.held, nil
 }
 
-// Informed implements Members.
-func (v *vm) Informed() []string {
+// CacheTrackers implements Members.
+func (v *vm) CacheTrackers() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var out []string
--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -50,9 +50,9 @@
 
 // Members are the VMs of the deployment.
 type Members interface {
-	// Informed returns the addresses of the VMs that know what engines have
+	// CacheTrackers returns the addresses of the VMs that know what engines have
 	// cached, the nearest first.
-	Informed() []string
+	CacheTrackers() []string
 	// Heard returns the addresses of the VMs that are heard, with this one's.
 	Heard() []string
 	// SetTracksCaches tells the others whether this VM knows.
@@ -174,7 +174,7 @@
 
 // askVMs takes over what another VM knows. It returns false if none does.
 func (u *Unit) askVMs(ctx context.Context) bool {
-	for _, addr := range u.Members.Informed() {
+	for _, addr := range u.Members.CacheTrackers() {
 		all, err := ask(ctx, addr)
 		log.WithError(err).WithField("vm", addr).WithField("engines", len(all.GetEngines())).Info("caches asked of a VM")
 		if err != nil {
--- a/internal/gossip/informed.go
+++ b/internal/gossip/informed.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Informed returns the addresses of the VMs that know what engines have cached,
+// CacheTrackers returns the addresses of the VMs that know what engines have cached,
 // those of this VM's zone first.
-func (m *Members) Informed() []string {
+func (m *Members) CacheTrackers() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
