--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -61,8 +61,8 @@
 	return out
 }
 
-// Heard implements Members: one more VM is heard each hearStep.
-func (v *vm) Heard() []string {
+// ResponsiveActive implements Members: one more VM is heard each hearStep.
+func (v *vm) ResponsiveActive() []string {
 	out := []string{v.addr}
 	for _, other := range v.vms {
 		if other != v && len(out) <= int(time.Since(v.started)/hearStep) {
--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -53,8 +53,8 @@
 	// CacheTrackers returns the addresses of the VMs that know what engines have
 	// cached, the nearest first.
 	CacheTrackers() []string
-	// Heard returns the addresses of the VMs that are heard, with this one's.
-	Heard() []string
+	// ResponsiveActive returns the addresses of the VMs that are heard, with this one's.
+	ResponsiveActive() []string
 	// SetTracksCaches tells the others whether this VM knows.
 	SetTracksCaches(informed bool)
 	// Active tells whether this VM places requests, or is one of those that will
@@ -131,7 +131,7 @@
 		if u.askVMs(ctx) {
 			return true
 		}
-		if w.over(u.Clock.Now(), len(u.Members.Heard())) {
+		if w.over(u.Clock.Now(), len(u.Members.ResponsiveActive())) {
 			u.askEngines(ctx, engines)
 			return clock.Sleep(ctx, learnFor)
 		}
@@ -204,7 +204,7 @@
 // of which another VM has told a list isn't asked again.
 func (u *Unit) askEngines(ctx context.Context, engines []*catalog.Endpoint) {
 	for _, e := range engines {
-		if ownerOf(e.ID, u.Members.Heard()) != u.Own || u.Planner.CachedPartCount(e.ID) >= chunkParts {
+		if ownerOf(e.ID, u.Members.ResponsiveActive()) != u.Own || u.Planner.CachedPartCount(e.ID) >= chunkParts {
 			continue
 		}
 		parts, err := u.list(ctx, e)
--- a/internal/gossip/informed.go
+++ b/internal/gossip/informed.go
@@ -27,9 +27,9 @@
 	return out
 }
 
-// Heard returns the addresses for datagrams of the VMs of the active set that are heard,
+// ResponsiveActive returns the addresses for datagrams of the VMs of the active set that are heard,
 // and this VM's own, in order.
-func (m *Members) Heard() []string {
+func (m *Members) ResponsiveActive() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -20,7 +20,7 @@
 		units = append(units, &usage.Reporter{
 			Book: n.usage, Records: n.adapter.UsageRecords(), Billing: n.adapter.Billing(), Clock: n.clock,
 			TrueTime: n.time.At, May: n.may, Window: u.Window, Due: u.Due,
-			Gather: usage.NewGatherer(n.usage, n.process(), n.members.Heard).Gather,
+			Gather: usage.NewGatherer(n.usage, n.process(), n.members.ResponsiveActive).Gather,
 		})
 	}
 	if p := n.adapter.Provider(); p != nil {
