--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -82,8 +82,8 @@
 	v.informed = informed
 }
 
-// Active implements Members.
-func (v *vm) Active() bool {
+// IsActive implements Members.
+func (v *vm) IsActive() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return !v.outside
--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -57,9 +57,9 @@
 	ResponsiveActive() []string
 	// SetTracksCaches tells the others whether this VM knows.
 	SetTracksCaches(informed bool)
-	// Active tells whether this VM places requests, or is one of those that will
+	// IsActive tells whether this VM places requests, or is one of those that will
 	// next.
-	Active() bool
+	IsActive() bool
 }
 
 // Unit is the kernel unit.
@@ -84,7 +84,7 @@
 func (u *Unit) Run(ctx context.Context) error {
 	learnt := u.NothingCached
 	for {
-		for !u.Members.Active() {
+		for !u.Members.IsActive() {
 			if !clock.Sleep(ctx, activePeriod) {
 				return ctx.Err()
 			}
@@ -109,7 +109,7 @@
 	seen := u.Clock.Now()
 	for clock.Sleep(ctx, activePeriod) {
 		now := u.Clock.Now()
-		if u.Members.Active() {
+		if u.Members.IsActive() {
 			seen = now
 		}
 		if now.Sub(seen) > awayFor {
@@ -123,7 +123,7 @@
 // left the active set before.
 func (u *Unit) learn(ctx context.Context) bool {
 	var w wait
-	for u.Members.Active() && clock.Sleep(ctx, step) {
+	for u.Members.IsActive() && clock.Sleep(ctx, step) {
 		engines := u.engines()
 		if len(engines) == 0 {
 			continue
--- a/internal/gossip/active.go
+++ b/internal/gossip/active.go
@@ -99,8 +99,8 @@
 	return ready, all, rate
 }
 
-// Active tells whether this VM is one of the active set.
-func (m *Members) Active() bool {
+// IsActive tells whether this VM is one of the active set.
+func (m *Members) IsActive() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.isActive(m.clock.Now(), m.own.Peer)
--- a/internal/gossip/active_test.go
+++ b/internal/gossip/active_test.go
@@ -37,7 +37,7 @@
 func standby(t *testing.T, n int) int {
 	t.Helper()
 	for own := range n {
-		if _, m := many(n, own); !m.Active() {
+		if _, m := many(n, own); !m.IsActive() {
 			return own
 		}
 	}
@@ -150,7 +150,7 @@
 	assert.Assert(t, joins(m), "an earlier process of it may hold the duty")
 
 	c, m = many(60, 0)
-	assert.Assert(t, m.Active())
+	assert.Assert(t, m.IsActive())
 	assert.Assert(t, !joins(m), "it can't know yet")
 	c.T = c.T.Add(knownAfter)
 	assert.Assert(t, joins(m))
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -143,13 +143,13 @@
 	case !m.HasPeers():
 		return age >= time.Duration(xxhash.Sum64String(m.own.Peer)%uint64(joinSpread))
 	}
-	return age >= knownAfter && m.Active()
+	return age >= knownAfter && m.IsActive()
 }
 
 // superfluous tells whether this VM has been none of the active set for long.
 func (r *Registration) superfluous() bool {
 	now := r.members.clock.Now()
-	if r.seenAt == 0 || r.members.Active() || r.members.IsLeader() {
+	if r.seenAt == 0 || r.members.IsActive() || r.members.IsLeader() {
 		r.seenAt = now
 	}
 	return now.Sub(r.seenAt) > leaveAfter
--- a/internal/gossip/knowledge_test.go
+++ b/internal/gossip/knowledge_test.go
@@ -62,7 +62,7 @@
 func TestQuestionsGoToTheActiveSet(t *testing.T) {
 	for _, n := range []int{20, 200, 1000} {
 		_, m := many(n, standby(t, n))
-		assert.Assert(t, !m.Active())
+		assert.Assert(t, !m.IsActive())
 		asked := map[string]bool{}
 		for range 200 {
 			for _, peer := range m.informants(askedAtOnce) {
