--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -47,8 +47,8 @@
 // New returns a tracker that knows nothing.
 func New(c clock.Clock, l Limits) *Tracker { return &Tracker{clock: c, limits: l} }
 
-// Read notes that the store was read to its end by a call that was sent at sentAt.
-func (t *Tracker) Read(sentAt clock.Time) {
+// RecordRead notes that the store was read to its end by a call that was sent at sentAt.
+func (t *Tracker) RecordRead(sentAt clock.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.blocked {
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -23,16 +23,16 @@
 func TestKnowledgeAges(t *testing.T) {
 	c, tr := newTracker()
 	assert.Equal(t, tr.Verdict(), Stale)
-	tr.Read(c.T)
+	tr.RecordRead(c.T)
 	for _, step := range []struct {
 		after time.Duration
 		want  Verdict
 	}{{0, AcceptOrDeny}, {deny, AcceptOrDeny}, {deny + 1, AcceptOnly}, {accept, AcceptOnly}, {accept + 1, Stale}} {
-		tr.Read(clock.Time(time.Hour)) // an older read changes nothing
+		tr.RecordRead(clock.Time(time.Hour)) // an older read changes nothing
 		c.T = clock.Time(time.Hour).Add(step.after)
 		assert.Equal(t, tr.Verdict(), step.want, "after %s", step.after)
 	}
-	tr.Read(c.T)
+	tr.RecordRead(c.T)
 	assert.Equal(t, tr.Verdict(), AcceptOrDeny)
 }
 
@@ -58,13 +58,13 @@
 // Guards against a configuration that isn't understood and whose revoked keys would go on working.
 func TestAVersionThatIsNotUnderstoodEndsFreshness(t *testing.T) {
 	c, tr := newTracker()
-	tr.Read(c.T)
+	tr.RecordRead(c.T)
 	tr.Block()
 	c.T = c.T.Add(accept + 1)
-	tr.Read(c.T)
+	tr.RecordRead(c.T)
 	assert.Equal(t, tr.Verdict(), Stale)
 	tr.InForce(5)
-	tr.Read(c.T)
+	tr.RecordRead(c.T)
 	assert.Equal(t, tr.Verdict(), AcceptOrDeny)
 }
 
@@ -134,7 +134,7 @@
 			if i < 2 && rng.IntN(8) == 0 {
 				versions[i] = history.at(now.T)
 				tr.InForce(versions[i])
-				tr.Read(now.T)
+				tr.RecordRead(now.T)
 			}
 			if rng.IntN(6) == 0 {
 				from := trackers[rng.IntN(vms)]
--- a/internal/gossip/knowledge_test.go
+++ b/internal/gossip/knowledge_test.go
@@ -34,7 +34,7 @@
 func TestAVMWithoutTheStoreLearnsFromOthersHowNewItsConfigurationIs(t *testing.T) {
 	reader, other := newTracked(), newTracked()
 	reader.InForce(7)
-	reader.Read(clock.Boot{}.Now())
+	reader.RecordRead(clock.Boot{}.Now())
 	h := &hub{}
 	ua, a := startKnowing(t, h, reader)
 	_, b := startKnowing(t, h, other)
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -43,7 +43,7 @@
 	n.config.Apply, n.config.OneKey = n.applyConfig, true
 	n.config.Wait, n.config.Pause, n.config.Clock = n.configWait, n.configPause, n.clock
 	if n.fresh != nil {
-		n.config.Read = n.fresh.Read
+		n.config.Read = n.fresh.RecordRead
 	}
 	n.puller = configsync.NewPuller(n.clock, n.version, n.config)
 	n.fleet = keyedlog.New("fleet", n.adapter.Endpoints())
