--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// InForce notes that a version is in force from now on.
-func (t *Tracker) InForce(version uint64) {
+// RecordInForce notes that a version is in force from now on.
+func (t *Tracker) RecordInForce(version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.version = max(t.version, version)
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -48,10 +48,10 @@
 // Guards against freshness that is taken over without the version that it stands for.
 func TestAnAnswerCountsOnlyWithItsVersion(t *testing.T) {
 	c, tr := newTracker()
-	tr.InForce(3)
+	tr.RecordInForce(3)
 	tr.MergeAnswer(c.T, 0, 4)
 	assert.Equal(t, tr.Verdict(), Stale)
-	tr.InForce(4)
+	tr.RecordInForce(4)
 	assert.Equal(t, tr.Verdict(), AcceptOrDeny)
 }
 
@@ -63,7 +63,7 @@
 	c.T = c.T.Add(accept + 1)
 	tr.RecordRead(c.T)
 	assert.Equal(t, tr.Verdict(), Stale)
-	tr.InForce(5)
+	tr.RecordInForce(5)
 	tr.RecordRead(c.T)
 	assert.Equal(t, tr.Verdict(), AcceptOrDeny)
 }
@@ -133,7 +133,7 @@
 			}
 			if i < 2 && rng.IntN(8) == 0 {
 				versions[i] = history.at(now.T)
-				tr.InForce(versions[i])
+				tr.RecordInForce(versions[i])
 				tr.RecordRead(now.T)
 			}
 			if rng.IntN(6) == 0 {
@@ -162,7 +162,7 @@
 				tr.MergeAnswer(asked, m.age, m.version)
 				if m.version > versions[i] && rng.IntN(3) == 0 {
 					versions[i] = m.version // the version is fetched
-					tr.InForce(m.version)
+					tr.RecordInForce(m.version)
 				}
 			}
 			if tr.Verdict() != Stale && int(versions[i]) < len(history) {
--- a/internal/gossip/knowledge_test.go
+++ b/internal/gossip/knowledge_test.go
@@ -33,7 +33,7 @@
 // Guards against a VM that the store turns away and that no peer tells how new the configuration is.
 func TestAVMWithoutTheStoreLearnsFromOthersHowNewItsConfigurationIs(t *testing.T) {
 	reader, other := newTracked(), newTracked()
-	reader.InForce(7)
+	reader.RecordInForce(7)
 	reader.RecordRead(clock.Boot{}.Now())
 	h := &hub{}
 	ua, a := startKnowing(t, h, reader)
@@ -51,7 +51,7 @@
 	}, poll.WithTimeout(10*time.Second))
 	_, _, known := other.Age()
 	assert.Assert(t, !known, "the version isn't in force yet")
-	other.InForce(7)
+	other.RecordInForce(7)
 	age, _, known := other.Age()
 	assert.Assert(t, known)
 	readerAge, _, _ := reader.Age()
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -155,7 +155,7 @@
 		return
 	}
 	if n.fresh != nil {
-		n.fresh.InForce(c.Version)
+		n.fresh.RecordInForce(c.Version)
 	}
 	n.share.Set(e)
 	if !e.Heard {
