--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// Block notes that the newest version can't be understood: keys that it takes away
+// RecordUnreadable notes that the newest version can't be understood: keys that it takes away
 // are still in force here.
-func (t *Tracker) Block() {
+func (t *Tracker) RecordUnreadable() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.blocked = true
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -59,7 +59,7 @@
 func TestAVersionThatIsNotUnderstoodEndsFreshness(t *testing.T) {
 	c, tr := newTracker()
 	tr.RecordRead(c.T)
-	tr.Block()
+	tr.RecordUnreadable()
 	c.T = c.T.Add(accept + 1)
 	tr.RecordRead(c.T)
 	assert.Equal(t, tr.Verdict(), Stale)
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -146,7 +146,7 @@
 	c, err := n.adapter.DecodeConfig(e.Value)
 	if err != nil {
 		if n.fresh != nil {
-			n.fresh.Block()
+			n.fresh.RecordUnreadable()
 		}
 		log.WithError(err).WithField("offset", e.Offset).Error("configuration not understood")
 		return
