--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -110,7 +110,7 @@
 // takeTotals takes the time of day and the counts of another VM.
 func (x *Exchange) takeTotals(from string, b *wire.Beat) {
 	if b.GetWallMs() != 0 {
-		x.Time.Heard(from, time.UnixMilli(b.GetWallMs()))
+		x.Time.ReceiveTime(from, time.UnixMilli(b.GetWallMs()))
 	}
 	x.Usage.HearAll(ProcessName(from, b.GetIncarnation()), b.GetUsage())
 }
--- a/internal/truetime/truetime.go
+++ b/internal/truetime/truetime.go
@@ -47,8 +47,8 @@
 // Own returns this VM's time of day, to be told to the others.
 func (e *Estimator) Own() time.Time { return e.wall() }
 
-// Heard takes the time of day of the VM at peer.
-func (e *Estimator) Heard(peer string, told time.Time) {
+// ReceiveTime takes the time of day of the VM at peer.
+func (e *Estimator) ReceiveTime(peer string, told time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
--- a/internal/truetime/truetime_test.go
+++ b/internal/truetime/truetime_test.go
@@ -34,7 +34,7 @@
 	t.Helper()
 	for end := d.clock.T.Add(span); d.clock.T < end; d.clock.T = d.clock.T.Add(100 * time.Millisecond) {
 		for i, skew := range d.skew {
-			d.e.Heard(fmt.Sprint(i), d.now().Add(skew-delay))
+			d.e.ReceiveTime(fmt.Sprint(i), d.now().Add(skew-delay))
 		}
 		worst = max(worst, d.e.At(d.clock.T).Sub(d.now()).Abs())
 	}
