--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -47,7 +47,7 @@
 		b.ConfigVersion = c.Version
 	}
 	if x.Usage != nil {
-		b.WallMs = x.Time.Own().UnixMilli()
+		b.WallMs = x.Time.LocalTime().UnixMilli()
 	}
 	x.Changes.fill(b)
 	b.Requests = uint32(math.Ceil(x.Rate()))
--- a/internal/truetime/truetime.go
+++ b/internal/truetime/truetime.go
@@ -44,8 +44,8 @@
 	return &Estimator{clock: c, wall: wall, peers: map[string]*sample{}}
 }
 
-// Own returns this VM's time of day, to be told to the others.
-func (e *Estimator) Own() time.Time { return e.wall() }
+// LocalTime returns this VM's time of day, to be told to the others.
+func (e *Estimator) LocalTime() time.Time { return e.wall() }
 
 // ReceiveTime takes the time of day of the VM at peer.
 func (e *Estimator) ReceiveTime(peer string, told time.Time) {
