--- a/internal/gossip/active.go
+++ b/internal/gossip/active.go
@@ -11,72 +11,72 @@
 )
 
 const (
-	// linkFor is how long a VM is told load after it has told its own: VMs whose
-	// lists differ for a moment don't agree on the active set.
-	linkFor = 2 * time.Second
-	// busyFor is how long a VM that had requests in hand counts as one that serves
+	// linkTTL is how long this VM sends its load to a VM that has sent its own: VMs whose lists
+	// differ for a moment compute different active sets.
+	linkTTL = 2 * time.Second
+	// busyWindow is how long after its last outstanding request a VM counts as one that serves
 	// callers: longer than the pauses between its requests.
-	busyFor = 2 * time.Second
-	// chosenFor is how long a choice of VMs holds while nothing is heard that would
+	busyWindow = 2 * time.Second
+	// selectionTTL is how long a selection of VMs is reused while no message arrives that would
 	// change it.
-	chosenFor = 100 * time.Millisecond
-	// stalled is the pause between two looks for missing beats from which this VM
-	// was stopped itself: the beats wait to be read.
-	stalled = time.Second
+	selectionTTL = 100 * time.Millisecond
+	// stallThreshold is the time between two checks for missing beats from which this VM was itself
+	// stopped: the beats wait in its socket.
+	stallThreshold = time.Second
 )
 
-// link is what this VM knows of another one that tells it its load.
+// link tracks another VM that exchanges load beats with this one.
 type link struct {
-	heardAt  clock.Time // zero if never
-	wantedAt clock.Time // since when its beats are expected
-	busyAt   clock.Time // when it last told of requests in hand, zero if never
-	reads    bool       // it reads the endpoints' entries
-	readAt   clock.Time // when it last did
+	receivedAt    clock.Time // last load beat, zero if none
+	expectedSince clock.Time // since when its beats are expected
+	busyAt        clock.Time // last beat with outstanding requests, zero if none
+	isReader      bool       // it reads the endpoints' entries
+	readAt        clock.Time // when it last did
 }
 
-func (l *link) take(now clock.Time, h *heard) {
-	l.heardAt = now
-	if h.busy {
+func (l *link) update(now clock.Time, report *loadReport) {
+	l.receivedAt = now
+	if report.busy {
 		l.busyAt = now
 	}
-	l.reads = h.readAgeMs > 0
-	l.readAt = now.Add(-time.Duration(h.readAgeMs) * time.Millisecond)
+	l.isReader = report.readAgeMs > 0
+	l.readAt = now.Add(-time.Duration(report.readAgeMs) * time.Millisecond)
 }
 
-// chosen are the VMs that are chosen by the list as it is.
-type chosen struct {
-	at     clock.Time
-	stale  bool
-	named  []serving.VM        // to callers
-	active map[string]struct{} // by address for datagrams
+// selection holds the advertised VMs and the active set, computed from the list at one moment.
+type selection struct {
+	at         clock.Time
+	stale      bool
+	advertised []serving.VM        // to callers
+	active     map[string]struct{} // by address for datagrams
 }
 
-// choose returns the choice as it is now.
-func (m *Members) choose(now clock.Time) *chosen {
-	c := &m.chosen
-	if c.active != nil && !c.stale && now.Sub(c.at) < chosenFor {
-		return c
+// selectVMs returns the current selection. The leader is always in the active set.
+func (m *Members) selectVMs(now clock.Time) *selection {
+	s := &m.selected
+	if s.active != nil && !s.stale && now.Sub(s.at) < selectionTTL {
+		return s
 	}
 	ready, all, rate := m.candidates(now)
-	c.named = serving.ChooseAdvertised(ready, rate)
-	c.active = map[string]struct{}{}
+	s.advertised = serving.ChooseAdvertised(ready, rate)
+	s.active = map[string]struct{}{}
 	for _, v := range serving.ActiveSet(all, rate) {
-		c.active[v.Peer] = struct{}{}
+		s.active[v.Peer] = struct{}{}
 	}
-	for peer, e := range m.list.Entries() {
+	for peer, e := range m.detector.Entries() {
 		if e.Duty && e.Alive(now) {
-			c.active[peer] = struct{}{}
+			s.active[peer] = struct{}{}
 		}
 	}
-	if own := m.list.Own(); own.Duty {
-		c.active[own.Peer] = struct{}{}
+	if own := m.detector.Own(); own.Duty {
+		s.active[own.Peer] = struct{}{}
 	}
-	c.at, c.stale = now, false
-	return c
+	s.at, s.stale = now, false
+	return s
 }
 
-// candidates returns the VMs that take callers, all that stay, and the rate of all
-// requests.
+// candidates returns the VMs that accept callers, all VMs that are alive and not leaving, and the
+// total request rate.
 func (m *Members) candidates(now clock.Time) (ready, all []serving.VM, rate float64) {
 	add := func(r *swim.Record) {
 		if r.Leaving {
@@ -90,8 +90,8 @@
 			rate += float64(r.Requests)
 		}
 	}
-	add(m.list.Own())
-	for _, e := range m.list.Entries() {
+	add(m.detector.Own())
+	for _, e := range m.detector.Entries() {
 		if e.Alive(now) {
 			add(&e.Record)
 		}
@@ -99,7 +99,7 @@
 	return ready, all, rate
 }
 
-// IsActive tells whether this VM is one of the active set.
+// IsActive reports whether this VM is in the active set.
 func (m *Members) IsActive() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,27 +107,27 @@
 }
 
 func (m *Members) isActive(now clock.Time, peer string) bool {
-	_, in := m.choose(now).active[peer]
+	_, in := m.selectVMs(now).active[peer]
 	return in
 }
 
-// beatTargets returns the addresses that this VM tells its load: the active set, if it
-// is one of it or serves callers all the same, and those that tell theirs.
+// beatTargets returns the addresses of the VMs to which this VM sends its load: the active set, if
+// it is in the set or is busy nonetheless, and the VMs that send it their load.
 func (m *Members) beatTargets(busy bool) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
-	c := m.choose(now)
-	_, active := c.active[m.own.Peer]
-	m.watch(now, active)
+	s := m.selectVMs(now)
+	_, active := s.active[m.own.Peer]
+	m.checkBeats(now, active)
 	targets := map[string]struct{}{}
 	if active || busy {
-		for peer := range c.active {
+		for peer := range s.active {
 			targets[peer] = struct{}{}
 		}
 	}
 	for peer, l := range m.links {
-		if l.heardAt != 0 && now.Sub(l.heardAt) < linkFor {
+		if l.receivedAt != 0 && now.Sub(l.receivedAt) < linkTTL {
 			targets[peer] = struct{}{}
 		}
 	}
@@ -139,51 +139,53 @@
 	return out
 }
 
-// watch accuses the VMs of the active set whose beats are missing, if this VM is one of
-// it, and drops links that are no longer needed.
-func (m *Members) watch(now clock.Time, active bool) {
-	stopped := now.Sub(m.beatAt) > stalled
-	m.beatAt = now
-	for peer := range m.chosen.active {
+// checkBeats accuses the VMs of the active set whose beats are missing, if this VM is in the set,
+// and deletes the links that are no longer needed. After a stall of this VM itself, the wait for
+// beats starts again.
+func (m *Members) checkBeats(now clock.Time, active bool) {
+	stalled := now.Sub(m.beatsCheckAt) > stallThreshold
+	m.beatsCheckAt = now
+	for peer := range m.selected.active {
 		if m.links[peer] == nil && active && peer != m.own.Peer {
-			m.links[peer] = &link{wantedAt: now}
+			m.links[peer] = &link{expectedSince: now}
 		}
 	}
 	for peer, l := range m.links {
-		_, wanted := m.chosen.active[peer]
-		wanted = wanted && active
-		if !wanted || stopped {
-			l.wantedAt = now
+		_, expected := m.selected.active[peer]
+		expected = expected && active
+		if !expected || stalled {
+			l.expectedSince = now
 		}
-		e := m.list.Entries()[peer]
-		since := now.Sub(max(l.heardAt, l.wantedAt, e.LastHeard()))
+		e := m.detector.Entries()[peer]
+		since := now.Sub(max(l.receivedAt, l.expectedSince, e.LastHeard()))
 		switch {
-		case wanted && since >= m.silenceNow() && e.Alive(now):
-			m.list.Accuse(now, peer)
-			m.chosen.stale = true
-		case !wanted && now.Sub(l.heardAt) > linkFor:
+		case expected && since >= m.currentSilenceTimeout() && e.Alive(now):
+			m.detector.Accuse(now, peer)
+			m.selected.stale = true
+		case !expected && now.Sub(l.receivedAt) > linkTTL:
 			delete(m.links, peer)
 		}
 	}
 }
 
-// silenceNow is how long a VM of the active set may be unheard: more than several of its
-// beats, whose period grows with the active set.
-func (m *Members) silenceNow() time.Duration {
-	return max(silence, silentBeats*beatPeriodFor(len(m.chosen.active), true))
+// currentSilenceTimeout returns how long beats of a VM of the active set may be missing: at least
+// missedBeats idle periods, which grow with the active set.
+func (m *Members) currentSilenceTimeout() time.Duration {
+	return max(silenceTimeout, missedBeats*beatPeriodFor(len(m.selected.active), true))
 }
 
-// silentBeats is how many beats in a row are missing from a silent VM.
-const silentBeats = 4
+// missedBeats is the minimum number of missing beats in a row from which a VM counts as
+// unresponsive.
+const missedBeats = 4
 
-// busy returns the addresses of the VMs that serve callers.
-func (m *Members) busy() []string {
+// busyPeers returns the sorted addresses of the VMs that serve callers.
+func (m *Members) busyPeers() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
 	var out []string
 	for peer, l := range m.links {
-		if l.busyAt != 0 && now.Sub(l.busyAt) < busyFor {
+		if l.busyAt != 0 && now.Sub(l.busyAt) < busyWindow {
 			out = append(out, peer)
 		}
 	}
--- a/internal/gossip/beat.go
+++ b/internal/gossip/beat.go
@@ -16,65 +16,65 @@
 )
 
 const (
-	// beatPeriod is the time between two beats in a small deployment: what
-	// peers have outstanding is then known within a tenth of the time that a
-	// caller waits for a first event.
+	// beatPeriod is the time between two beats in a small deployment. VMs then have each other's
+	// outstanding work within a tenth of the time that a caller waits for a first event.
 	beatPeriod = 100 * time.Millisecond
-	// perPeer lengthens the period with the number of VMs that are told, so that a
-	// VM sends and takes at most 330 datagrams a second, 2% of a core.
-	perPeer = 3 * time.Millisecond
-	// idleFactor lengthens the period of a VM that has nothing outstanding.
-	idleFactor = 2
-	// urgentDivisor of the period is the pause before a beat that carries
-	// something urgent: a long prefill that others must know of.
-	urgentDivisor = 8
-	// maxDatagram fits the usual limit of a packet several times over, and
-	// bounds what a beat carries of prefixes and of members.
-	maxDatagram = 32 << 10
-	// maxTold bounds what one beat carries besides the load.
-	maxTold = 128
+	// periodPerTarget lengthens the period with the number of targets, so that a VM sends and
+	// receives at most 330 datagrams a second, 2% of a core.
+	periodPerTarget = 3 * time.Millisecond
+	// idlePeriodFactor lengthens the period of a VM that has nothing outstanding.
+	idlePeriodFactor = 2
+	// earlyBeatDivisor of the period is the delay before an early beat, which carries something
+	// urgent: a long prefill that other VMs must count.
+	earlyBeatDivisor = 8
+	// maxDatagramBytes is several times the usual packet size limit, and bounds the prefixes and
+	// members in a beat.
+	maxDatagramBytes = 32 << 10
+	// maxQueuedUpdates bounds what one beat carries in addition to the load.
+	maxQueuedUpdates = 128
 )
 
-// Content fills and takes the parts of a beat that others own.
+// Content fills and receives the parts of a beat that belong to other packages.
 type Content interface {
-	// Fill adds what this VM tells the active set: its load, and news.
+	// Fill adds what this VM sends to the active set: its load and pending updates.
 	Fill(b *wire.Beat)
-	// FillUpdates adds what all VMs must know.
+	// FillUpdates adds the pending updates for all VMs.
 	FillUpdates(b *wire.Beat)
-	// DueUsage returns counts that are due to be told to a few VMs.
+	// DueUsage returns the usage counts that are due to be sent to a few VMs.
 	DueUsage() []*wire.UsageWindow
-	// Receive takes what the VM with the given address told.
+	// Receive handles a beat of the VM with the given address.
 	Receive(from string, b *wire.Beat)
 }
 
 // Unit sends and receives beats. It is a kernel unit.
 type Unit struct {
-	// Freshness is kept new by asking other VMs, unless it is nil.
+	// Freshness is kept up to date by querying other VMs, unless it is nil.
 	Freshness ConfigFreshness
 
-	members *Members
-	content Content
-	pc      net.PacketConn
-	listen  string
+	members       *Members
+	content       Content
+	pc            net.PacketConn
+	listenAddress string
 
 	// Of the goroutine that sends beats:
-	idle   bool      // the last beat told of no request
-	told   int       // VMs that it went to
-	due    time.Time // of the next beat to the whole active set
-	busyAt time.Time // when there was a request in hand, zero if never
+	idle        bool      // the last beat had no outstanding request
+	targetCount int       // of the last beat to all targets
+	nextBeatAt  time.Time // next beat to the whole active set
+	busyAt      time.Time // when a request was last outstanding, zero if never
 
-	mu    sync.Mutex
-	next  *wire.Beat // what is told once, with the next beat
-	toAll bool       // the early beat goes to the whole active set
+	mu         sync.Mutex
+	queued     *wire.Beat // updates to be sent once, with the next beat
+	earlyToAll bool       // the early beat goes to the whole active set
 
-	soon     chan struct{} // wakes the goroutine that sends beats
-	stepSoon chan struct{} // wakes the one that does what the list has due
+	earlyBeat chan struct{} // wakes the goroutine that sends beats
+	wakeProbe chan struct{} // wakes the goroutine that runs the failure detector
 }
 
 // NewUnit returns a unit that listens on the own node's datagram address.
 func NewUnit(m *Members, c Content) *Unit {
 	return &Unit{
-		members: m, content: c, listen: m.own.Peer, next: &wire.Beat{}, soon: make(chan struct{}, 1), stepSoon: make(chan struct{}, 1),
+		members: m, content: c, listenAddress: m.own.Peer, queued: &wire.Beat{},
+		earlyBeat: make(chan struct{}, 1), wakeProbe: make(chan struct{}, 1),
 	}
 }
 
@@ -85,7 +85,7 @@
 func (u *Unit) Provision(ctx context.Context) error {
 	var lc net.ListenConfig
 	var err error
-	u.pc, err = lc.ListenPacket(ctx, "udp4", u.listen)
+	u.pc, err = lc.ListenPacket(ctx, "udp4", u.listenAddress)
 	return err
 }
 
@@ -98,15 +98,15 @@
 	stop := context.AfterFunc(ctx, func() { _ = u.pc.SetReadDeadline(time.Unix(0, 1)) })
 	defer stop()
 	group.Go(func() error { return u.receive(ctx) })
-	group.Go(func() error { return u.send(ctx) })
-	group.Go(func() error { return u.probe(ctx) })
+	group.Go(func() error { return u.sendBeats(ctx) })
+	group.Go(func() error { return u.runProbes(ctx) })
 	if u.Freshness != nil {
-		group.Go(func() error { return u.askAround(ctx) })
+		group.Go(func() error { return u.runQueries(ctx) })
 	}
 	return group.Wait()
 }
 
-// Drain implements kernel.Drainer: the others hear at once that this VM leaves.
+// Drain implements kernel.Drainer. It announces at once that this VM is shutting down.
 func (u *Unit) Drain(context.Context) error {
 	u.members.SetLeaving()
 	u.SendEarly()
@@ -114,30 +114,31 @@
 	return nil
 }
 
-// QueueUpdate changes what the next beat carries once.
+// QueueUpdate adds an update to the next beat, which carries it once. The update is dropped if
+// maxQueuedUpdates are queued.
 func (u *Unit) QueueUpdate(add func(b *wire.Beat)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.next.GetCached())+len(u.next.GetCrashes()) < maxTold {
-		add(u.next)
+	if len(u.queued.GetCached())+len(u.queued.GetCrashes()) < maxQueuedUpdates {
+		add(u.queued)
 	}
 }
 
-// SendEarly sends the next beat early, to the whole active set: it carries something urgent.
+// SendEarly sends the next beat early, to the whole active set, as it carries an urgent update.
 func (u *Unit) SendEarly() {
 	u.mu.Lock()
-	u.toAll = true
+	u.earlyToAll = true
 	u.mu.Unlock()
 	u.SendEarlyToBusy()
 }
 
-// SendEarlyToBusy sends the next beat early to the VMs that serve callers: it carries
-// load, which others don't need between two beats.
+// SendEarlyToBusy sends the next beat early to the VMs that serve callers, as it carries load,
+// which the other VMs don't need between two regular beats.
 func (u *Unit) SendEarlyToBusy() {
-	wake(u.soon)
+	wake(u.earlyBeat)
 }
 
-// wake has the goroutine that waits for c look again.
+// wake wakes the goroutine that waits for c, now or at its next wait.
 func wake(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -145,31 +146,32 @@
 	}
 }
 
-func (u *Unit) send(ctx context.Context) error {
+func (u *Unit) sendBeats(ctx context.Context) error {
 	toAll := true
 	for {
-		u.beat(toAll)
-		early, ok := u.pause(ctx)
+		u.sendBeat(toAll)
+		early, ok := u.waitForBeat(ctx)
 		if !ok {
 			return ctx.Err()
 		}
-		toAll = !early || u.allWanted()
+		toAll = !early || u.takeEarlyToAll()
 	}
 }
 
-// allWanted tells whether the early beat goes to all VMs, once.
-func (u *Unit) allWanted() bool {
+// takeEarlyToAll reports whether the early beat goes to the whole active set, and resets the
+// request for it.
+func (u *Unit) takeEarlyToAll() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	wanted := u.toAll
-	u.toAll = false
-	return wanted
+	toAll := u.earlyToAll
+	u.earlyToAll = false
+	return toAll
 }
 
-// pause waits for the next beat's time, or a part of it if something is urgent.
-// An early beat doesn't put off the next one to all.
-func (u *Unit) pause(ctx context.Context) (early, ok bool) {
-	left := time.Until(u.due)
+// waitForBeat waits until the next regular beat is due, or for a part of the period if an early
+// beat is requested. An early beat doesn't delay the next regular one.
+func (u *Unit) waitForBeat(ctx context.Context) (early, ok bool) {
+	left := time.Until(u.nextBeatAt)
 	t := time.NewTimer(left)
 	defer t.Stop()
 	select {
@@ -177,78 +179,78 @@
 		return false, false
 	case <-t.C:
 		return false, true
-	case <-u.soon:
+	case <-u.earlyBeat:
 	}
-	wait := u.period() / urgentDivisor
-	t.Reset(min(wait, time.Until(u.due)))
+	delay := u.period() / earlyBeatDivisor
+	t.Reset(min(delay, time.Until(u.nextBeatAt)))
 	select {
 	case <-ctx.Done():
 		return false, false
 	case <-t.C:
-		return time.Now().Before(u.due), true
+		return time.Now().Before(u.nextBeatAt), true
 	}
 }
 
-// period is the time between two beats to the whole active set.
-func (u *Unit) period() time.Duration { return beatPeriodFor(u.told, u.idle) }
+// period returns the time between two beats to the whole active set.
+func (u *Unit) period() time.Duration { return beatPeriodFor(u.targetCount, u.idle) }
 
-// beatPeriodFor is the period of a VM that tells n others.
+// beatPeriodFor returns the beat period of a VM with n targets.
 func beatPeriodFor(n int, idle bool) time.Duration {
-	period := max(beatPeriod, time.Duration(n)*perPeer)
+	period := max(beatPeriod, time.Duration(n)*periodPerTarget)
 	if idle {
-		period *= idleFactor
+		period *= idlePeriodFactor
 	}
 	return period
 }
 
-// beat tells the whole active set, or only those that serve callers, how this one is.
-func (u *Unit) beat(toAll bool) {
+// sendBeat sends this VM's load to all its targets, or only to the VMs that serve callers.
+func (u *Unit) sendBeat(toAll bool) {
 	own := u.members.ownRecord()
-	b := beatOf(&own)
-	b.ReadAgeMs, _ = u.members.told()
+	b := encodeSender(&own)
+	b.ReadAgeMs, _ = u.members.readAges()
 	u.content.Fill(b)
-	u.members.setRequests(b.GetRequests())
+	u.members.setRequestRate(b.GetRequests())
 	b.Requests = own.Requests
 	u.idle = len(b.GetOutstanding()) == 0
 	if !u.idle {
 		u.busyAt = time.Now()
 	}
-	u.take(b, toAll)
+	u.addQueued(b, toAll)
 	if !toAll {
-		u.sendTo(u.members.busy(), b)
+		u.sendTo(u.members.busyPeers(), b)
 		return
 	}
-	targets := u.members.beatTargets(!u.busyAt.IsZero() && time.Since(u.busyAt) < busyFor)
-	u.told = len(targets)
-	u.due = time.Now().Add(u.period())
-	totals := u.content.DueUsage()
-	if len(totals) == 0 {
+	targets := u.members.beatTargets(!u.busyAt.IsZero() && time.Since(u.busyAt) < busyWindow)
+	u.targetCount = len(targets)
+	u.nextBeatAt = time.Now().Add(u.period())
+	usage := u.content.DueUsage()
+	if len(usage) == 0 {
 		u.sendTo(targets, b)
 		return
 	}
-	collectors, others := u.members.split(targets)
+	collectors, others := u.members.splitCollectors(targets)
 	u.sendTo(others, b)
-	b.Usage = totals
+	b.Usage = usage
 	u.sendTo(collectors, b)
 }
 
-// take adds what is told once. What all must hear waits for a beat to all.
-func (u *Unit) take(b *wire.Beat, toAll bool) {
+// addQueued moves the queued updates to b. Updates for all VMs stay queued until a beat to all.
+func (u *Unit) addQueued(b *wire.Beat, toAll bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	b.Cached = u.next.GetCached()
+	b.Cached = u.queued.GetCached()
 	if !toAll {
-		u.next.Cached = nil
+		u.queued.Cached = nil
 		return
 	}
-	b.Crashes, b.Changing = u.next.GetCrashes(), u.next.GetChanging()
-	u.next = &wire.Beat{}
+	b.Crashes, b.Changing = u.queued.GetCrashes(), u.queued.GetChanging()
+	u.queued = &wire.Beat{}
 }
 
 func (u *Unit) sendTo(addrs []string, b *wire.Beat) {
 	data, err := proto.Marshal(b)
-	if err != nil || len(data) > maxDatagram {
-		log.WithError(err).WithField("bytes", len(data)).Warn("beat not sent")
+	if err != nil || len(data) > maxDatagramBytes {
+		log.WithError(err).WithField("bytes", len(data)).Warn("beat dropped")
 		return
 	}
 	for _, addr := range addrs {
@@ -256,13 +258,13 @@
 		if err != nil {
 			continue
 		}
-		// A lost beat is followed by the next one.
+		// Errors are ignored: a lost beat is followed by the next one.
 		_, _ = u.pc.WriteTo(data, net.UDPAddrFromAddrPort(to))
 	}
 }
 
 func (u *Unit) receive(ctx context.Context) error {
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := u.pc.ReadFrom(buf)
 		if ctx.Err() != nil {
@@ -272,26 +274,26 @@
 			return err
 		}
 		if err != nil {
-			log.WithError(err).Warn("datagram not read")
+			log.WithError(err).Warn("datagram read failed")
 			continue
 		}
 		var b wire.Beat
 		if err := proto.Unmarshal(buf[:n], &b); err != nil || b.GetPeer() == "" {
-			log.WithError(err).WithField("bytes", n).Warn("datagram not understood")
+			log.WithError(err).WithField("bytes", n).Warn("malformed datagram dropped")
 			continue
 		}
 		if b.GetKnowledge() != nil {
 			if u.Freshness != nil {
-				u.takeKnowledge(&b)
+				u.receiveFreshness(&b)
 			}
 			continue
 		}
-		u.members.hearRead(b.GetNewestReadMs())
+		u.members.mergeNewestRead(b.GetNewestReadMs())
 		if b.GetProbe() != nil {
-			u.sendAll(u.members.receive(probeOf(&b)))
-			wake(u.stepSoon)
+			u.sendProbes(u.members.receiveProbe(decodeProbe(&b)))
+			wake(u.wakeProbe)
 		} else {
-			u.members.hear(heard{Record: senderOf(&b), readAgeMs: b.GetReadAgeMs(), busy: len(b.GetOutstanding()) > 0})
+			u.members.receiveLoad(loadReport{Record: decodeSender(&b), readAgeMs: b.GetReadAgeMs(), busy: len(b.GetOutstanding()) > 0})
 		}
 		u.content.Receive(b.GetPeer(), &b)
 	}
--- a/internal/gossip/beat_test.go
+++ b/internal/gossip/beat_test.go
@@ -15,10 +15,10 @@
 	"fescuestand/internal/wire"
 )
 
-// hub collects what beats carry besides membership.
+// hub is a Content that collects the received beats.
 type hub struct {
-	mu   sync.Mutex
-	seen []*wire.Beat
+	mu       sync.Mutex
+	received []*wire.Beat
 }
 
 func (h *hub) Fill(b *wire.Beat) { b.ConfigVersion = 7 }
@@ -30,14 +30,14 @@
 func (h *hub) Receive(_ string, b *wire.Beat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.seen = append(h.seen, b)
+	h.received = append(h.received, b)
 }
 
 func (h *hub) cached() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
-	for _, b := range h.seen {
+	for _, b := range h.received {
 		n += len(b.GetCached())
 	}
 	return n
@@ -46,17 +46,17 @@
 // start runs a unit on a free port of the loopback and returns its address.
 func start(t *testing.T, h *hub) (*Unit, *Members) {
 	t.Helper()
-	return startKnowing(t, h, nil)
+	return startWithFreshness(t, h, nil)
 }
 
-// startKnowing runs a unit that keeps knowledge new.
-func startKnowing(t *testing.T, h *hub, k ConfigFreshness) (*Unit, *Members) {
+// startWithFreshness runs a unit that keeps freshness up to date.
+func startWithFreshness(t *testing.T, h *hub, freshness ConfigFreshness) (*Unit, *Members) {
 	t.Helper()
 	addr := loopback.FreeAddress()
 	m := NewMembers(clock.Boot{}, Node{Incarnation: addr, Caller: addr, Peer: addr})
 	m.SetReady(true)
 	u := NewUnit(m, h)
-	u.Freshness = k
+	u.Freshness = freshness
 	ctx, cancel := context.WithCancel(t.Context())
 	assert.NilError(t, u.Provision(ctx))
 	done := make(chan struct{})
@@ -65,7 +65,9 @@
 	return u, m
 }
 
-func TestBeatsIntroduceAndTell(t *testing.T) {
+// Guards against VMs that one list entry doesn't introduce to each other, against queued updates
+// that aren't sent, and against a leaving VM that is still advertised.
+func TestBeatsIntroduceVMsAndCarryUpdates(t *testing.T) {
 	var ha, hb hub
 	a, ma := start(t, &ha)
 	_, mb := start(t, &hb)
@@ -74,7 +76,7 @@
 		if len(mb.AdvertisedAddresses("")) == 2 && len(ma.AdvertisedAddresses("")) == 2 {
 			return poll.Success()
 		}
-		return poll.Continue("not yet")
+		return poll.Continue("a VM is not advertised yet")
 	})
 	a.QueueUpdate(func(b *wire.Beat) { b.Cached = append(b.Cached, &wire.CachedPrefix{Endpoint: 7}) })
 	a.SendEarly()
@@ -82,26 +84,26 @@
 		if hb.cached() == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("%d told", hb.cached())
+		return poll.Continue("%d prefixes received", hb.cached())
 	})
 	assert.NilError(t, a.Drain(t.Context()))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if len(mb.AdvertisedAddresses("")) == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("still named")
+		return poll.Continue("the leaving VM is still advertised")
 	})
 }
 
-// Guards against load being told early to VMs that don't serve, and against a crash that
-// some aren't told.
-func TestEarlyLoadGoesToVMsThatServeAndNewsToAll(t *testing.T) {
+// Guards against early load beats to VMs that don't serve callers, and against a crash update that
+// some VMs don't receive.
+func TestEarlyLoadGoesToBusyVMsAndUpdatesToAll(t *testing.T) {
 	c, m := newMembers()
-	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true}, busy: true})
-	m.hear(heard{Record: swim.Record{Node: node(2), Ready: true}})
-	assert.DeepEqual(t, m.busy(), []string{"10.0.0.1:2"})
-	c.T = c.T.Add(busyFor)
-	assert.Equal(t, len(m.busy()), 0)
+	m.receiveLoad(loadReport{Record: swim.Record{Node: node(1), Ready: true}, busy: true})
+	m.receiveLoad(loadReport{Record: swim.Record{Node: node(2), Ready: true}})
+	assert.DeepEqual(t, m.busyPeers(), []string{"10.0.0.1:2"})
+	c.T = c.T.Add(busyWindow)
+	assert.Equal(t, len(m.busyPeers()), 0)
 
 	u := NewUnit(m, &hub{})
 	u.QueueUpdate(func(b *wire.Beat) {
@@ -110,21 +112,21 @@
 		b.Changing = append(b.Changing, "e")
 	})
 	var early, late wire.Beat
-	u.take(&early, false)
-	u.take(&late, true)
+	u.addQueued(&early, false)
+	u.addQueued(&late, true)
 	assert.Equal(t, len(early.GetCached()), 1)
 	assert.Equal(t, len(early.GetCrashes())+len(early.GetChanging()), 0)
 	assert.Equal(t, len(late.GetCrashes())+len(late.GetChanging()), 2)
 	assert.Equal(t, len(late.GetCached()), 0)
 
 	u.SendEarlyToBusy()
-	assert.Assert(t, !u.allWanted())
+	assert.Assert(t, !u.takeEarlyToAll())
 	u.SendEarly()
-	assert.Assert(t, u.allWanted())
-	assert.Assert(t, !u.allWanted(), "once")
+	assert.Assert(t, u.takeEarlyToAll())
+	assert.Assert(t, !u.takeEarlyToAll(), "once")
 }
 
-// Guards against torn datagrams, or those of other programs, that stop the beats.
+// Guards against truncated datagrams, or those of other programs, that stop the receiver.
 func TestForeignDatagramsAreDropped(t *testing.T) {
 	var h hub
 	u, m := start(t, &h)
--- a/internal/gossip/callers.go
+++ b/internal/gossip/callers.go
@@ -7,14 +7,13 @@
 	"fescuestand/internal/policy/serving"
 )
 
-// AdvertisedAddresses returns the callers' addresses of the VMs that take them, those in
-// zone first.
+// AdvertisedAddresses returns the addresses to advertise to callers, those in zone first.
 func (m *Members) AdvertisedAddresses(zone string) []string {
 	m.mu.Lock()
-	vms := slices.Clone(m.choose(m.clock.Now()).named)
+	vms := slices.Clone(m.selectVMs(m.clock.Now()).advertised)
 	m.mu.Unlock()
 	slices.SortFunc(vms, func(a, b serving.VM) int {
-		return cmp.Or(rank(a.Zone, zone)-rank(b.Zone, zone), cmp.Compare(a.Address, b.Address))
+		return cmp.Or(zoneRank(a.Zone, zone)-zoneRank(b.Zone, zone), cmp.Compare(a.Address, b.Address))
 	})
 	out := make([]string, len(vms))
 	for i, v := range vms {
@@ -23,15 +22,15 @@
 	return out
 }
 
-// AdvertisedCount is how many VMs callers are sent to.
+// AdvertisedCount returns how many VMs are advertised to callers, at least one.
 func (m *Members) AdvertisedCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return max(len(m.choose(m.clock.Now()).named), 1)
+	return max(len(m.selectVMs(m.clock.Now()).advertised), 1)
 }
 
-func rank(zone, wanted string) int {
-	if zone == wanted {
+func zoneRank(zone, preferred string) int {
+	if zone == preferred {
 		return 0
 	}
 	return 1
--- a/internal/gossip/census.go
+++ b/internal/gossip/census.go
@@ -8,24 +8,24 @@
 	"fescuestand/internal/clock"
 )
 
-// censusPeriod is the least time between two lines on the VMs: a line for each VM and
+// censusPeriod is the minimum time between two log lines with counts of VMs. A line for each VM and
 // change would be many thousands where hundreds of VMs start together.
 const censusPeriod = time.Second
 
-// census counts the VMs as one of them sees them, itself included.
+// census counts the VMs by their state in this VM's table, itself included.
 type census struct {
-	Alive   int
-	Silent  int // remembered, and not believed to live
-	Leaving int
-	Active  int
-	Named   int // to callers
+	Alive      int
+	Silent     int // in the table, but not assumed alive
+	Leaving    int
+	Active     int
+	Advertised int // to callers
 }
 
-// census returns the counts as they are now.
+// census returns the current counts.
 func (m *Members) census(now clock.Time) census {
-	c := m.choose(now)
-	n := census{Alive: 1, Active: len(c.active), Named: len(c.named)}
-	for _, e := range m.list.Entries() {
+	s := m.selectVMs(now)
+	n := census{Alive: 1, Active: len(s.active), Advertised: len(s.advertised)}
+	for _, e := range m.detector.Entries() {
 		switch {
 		case !e.Alive(now):
 			n.Silent++
@@ -43,15 +43,15 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
-	if m.countedAt != 0 && now.Sub(m.countedAt) < censusPeriod {
+	if m.censusLoggedAt != 0 && now.Sub(m.censusLoggedAt) < censusPeriod {
 		return
 	}
 	n := m.census(now)
-	if n == m.counted {
+	if n == m.loggedCensus {
 		return
 	}
-	m.counted, m.countedAt = n, now
-	_, active := m.chosen.active[m.own.Peer]
+	m.loggedCensus, m.censusLoggedAt = n, now
+	_, active := m.selected.active[m.own.Peer]
 	log.WithField("alive", n.Alive).WithField("silent", n.Silent).WithField("leaving", n.Leaving).
-		WithField("active", n.Active).WithField("named", n.Named).WithField("is_active", active).Info("VMs counted")
+		WithField("active", n.Active).WithField("named", n.Advertised).WithField("is_active", active).Info("VM counts changed")
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -32,36 +32,36 @@
 func TestCallersAreSentToTheirZoneFirst(t *testing.T) {
 	_, m := newMembers()
 	for i := 1; i < 4; i++ {
-		m.hear(heard{Record: swim.Record{Node: node(i), Ready: true}})
+		m.receiveLoad(loadReport{Record: swim.Record{Node: node(i), Ready: true}})
 	}
 	assert.DeepEqual(t, m.AdvertisedAddresses("z1"), []string{"10.0.0.1:1", "10.0.0.3:1", "10.0.0.0:1", "10.0.0.2:1"})
 }
 
-// Guards against a few requests being spread over all VMs, and against a silent one among
-// those named.
-func TestAFewVMsAreNamedForAFewRequests(t *testing.T) {
+// Guards against a low load being spread over all VMs, and against an unresponsive VM among the
+// advertised ones.
+func TestLowLoadAdvertisesFewVMs(t *testing.T) {
 	c, m := newMembers()
 	m.own.Capacity = 100
 	beat := func(from int) {
 		for i := from; i < 8; i++ {
 			n := node(i)
 			n.Capacity = 100
-			m.hear(heard{Record: swim.Record{Node: n, Ready: true, Requests: 2}})
+			m.receiveLoad(loadReport{Record: swim.Record{Node: n, Ready: true, Requests: 2}})
 		}
 	}
 	beat(1)
 	assert.DeepEqual(t, m.AdvertisedAddresses("z0"), []string{"10.0.0.0:1", "10.0.0.2:1", "10.0.0.1:1"})
-	c.T = c.T.Add(silence)
+	c.T = c.T.Add(silenceTimeout)
 	beat(2)
 	assert.DeepEqual(t, m.AdvertisedAddresses("z0"), []string{"10.0.0.0:1", "10.0.0.2:1", "10.0.0.3:1"})
 }
 
-// Guards against callers that a VM which was told to stop can't serve to the end.
-func TestALeavingVMIsNamedNoMore(t *testing.T) {
+// Guards against callers being sent to a VM that shuts down before it can finish their requests.
+func TestLeavingVMIsNotAdvertised(t *testing.T) {
 	_, m := newMembers()
-	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true}})
-	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true, Leaving: true}})
-	m.hear(heard{Record: swim.Record{Node: node(2)}})
+	m.receiveLoad(loadReport{Record: swim.Record{Node: node(1), Ready: true}})
+	m.receiveLoad(loadReport{Record: swim.Record{Node: node(1), Ready: true, Leaving: true}})
+	m.receiveLoad(loadReport{Record: swim.Record{Node: node(2)}})
 	assert.DeepEqual(t, m.AdvertisedAddresses(""), []string{"10.0.0.0:1"})
 	m.SetLeaving()
 	assert.Equal(t, len(m.AdvertisedAddresses("")), 0)
@@ -69,38 +69,38 @@
 }
 
 // Guards against callers being sent to a frozen VM for as long as the group lists it.
-func TestASilentVMIsNamedNoMore(t *testing.T) {
+func TestUnresponsiveVMIsNotAdvertised(t *testing.T) {
 	c, m := newMembers()
 	m.MergeListed([]Node{node(1)})
-	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true}})
-	c.T = c.T.Add(silence)
+	m.receiveLoad(loadReport{Record: swim.Record{Node: node(1), Ready: true}})
+	c.T = c.T.Add(silenceTimeout)
 	m.MergeListed([]Node{node(1)})
 	assert.DeepEqual(t, m.AdvertisedAddresses(""), []string{"10.0.0.0:1"})
-	m.hear(heard{Record: swim.Record{Node: node(1), Ready: true}})
+	m.receiveLoad(loadReport{Record: swim.Record{Node: node(1), Ready: true}})
 	assert.Equal(t, len(m.AdvertisedAddresses("")), 2)
 }
 
-// How long a listed VM that was never heard counts as alive, and is remembered.
+// How long a listed VM that never sent a datagram counts as alive, and until it is then evicted.
 const (
-	unheard = 2 * time.Second
-	forget  = 10 * time.Second
+	unheardTimeout = 2 * time.Second
+	evictAfter     = 10 * time.Second
 )
 
-// Guards against all callers being sent to one VM while all start at once.
-func TestAListedVMCountsUntilItShouldHaveBeenHeard(t *testing.T) {
+// Guards against all callers being sent to one VM while all VMs start at once.
+func TestListedVMCountsUntilUnheardTimeout(t *testing.T) {
 	c, m := newMembers()
 	m.MergeListed([]Node{node(0), node(1)})
 	assert.Equal(t, len(m.AdvertisedAddresses("")), 2)
 	assert.Equal(t, m.Count(), 2)
-	c.T = c.T.Add(unheard)
+	c.T = c.T.Add(unheardTimeout)
 	assert.Equal(t, len(m.AdvertisedAddresses("")), 1)
-	c.T = c.T.Add(forget)
+	c.T = c.T.Add(evictAfter)
 	m.MergeListed([]Node{node(0)})
 	assert.Equal(t, m.Count(), 1)
 	assert.Assert(t, !m.HasPeers())
 }
 
-// group is a list that can be down.
+// group is a Group that can be unavailable.
 type group struct {
 	mu    sync.Mutex
 	list  []Node
@@ -132,13 +132,13 @@
 
 func (g *group) Leave(context.Context, Node) error { return errDown }
 
-// Guards against a VM that gives up on the group because the store was away at its start.
-func TestRegistrationOutlivesAnOutage(t *testing.T) {
+// Guards against a VM that never joins the group because the store was unavailable at its start.
+func TestRegistrationSurvivesStoreOutage(t *testing.T) {
 	g := &group{down: true, list: []Node{node(5)}}
 	c, m := newMembers()
-	c.T = c.T.Add(joinSpread)
+	c.T = c.T.Add(joinJitter)
 	renewed := make(chan Assignment, 8)
-	r := NewRegistration(g, m, func(_ clock.Time, h Assignment) { renewed <- h })
+	r := NewRegistration(g, m, func(_ clock.Time, a Assignment) { renewed <- a })
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = r.Run(ctx) }()
@@ -159,5 +159,5 @@
 		}
 		return poll.Continue("not listed")
 	})
-	assert.NilError(t, r.Drain(t.Context()), "a farewell that fails is no reason to stay")
+	assert.NilError(t, r.Drain(t.Context()), "a failed leave call doesn't fail the drain")
 }
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -13,73 +13,74 @@
 )
 
 const (
-	// joinPeriod keeps a VM of the active set listed: three tries within joinTTL.
+	// joinPeriod is the time between two renewals of a group member's entry: three tries within
+	// joinTTL.
 	joinPeriod = 1500 * time.Millisecond
 	// joinTTL is how long a VM that vanished stays listed.
 	joinTTL = 5 * time.Second
-	// listPeriod is the time between two reads of the list by up to idleUnit VMs.
-	// VMs know of each other by what they tell; the list is for the first contact,
-	// and for parts of a deployment that have lost sight of each other.
+	// listPeriod is the time between two reads of the member list by up to idleReadUnitVMs VMs. VMs
+	// track each other by datagrams; the list is for the first contact, and for parts of a
+	// deployment that have lost contact with each other.
 	listPeriod = time.Minute
-	// retryPeriod follows a join that failed: three more tries before joinTTL
-	// is over. A store that is away is charged for each.
-	retryPeriod = 750 * time.Millisecond
-	// firstPeriod replaces listPeriod while no other VM is known, and
-	// earlyPeriod while none is heard: those that were listed first may be
-	// gone, and the group deals a new member its part, by which it is listed,
-	// within some renewals of the others.
-	firstPeriod = 300 * time.Millisecond
-	earlyPeriod = 1500 * time.Millisecond
-	// outsidePeriod is the time between two looks of a VM that isn't in the group,
-	// whether it has come to be one of the active set, and startPeriod that of one
-	// that has just started.
-	outsidePeriod = 250 * time.Millisecond
-	startPeriod   = 50 * time.Millisecond
-	// joinSpread spreads the first joins of VMs that start together and find nobody
-	// listed: the others contact the first ones, and most needn't join.
-	joinSpread = 500 * time.Millisecond
-	// knownAfter is how long after its start a VM that has found others knows enough
-	// of them to tell whether it is one of the active set.
-	knownAfter = 1500 * time.Millisecond
-	// leaveAfter is how long a VM stays in the group that is no longer one of the
-	// set. It leaves then, so that what it was dealt doesn't lie idle until it
-	// lapses; the active set of a moment comes and goes with the load.
-	leaveAfter = 10 * time.Second
-	// leaveTimeout bounds the farewell to the group.
+	// joinRetryPeriod is the delay after a join that failed: three more tries before joinTTL is
+	// over. Each try costs a call, also while the store is unavailable.
+	joinRetryPeriod = 750 * time.Millisecond
+	// firstListPeriod replaces listPeriod while this VM has no peers, and isolatedListPeriod while
+	// it receives no datagrams: the VMs that were listed first may have stopped, and the group
+	// assigns a new member its part, and so lists it, only within some renewals of the other
+	// members.
+	firstListPeriod    = 300 * time.Millisecond
+	isolatedListPeriod = 1500 * time.Millisecond
+	// joinCheckPeriod is the time between two checks of a VM outside the group whether it is in the
+	// active set, and startJoinCheckPeriod that of a VM that has just started.
+	joinCheckPeriod      = 250 * time.Millisecond
+	startJoinCheckPeriod = 50 * time.Millisecond
+	// joinJitter spreads the first joins of VMs that start together and find nobody listed: the
+	// others contact the first ones, and most needn't join.
+	joinJitter = 500 * time.Millisecond
+	// discoveryTime is how long after its start a VM that has peers tracks enough of them to
+	// determine whether it is in the active set.
+	discoveryTime = 1500 * time.Millisecond
+	// leaveDelay is how long a VM stays in the group after it was last in the active set, which
+	// varies with the load. It leaves then, so that its assignment doesn't lie unused until the
+	// entry expires.
+	leaveDelay = 10 * time.Second
+	// leaveTimeout bounds the call that leaves the group.
 	leaveTimeout = time.Second
 )
 
-// Group is the platform's list of the processes that take part.
+// Group is the platform's list of the participating processes.
 type Group interface {
-	// Join adds n or keeps it in the list for ttl.
+	// Join adds n to the list, or keeps it there, for ttl.
 	Join(ctx context.Context, n Node, ttl time.Duration) (Assignment, error)
 	// Members returns the list.
 	Members(ctx context.Context) ([]Node, error)
-	// Leave takes n off the list.
+	// Leave removes n from the list.
 	Leave(ctx context.Context, n Node) error
 }
 
-// Assignment is what the group has dealt to a member.
+// Assignment is what the group has assigned to a member.
 type Assignment struct {
-	Leader       bool  // of giving orders, which one member has
-	Generation int64 // grows with each change of the dealing
+	Leader     bool  // the member may order engines and endpoints, as the only one
+	Generation int64 // grows with each change of the assignments
 }
 
-// Registration keeps this VM in the group and reads it. It is a kernel unit.
+// Registration keeps this VM in the group while it has to be a member, and reads the member list.
+// It is a kernel unit.
 type Registration struct {
-	group   Group
-	members *Members
-	renewed func(sentAt clock.Time, h Assignment)
-	listed  chan struct{} // closed after the first try to read the list
+	group     Group
+	members   *Members
+	onRenewed func(sentAt clock.Time, a Assignment)
+	listTried chan struct{} // closed after the first try to read the list
 
 	// Of the joining goroutine:
-	joined bool
-	seenAt clock.Time // when this VM was last one of the active set, or held the duty
+	joined   bool
+	neededAt clock.Time // when this VM was last in the active set, or the leader
 }
 
-// NewRegistration returns the unit. renewed is told of each confirmed renewal.
-func NewRegistration(g Group, m *Members, renewed func(sentAt clock.Time, h Assignment)) *Registration {
-	return &Registration{group: g, members: m, renewed: renewed, listed: make(chan struct{})}
+// NewRegistration returns the unit. It calls onRenewed after each confirmed renewal.
+func NewRegistration(g Group, m *Members, onRenewed func(sentAt clock.Time, a Assignment)) *Registration {
+	return &Registration{group: g, members: m, onRenewed: onRenewed, listTried: make(chan struct{})}
 }
 
 // Name implements kernel.Unit.
@@ -96,108 +97,110 @@
 // Drain implements kernel.Drainer.
 func (r *Registration) Drain(ctx context.Context) error {
 	r.members.SetLeaving()
-	r.leave(ctx) // if the call is lost, the entry lapses; the beats have said it already
+	r.leave(ctx) // if the call is lost, the entry expires; the beats have announced it already
 	return nil
 }
 
-// join keeps this VM in the group while it is one of the active set, or holds the duty. The
-// others needn't be listed: each renewal is a call of the store, and their number would
-// grow with that of the VMs. Nor may they be dealt the duty, of which nobody would make
-// use until it is dealt anew. So a VM that starts reads the list first.
+// join keeps this VM in the group while it is in the active set or the leader. Other VMs stay out:
+// each renewal is a call of the store, so the calls would grow with the number of VMs. A VM that
+// doesn't stay in the group must not be assigned leadership either, as nobody would lead until it
+// is assigned again. So a VM that starts reads the list first.
 func (r *Registration) join(ctx context.Context) error {
 	select {
-	case <-r.listed:
+	case <-r.listTried:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return every(ctx, func() time.Duration {
+	return runPeriodically(ctx, func() time.Duration {
 		switch {
 		case r.members.Leaving():
 			return joinPeriod
-		case r.joined && r.superfluous():
+		case r.joined && r.shouldLeave():
 			r.leave(ctx)
-			return outsidePeriod
-		case !r.joined && !r.wanted():
-			return r.lookAgain()
+			return joinCheckPeriod
+		case !r.joined && !r.shouldJoin():
+			return r.joinCheckDelay()
 		}
 		return r.renew(ctx)
 	})
 }
 
-// lookAgain is the time until a VM that isn't in the group looks again whether it is to
-// join. Those that have just started look often: somebody must be listed first.
-func (r *Registration) lookAgain() time.Duration {
-	if r.members.clock.Now().Sub(r.members.started) < knownAfter {
-		return startPeriod
+// joinCheckDelay returns the time until a VM outside the group checks again whether to join. VMs
+// that have just started check often, since somebody must be listed first.
+func (r *Registration) joinCheckDelay() time.Duration {
+	if r.members.clock.Now().Sub(r.members.started) < discoveryTime {
+		return startJoinCheckPeriod
 	}
-	return outsidePeriod
+	return joinCheckPeriod
 }
 
-// wanted tells whether this VM is to join.
-func (r *Registration) wanted() bool {
+// shouldJoin reports whether this VM is to join the group.
+func (r *Registration) shouldJoin() bool {
 	m := r.members
 	age := m.clock.Now().Sub(m.started)
 	switch {
-	case m.IsLeader(), m.listedItself():
+	case m.IsLeader(), m.isListed():
 		return true
 	case !m.HasPeers():
-		return age >= time.Duration(xxhash.Sum64String(m.own.Peer)%uint64(joinSpread))
+		return age >= time.Duration(xxhash.Sum64String(m.own.Peer)%uint64(joinJitter))
 	}
-	return age >= knownAfter && m.IsActive()
+	return age >= discoveryTime && m.IsActive()
 }
 
-// superfluous tells whether this VM has been none of the active set for long.
-func (r *Registration) superfluous() bool {
+// shouldLeave reports whether this VM has been outside the active set, and not the leader, for more
+// than leaveDelay.
+func (r *Registration) shouldLeave() bool {
 	now := r.members.clock.Now()
-	if r.seenAt == 0 || r.members.IsActive() || r.members.IsLeader() {
-		r.seenAt = now
+	if r.neededAt == 0 || r.members.IsActive() || r.members.IsLeader() {
+		r.neededAt = now
 	}
-	return now.Sub(r.seenAt) > leaveAfter
+	return now.Sub(r.neededAt) > leaveDelay
 }
 
 func (r *Registration) leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := r.group.Leave(ctx, r.members.own); err != nil {
-		log.WithError(err).Warn("group not left")
+		log.WithError(err).Warn("leaving the group failed")
 	}
-	r.joined = false // it lapses by itself if the call was lost
+	r.joined = false // if the call was lost, the entry expires
 }
 
 func (r *Registration) renew(ctx context.Context) time.Duration {
 	sentAt := r.members.clock.Now()
-	h, err := r.group.Join(ctx, r.members.own, joinTTL)
+	a, err := r.group.Join(ctx, r.members.own, joinTTL)
 	r.joined = true
 	if err != nil {
-		log.WithError(err).Warn("group not joined")
-		return retryPeriod
+		log.WithError(err).Warn("joining the group failed")
+		return joinRetryPeriod
 	}
-	r.renewed(sentAt, h)
+	r.onRenewed(sentAt, a)
 	return joinPeriod
 }
 
 func (r *Registration) list(ctx context.Context) error {
 	var once sync.Once
-	return every(ctx, func() time.Duration {
+	return runPeriodically(ctx, func() time.Duration {
 		nodes, err := r.group.Members(ctx)
 		if err != nil {
-			log.WithError(err).Warn("group not read")
+			log.WithError(err).Warn("reading the group failed")
 		} else {
 			r.members.MergeListed(nodes)
 		}
-		once.Do(func() { close(r.listed) })
+		once.Do(func() { close(r.listTried) })
 		switch {
 		case !r.members.HasPeers():
-			return firstPeriod
+			return firstListPeriod
 		case r.members.Isolated():
-			return earlyPeriod
+			return isolatedListPeriod
 		}
-		return listPeriod * time.Duration(max(r.members.Count(), idleUnit)) / idleUnit
+		return listPeriod * time.Duration(max(r.members.Count(), idleReadUnitVMs)) / idleReadUnitVMs
 	})
 }
 
-// every calls step until ctx ends, pausing for what it returns.
-func every(ctx context.Context, step func() time.Duration) error {
+// runPeriodically calls step until ctx ends, and waits after each call for the time that it
+// returned.
+func runPeriodically(ctx context.Context, step func() time.Duration) error {
 	for {
 		t := time.NewTimer(step())
 		select {
--- a/internal/gossip/knowledge.go
+++ b/internal/gossip/knowledge.go
@@ -12,64 +12,66 @@
 )
 
 const (
-	// askedAge is the age of what is known from which other VMs are asked, and
-	// askPause the time between two questions. urgentAge and urgentPause replace them
-	// when answers are missing.
-	askedAge    = 800 * time.Millisecond
-	askPause    = time.Second
-	urgentAge   = 2300 * time.Millisecond
-	urgentPause = 300 * time.Millisecond
-	// askedAtOnce VMs are asked at once when answers are missing.
-	askedAtOnce = 3
+	// queryAge is the age of the configuration from which this VM queries other VMs, and queryPause
+	// the time between two queries. urgentQueryAge and urgentQueryPause replace them when answers
+	// are missing.
+	queryAge         = 800 * time.Millisecond
+	queryPause       = time.Second
+	urgentQueryAge   = 2300 * time.Millisecond
+	urgentQueryPause = 300 * time.Millisecond
+	// urgentQueryFanout VMs are queried at once when answers are missing.
+	urgentQueryFanout = 3
 )
 
-// ConfigFreshness is how new the configuration is that this VM serves by.
+// ConfigFreshness tracks the age of the configuration that this VM serves by.
 type ConfigFreshness interface {
-	// Age returns the age of what is known and the version in force.
+	// Age returns the age of the configuration and the version in force. ok is false while the age
+	// is unknown.
 	Age() (age time.Duration, version uint64, ok bool)
-	// MergeAnswer takes the answer of a VM to a question of askedAt.
+	// MergeAnswer merges the answer of a VM to a query sent at askedAt.
 	MergeAnswer(vm string, askedAt clock.Time, age time.Duration, version uint64)
 }
 
-// askAround asks other VMs for newer knowledge until ctx ends. A question comes back
-// with its answer, so that nothing of it needs to be kept.
-func (u *Unit) askAround(ctx context.Context) error {
+// runQueries queries other VMs for the age of their configuration until ctx ends. An answer repeats
+// the fields of its query, so that no state is kept for a query.
+func (u *Unit) runQueries(ctx context.Context) error {
 	for {
-		if !clock.Sleep(ctx, u.askWhenDue()) {
+		if !clock.Sleep(ctx, u.queryIfDue()) {
 			return ctx.Err()
 		}
 	}
 }
 
-// askWhenDue asks if what is known is old enough, and returns when to look again.
-func (u *Unit) askWhenDue() time.Duration {
+// queryIfDue sends a query if the configuration is old enough, and returns the time until the next
+// check.
+func (u *Unit) queryIfDue() time.Duration {
 	age, _, ok := u.Freshness.Age()
 	switch {
-	case !ok || age >= urgentAge:
-		u.ask(askedAtOnce)
-		return urgentPause
-	case age >= askedAge:
-		u.ask(1)
-		return min(askPause, urgentAge-age)
+	case !ok || age >= urgentQueryAge:
+		u.query(urgentQueryFanout)
+		return urgentQueryPause
+	case age >= queryAge:
+		u.query(1)
+		return min(queryPause, urgentQueryAge-age)
 	}
-	return askedAge - age
+	return queryAge - age
 }
 
-func (u *Unit) ask(vms int) {
+func (u *Unit) query(vms int) {
 	m := u.members
-	u.sendTo(m.informants(vms), &wire.Beat{Peer: m.own.Peer, Knowledge: &wire.Knowledge{
-		Asker: askerOf(&m.own), AskedAt: int64(m.clock.Now()),
+	u.sendTo(m.freshnessSources(vms), &wire.Beat{Peer: m.own.Peer, Knowledge: &wire.Knowledge{
+		Asker: askerID(&m.own), AskedAt: int64(m.clock.Now()),
 	}})
 }
 
-// askerOf tells the processes of a VM apart, whose clocks may not agree.
-func askerOf(n *Node) uint64 { return xxhash.Sum64String(n.Incarnation) }
+// askerID distinguishes the processes of a VM, whose clocks may differ.
+func askerID(n *Node) uint64 { return xxhash.Sum64String(n.Incarnation) }
 
-// takeKnowledge answers a question, or takes an answer.
-func (u *Unit) takeKnowledge(b *wire.Beat) {
+// receiveFreshness answers a query, or merges the answer to one of this process's queries.
+func (u *Unit) receiveFreshness(b *wire.Beat) {
 	k := b.GetKnowledge()
 	if k.GetAnswer() {
-		if k.GetAsker() == askerOf(&u.members.own) {
+		if k.GetAsker() == askerID(&u.members.own) {
 			age := time.Duration(k.GetAgeMs()) * time.Millisecond
 			u.Freshness.MergeAnswer(b.GetPeer(), clock.Time(k.GetAskedAt()), age, b.GetConfigVersion())
 		}
@@ -84,19 +86,20 @@
 	}})
 }
 
-// informants returns the addresses of up to n VMs that probably know what is newest: for
-// a VM of the active set those that read the store, for the others any of the set.
-func (m *Members) informants(n int) []string {
+// freshnessSources returns the addresses of up to n VMs that probably have the newest
+// configuration: for a VM of the active set first those that read the store, for the others any of
+// the set.
+func (m *Members) freshnessSources(n int) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
-	c := m.choose(now)
-	_, active := c.active[m.own.Peer]
+	s := m.selectVMs(now)
+	_, active := s.active[m.own.Peer]
 	var readers, others []string
-	for peer := range c.active {
+	for peer := range s.active {
 		switch l := m.links[peer]; {
 		case peer == m.own.Peer:
-		case active && l != nil && l.reads && m.beatsArrive(now, l):
+		case active && l != nil && l.isReader && m.isResponsive(now, l):
 			readers = append(readers, peer)
 		default:
 			others = append(others, peer)
--- a/internal/gossip/knowledge_test.go
+++ b/internal/gossip/knowledge_test.go
@@ -12,11 +12,11 @@
 	"fescuestand/internal/freshness"
 )
 
-// tracked is a VM's knowledge, which answers raise.
+// tracked is a freshness tracker that records the newest version in the answers.
 type tracked struct {
 	*freshness.Tracker
-	mu    sync.Mutex
-	heard uint64
+	mu     sync.Mutex
+	newest uint64
 }
 
 func newTracked() *tracked {
@@ -25,52 +25,54 @@
 
 func (k *tracked) MergeAnswer(_ string, askedAt clock.Time, age time.Duration, version uint64) {
 	k.mu.Lock()
-	k.heard = max(k.heard, version)
+	k.newest = max(k.newest, version)
 	k.mu.Unlock()
 	k.Tracker.MergeAnswer(askedAt, age, version)
 }
 
-// Guards against a VM that the store turns away and that no peer tells how new the configuration is.
-func TestAVMWithoutTheStoreLearnsFromOthersHowNewItsConfigurationIs(t *testing.T) {
+// Guards against a VM that the store rejects and that gets no answer on the configuration's age
+// from its peers.
+func TestVMWithoutStoreGetsConfigFreshnessFromPeers(t *testing.T) {
 	reader, other := newTracked(), newTracked()
 	reader.RecordInForce(7)
 	reader.RecordRead(clock.Boot{}.Now())
 	h := &hub{}
-	ua, a := startKnowing(t, h, reader)
-	_, b := startKnowing(t, h, other)
+	ua, a := startWithFreshness(t, h, reader)
+	_, b := startWithFreshness(t, h, other)
 	a.MergeListed([]Node{b.own})
 	b.MergeListed([]Node{a.own})
 	assert.Assert(t, ua.Freshness != nil)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		other.mu.Lock()
 		defer other.mu.Unlock()
-		if other.heard == 7 {
+		if other.newest == 7 {
 			return poll.Success()
 		}
-		return poll.Continue("version not heard")
+		return poll.Continue("no answer with the version")
 	}, poll.WithTimeout(10*time.Second))
-	_, _, known := other.Age()
-	assert.Assert(t, !known, "the version isn't in force yet")
+	_, _, confirmed := other.Age()
+	assert.Assert(t, !confirmed, "the version isn't in force yet")
 	other.RecordInForce(7)
-	age, _, known := other.Age()
-	assert.Assert(t, known)
+	age, _, confirmed := other.Age()
+	assert.Assert(t, confirmed)
 	readerAge, _, _ := reader.Age()
 	assert.Assert(t, age >= 0 && age <= readerAge+time.Second)
 }
 
-// Guards against questions that grow with the number of VMs, and against ones that nobody asked can answer.
-func TestQuestionsGoToTheActiveSet(t *testing.T) {
+// Guards against queries that grow with the number of VMs, and against queries to VMs that can't
+// answer them.
+func TestFreshnessQueriesGoToActiveSet(t *testing.T) {
 	for _, n := range []int{20, 200, 1000} {
 		_, m := many(n, standby(t, n))
 		assert.Assert(t, !m.IsActive())
-		asked := map[string]bool{}
+		queried := map[string]bool{}
 		for range 200 {
-			for _, peer := range m.informants(askedAtOnce) {
-				asked[peer] = true
-				_, active := m.chosen.active[peer]
+			for _, peer := range m.freshnessSources(urgentQueryFanout) {
+				queried[peer] = true
+				_, active := m.selected.active[peer]
 				assert.Assert(t, active, "%d VMs: %s", n, peer)
 			}
 		}
-		assert.Assert(t, len(asked) > askedAtOnce, "%d VMs", n)
+		assert.Assert(t, len(queried) > urgentQueryFanout, "%d VMs", n)
 	}
 }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -1,13 +1,15 @@
-// Package gossip keeps the gateways of a deployment aware of each other. The
-// platform's member group names a few for the first contact; datagrams say who is
-// alive and what each has outstanding. Neither is needed for the other to go on:
-// the store may be away, datagrams may be lost.
+// Package gossip tracks the gateway VMs of a deployment and exchanges their load, by datagrams.
 //
-// There are two layers. All VMs keep a list of all by probing each other now and
-// then (package swim); what a VM spends on it doesn't grow with their number. The
-// active set, those that serve callers and the next in turn, tell each other their load
-// several times a second. Each VM works that set out from its list, so that no
-// message is needed to agree on it.
+// Two sources find other VMs: the platform's member group lists a few for the first contact, and
+// datagrams say who is alive and what each VM has outstanding. Each works without the other: the
+// store may be unavailable, and datagrams may be lost.
+//
+// There are two layers:
+//   - Membership: all VMs keep a list of all, by probing each other at intervals (package swim).
+//     The cost per VM doesn't grow with the number of VMs.
+//   - Load: the VMs of the active set, those that serve callers and those that do so next, send each
+//     other their load several times a second in beats. Each VM computes the active set from its
+//     list, so that no message is needed to agree on it.
 package gossip
 
 import (
@@ -25,18 +27,18 @@
 )
 
 const (
-	// silence is how long a VM of the active set may be unheard until callers are no
-	// longer sent to it: several beats in a row are missing.
-	silence = swim.Silence
-	// countedFor is how long a VM that fell silent still counts as one with which
-	// the others share what they may spend.
-	countedFor = 10 * time.Second
-	// aloneAfter is how long no other VM is heard until this one looks for others
+	// silenceTimeout is how long after its last beat a VM of the active set is no longer advertised
+	// to callers: several beats in a row are missing.
+	silenceTimeout = swim.Silence
+	// countRetention is how long a VM that became unresponsive still counts as one that shares the
+	// rate limits and budgets of the deployment.
+	countRetention = 10 * time.Second
+	// isolatedAfter is how long after the last datagram of any other VM this one looks for others
 	// in the platform's list.
-	aloneAfter = 2 * time.Second
+	isolatedAfter = 2 * time.Second
 )
 
-// Node is what a VM is, for as long as its process runs.
+// Node is the identity and capacity of a VM, constant while its process runs.
 type Node = swim.Node
 
 // Members is the table of VMs. It is safe for concurrent use.
@@ -45,19 +47,19 @@
 	own     Node
 	started clock.Time
 
-	mu      sync.Mutex
-	list    *swim.Detector
-	links   map[string]*link // to the VMs that exchange beats with this one, by address for datagrams
-	chosen  chosen
-	readAt  clock.Time // last read of the endpoints' entries
-	newest  clock.Time // newest read of them by any VM, as far as known
-	beatAt  clock.Time // last look for missing beats
-	heardAt clock.Time // last datagram of any VM
+	mu            sync.Mutex
+	detector      *swim.Detector
+	links         map[string]*link // to the VMs that exchange beats with this one, by address for datagrams
+	selected      selection
+	readAt        clock.Time // this VM's last read of the endpoints' entries
+	newestReadAt  clock.Time // newest read of them reported by any VM
+	beatsCheckAt  clock.Time // last check for missing beats
+	lastReceiveAt clock.Time // last datagram of any VM
 
-	listed bool // the platform's list has named this VM
+	listed bool // the platform's list has contained this VM
 
-	counted   census // last one that was logged
-	countedAt clock.Time
+	loggedCensus   census // last one that was logged
+	censusLoggedAt clock.Time
 }
 
 // NewMembers returns a table that holds this VM only.
@@ -66,165 +68,168 @@
 	r := swim.Record{Node: own, Version: uint64(time.Now().UnixMilli())}
 	m := &Members{
 		clock: c, own: own, started: now, links: map[string]*link{},
-		list: swim.New(r, xxhash.Sum64String(own.Incarnation+own.Peer), now),
+		detector: swim.New(r, xxhash.Sum64String(own.Incarnation+own.Peer), now),
 	}
-	m.list.Accused = func(peer string, unheard time.Duration) {
+	m.detector.Accused = func(peer string, unheard time.Duration) {
 		log.WithField("vm", peer).WithField("unheard_ms", unheard.Milliseconds()).Info("VM is silent")
 	}
 	return m
 }
 
-// change changes what this VM tells of itself.
-func (m *Members) change(change func(r *swim.Record)) {
+// updateOwn changes the record that this VM announces of itself.
+func (m *Members) updateOwn(update func(r *swim.Record)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list.Change(m.clock.Now(), change)
-	m.chosen.stale = true
+	m.detector.Change(m.clock.Now(), update)
+	m.selected.stale = true
 }
 
-// SetReady tells whether this VM takes callers.
-func (m *Members) SetReady(ready bool) { m.change(func(r *swim.Record) { r.Ready = ready }) }
+// SetReady announces whether this VM accepts callers.
+func (m *Members) SetReady(ready bool) { m.updateOwn(func(r *swim.Record) { r.Ready = ready }) }
 
-// SetLeader tells whether this VM has been dealt the duty of giving orders.
-func (m *Members) SetLeader(duty bool) { m.change(func(r *swim.Record) { r.Duty = duty }) }
+// SetLeader announces whether this VM is the leader, which may order engines and endpoints.
+func (m *Members) SetLeader(leader bool) { m.updateOwn(func(r *swim.Record) { r.Duty = leader }) }
 
-// SetTracksCaches tells whether this VM knows what engines have cached.
-func (m *Members) SetTracksCaches(informed bool) {
-	m.change(func(r *swim.Record) { r.Informed = informed })
+// SetTracksCaches announces whether this VM tracks what engines have cached.
+func (m *Members) SetTracksCaches(tracks bool) {
+	m.updateOwn(func(r *swim.Record) { r.Informed = tracks })
 }
 
-// SetLeaving marks this VM as one that stops.
-func (m *Members) SetLeaving() { m.change(func(r *swim.Record) { r.Leaving = true }) }
+// SetLeaving announces that this VM is shutting down.
+func (m *Members) SetLeaving() { m.updateOwn(func(r *swim.Record) { r.Leaving = true }) }
 
-// rateStep of the rate of requests, and rateShare of what the VM can take, is the
-// least change that is told: naming VMs by it has room for several times the rate.
+// A change of the request rate is announced if it is greater than minRateChange of the announced
+// rate and than minRateChangeOfCapacity of the VM's capacity. The selection of advertised VMs has
+// headroom for several times the rate, so that smaller changes don't matter.
 const (
-	rateStep  = 0.25
-	rateShare = 0.05
+	minRateChange           = 0.25
+	minRateChangeOfCapacity = 0.05
 )
 
-// setRequests takes the rate of this VM's requests. The few that come to a VM which
-// isn't named are told as none: told by each of hundreds of VMs, they would wrongly add
-// up to as much as the others get.
-func (m *Members) setRequests(perSecond uint32) {
+// setRequestRate records this VM's request rate, and announces it if it has changed enough. A VM
+// that isn't advertised announces a small rate as zero: the small rates of hundreds of such VMs
+// would add up to as much as the load of the advertised ones.
+func (m *Members) setRequestRate(perSecond uint32) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
-	told := m.list.Own().Requests
-	least := rateShare * float64(m.own.Capacity)
-	named := slices.ContainsFunc(m.choose(now).named, func(v serving.VM) bool { return v.Peer == m.own.Peer })
-	switch change := math.Abs(float64(perSecond) - float64(told)); {
-	case !named && float64(perSecond) < least:
+	announced := m.detector.Own().Requests
+	minChange := minRateChangeOfCapacity * float64(m.own.Capacity)
+	advertised := slices.ContainsFunc(m.selectVMs(now).advertised, func(v serving.VM) bool { return v.Peer == m.own.Peer })
+	switch change := math.Abs(float64(perSecond) - float64(announced)); {
+	case !advertised && float64(perSecond) < minChange:
 		perSecond = 0
-	case (told == 0) == (perSecond == 0) && change <= max(least, rateStep*float64(told)):
+	case (announced == 0) == (perSecond == 0) && change <= max(minChange, minRateChange*float64(announced)):
 		return
 	}
-	if perSecond != told {
-		m.list.Change(now, func(r *swim.Record) { r.Requests = perSecond })
-		m.chosen.stale = true
+	if perSecond != announced {
+		m.detector.Change(now, func(r *swim.Record) { r.Requests = perSecond })
+		m.selected.stale = true
 	}
 }
 
-// ownRecord is what this VM tells of itself.
+// ownRecord returns the record that this VM announces of itself.
 func (m *Members) ownRecord() swim.Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return *m.list.Own()
+	return *m.detector.Own()
 }
 
-// Ready tells whether this VM takes callers.
+// Ready reports whether this VM accepts callers.
 func (m *Members) Ready() bool {
 	r := m.ownRecord()
 	return r.Ready && !r.Leaving
 }
 
-// Leaving tells whether this VM was told to stop.
+// Leaving reports whether this VM is shutting down.
 func (m *Members) Leaving() bool { return m.ownRecord().Leaving }
 
-// IsLeader tells whether this VM has been dealt the duty of giving orders.
+// IsLeader reports whether this VM is the leader, which may order engines and endpoints.
 func (m *Members) IsLeader() bool { return m.ownRecord().Duty }
 
-// MergeListed takes the group's members.
+// MergeListed adds the group's members to the table.
 func (m *Members) MergeListed(nodes []Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list.List(m.clock.Now(), nodes)
-	m.chosen.stale = true
+	m.detector.List(m.clock.Now(), nodes)
+	m.selected.stale = true
 	m.listed = m.listed || slices.ContainsFunc(nodes, func(n Node) bool { return n.Peer == m.own.Peer })
 }
 
-// listedItself tells whether the platform's list has named this VM: an earlier process
-// of it has a place there, and perhaps the duty.
-func (m *Members) listedItself() bool {
+// isListed reports whether the platform's list has contained this VM: an earlier process of it is a
+// member, and may be the leader.
+func (m *Members) isListed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listed
 }
 
-// heard is what a beat says of its sender.
-type heard struct {
+// loadReport is what a load beat says of its sender.
+type loadReport struct {
 	swim.Record
 	readAgeMs uint32
-	busy      bool // it has requests in hand
+	busy      bool // the sender has outstanding requests
 }
 
-// hear takes a beat that tells load.
-func (m *Members) hear(h heard) {
+// receiveLoad merges the load report of another VM.
+func (m *Members) receiveLoad(report loadReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if h.Peer == m.own.Peer {
+	if report.Peer == m.own.Peer {
 		return
 	}
 	now := m.clock.Now()
-	m.noteHeard(now, &h.Record)
-	m.list.Heard(now, h.Record)
-	l := m.links[h.Peer]
+	m.recordReceive(now, &report.Record)
+	m.detector.Heard(now, report.Record)
+	l := m.links[report.Peer]
 	if l == nil {
-		l = &link{wantedAt: now}
-		m.links[h.Peer] = l
+		l = &link{expectedSince: now}
+		m.links[report.Peer] = l
 	}
-	l.take(now, &h)
-	if l.reads {
-		m.newest = max(m.newest, l.readAt)
+	l.update(now, &report)
+	if l.isReader {
+		m.newestReadAt = max(m.newestReadAt, l.readAt)
 	}
 }
 
-// receive takes a message of the list and returns the answers.
-func (m *Members) receive(msg *swim.Message) []swim.Send {
+// receiveProbe handles a membership message and returns the answers.
+func (m *Members) receiveProbe(msg *swim.Message) []swim.Send {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
-	m.noteHeard(now, &msg.From)
-	m.chosen.stale = m.chosen.stale || len(msg.Updates) > 0
-	return m.list.Receive(now, msg)
+	m.recordReceive(now, &msg.From)
+	m.selected.stale = m.selected.stale || len(msg.Updates) > 0
+	return m.detector.Receive(now, msg)
 }
 
-// noteHeard notes whether a datagram of a VM may change which VMs are chosen.
-func (m *Members) noteHeard(now clock.Time, r *swim.Record) {
-	m.heardAt = now
-	e := m.list.Entries()[r.Peer]
+// recordReceive records that a datagram from the VM of r arrived, and marks the selection stale if
+// r may change it.
+func (m *Members) recordReceive(now clock.Time, r *swim.Record) {
+	m.lastReceiveAt = now
+	e := m.detector.Entries()[r.Peer]
 	if e == nil || e.Record != *r || !e.Alive(now) {
-		m.chosen.stale = true
+		m.selected.stale = true
 	}
 }
 
-// step does what the list has due, and returns when it is due again.
+// step runs one pass of the failure detector. It returns the messages to send and the time of the
+// next pass.
 func (m *Members) step() ([]swim.Send, clock.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := m.list.Step(m.clock.Now())
-	return out, m.list.Next()
+	out := m.detector.Step(m.clock.Now())
+	return out, m.detector.Next()
 }
 
-// push has news told to a few VMs at once.
+// push schedules messages to a few VMs at once, to which the caller adds its pending updates.
 func (m *Members) push() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list.Push(m.clock.Now())
+	m.detector.Push(m.clock.Now())
 }
 
-// Count returns how many VMs there are: this one and those that are believed to
-// live or did lately. It errs to the high side.
+// Count returns the number of VMs: this one and those that are assumed alive, or were within
+// countRetention. It errs on the high side.
 func (m *Members) Count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -233,20 +238,20 @@
 
 func (m *Members) count(now clock.Time) int {
 	n := 1
-	for _, e := range m.list.Entries() {
-		if !e.Absent(now, countedFor) {
+	for _, e := range m.detector.Entries() {
+		if !e.Absent(now, countRetention) {
 			n++
 		}
 	}
 	return n
 }
 
-// HasPeers tells whether any other VM has been listed or heard.
+// HasPeers reports whether the table counts any other VM, from the list or from datagrams.
 func (m *Members) HasPeers() bool { return m.Count() > 1 }
 
-// Isolated tells whether no other VM has been heard lately.
+// Isolated reports whether no datagram of another VM has arrived for isolatedAfter.
 func (m *Members) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.heardAt == 0 || m.clock.Now().Sub(m.heardAt) > aloneAfter
+	return m.lastReceiveAt == 0 || m.clock.Now().Sub(m.lastReceiveAt) > isolatedAfter
 }
--- a/internal/gossip/probes.go
+++ b/internal/gossip/probes.go
@@ -7,38 +7,38 @@
 	"fescuestand/internal/swim"
 )
 
-// longestStep bounds the pause between two looks at the list.
-const longestStep = time.Second
+// maxStepPause bounds the pause between two passes of the failure detector.
+const maxStepPause = time.Second
 
-// PushUpdates tells a few VMs at once what all must know; they pass it on.
+// PushUpdates sends the pending updates for all VMs to a few VMs at once, which pass them on.
 func (u *Unit) PushUpdates() {
 	u.members.push()
-	wake(u.stepSoon)
+	wake(u.wakeProbe)
 }
 
-// probe does what the list of all VMs has due.
-func (u *Unit) probe(ctx context.Context) error {
+// runProbes runs the failure detector until ctx ends, whenever a pass is due or a message came.
+func (u *Unit) runProbes(ctx context.Context) error {
 	for {
 		out, next := u.members.step()
-		u.sendAll(out)
+		u.sendProbes(out)
 		u.members.logCensus()
-		t := time.NewTimer(min(max(next.Sub(u.members.clock.Now()), 0), longestStep))
+		t := time.NewTimer(min(max(next.Sub(u.members.clock.Now()), 0), maxStepPause))
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			return ctx.Err()
 		case <-t.C:
-		case <-u.stepSoon:
+		case <-u.wakeProbe:
 			t.Stop()
 		}
 	}
 }
 
-// sendAll sends messages of the list, with the news that all must know.
-func (u *Unit) sendAll(out []swim.Send) {
+// sendProbes sends membership messages, with the pending updates for all VMs.
+func (u *Unit) sendProbes(out []swim.Send) {
 	for i := range out {
-		b := probeBeat(&out[i].Message)
-		_, b.NewestReadMs = u.members.told()
+		b := encodeProbe(&out[i].Message)
+		_, b.NewestReadMs = u.members.readAges()
 		u.content.FillUpdates(b)
 		u.sendTo([]string{out[i].To}, b)
 	}
--- a/internal/gossip/start_test.go
+++ b/internal/gossip/start_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/poll"
 )
 
-// Guards against VMs that know only the one which the group has listed when callers come.
+// Guards against VMs that have only the one listed VM in their table when callers arrive.
 func TestVMsIntroduceEachOther(t *testing.T) {
 	const vms = 10
 	var hubs [vms]hub
@@ -19,7 +19,7 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for i, m := range all {
 			if n := len(m.AdvertisedAddresses("")); n < vms {
-				return poll.Continue("VM %d knows %d", i, n)
+				return poll.Continue("VM %d advertises %d VMs", i, n)
 			}
 		}
 		return poll.Success()
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -5,16 +5,16 @@
 	"fescuestand/internal/wire"
 )
 
-// beatOf returns a beat whose sender is r.
-func beatOf(r *swim.Record) *wire.Beat {
+// encodeSender returns a beat whose sender is r.
+func encodeSender(r *swim.Record) *wire.Beat {
 	return &wire.Beat{
 		Incarnation: r.Incarnation, Zone: r.Zone, Caller: r.Caller, Peer: r.Peer, Capacity: r.Capacity,
 		Version: r.Version, Ready: r.Ready, Leaving: r.Leaving, Informed: r.Informed, Duty: r.Duty, Requests: r.Requests,
 	}
 }
 
-// senderOf is what b tells of its sender.
-func senderOf(b *wire.Beat) swim.Record {
+// decodeSender returns the record that b carries of its sender.
+func decodeSender(b *wire.Beat) swim.Record {
 	return swim.Record{
 		Node: Node{
 			Incarnation: b.GetIncarnation(), Zone: b.GetZone(), Caller: b.GetCaller(), Peer: b.GetPeer(), Capacity: b.GetCapacity(),
@@ -24,9 +24,9 @@
 	}
 }
 
-// probeBeat writes a message of the list.
-func probeBeat(m *swim.Message) *wire.Beat {
-	b := beatOf(&m.From)
+// encodeProbe returns the beat that carries a membership message.
+func encodeProbe(m *swim.Message) *wire.Beat {
+	b := encodeSender(&m.From)
 	b.Probe = &wire.Probe{Kind: uint32(m.Kind), Seq: m.Seq, Target: m.Target, Digest: m.Digest}
 	for i := range m.Updates {
 		r := &m.Updates[i]
@@ -39,11 +39,11 @@
 	return b
 }
 
-// probeOf reads a message of the list.
-func probeOf(b *wire.Beat) *swim.Message {
+// decodeProbe returns the membership message that a beat carries.
+func decodeProbe(b *wire.Beat) *swim.Message {
 	p := b.GetProbe()
 	m := &swim.Message{
-		From: senderOf(b), Kind: swim.Kind(p.GetKind()), Seq: p.GetSeq(), Target: p.GetTarget(), Digest: p.GetDigest(),
+		From: decodeSender(b), Kind: swim.Kind(p.GetKind()), Seq: p.GetSeq(), Target: p.GetTarget(), Digest: p.GetDigest(),
 	}
 	for _, r := range b.GetMembers() {
 		if r.GetPeer() == "" {
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -72,7 +72,9 @@
 
 // confirms tells whether this VM reads the store so often that others can judge keys by
 // what it knows. While the store is away its reads of the endpoints show the return.
-func (n *Node) confirms() bool { return n.fresh != nil && n.members.IsReader() && n.members.HasFreshRead() }
+func (n *Node) confirms() bool {
+	return n.fresh != nil && n.members.IsReader() && n.members.HasFreshRead()
+}
 
 // configPause is the time between two reads of the configuration.
 func (n *Node) configPause() time.Duration {
