--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -1,11 +1,13 @@
-// Package freshness bounds the age of what a VM knows of the configuration.
+// Package freshness bounds the age of the configuration that a VM serves by.
 //
-// A VM knows a moment up to which each published version is in force at it. A read
-// of the store raises that moment to the one at which the read was sent, and an
-// answer of another VM to the moment of the question, less the age that the answer
-// states. Both moments are the VM's own, taken before the question left, on a clock
-// that counts suspension: neither a delayed or repeated message nor a suspended
-// process can make knowledge look newer than it is.
+// A tracker records the latest moment up to which each published version is in force at its VM. A
+// read of the store advances that moment to the one at which the read was sent. An answer of
+// another VM advances it to the moment at which the query was sent, less the age that the answer
+// states.
+//
+// Both moments are read on the VM's own boot-time clock, which counts suspension, before the call
+// or the query leaves. So neither a delayed or duplicated message nor a suspended process can make
+// the configuration look newer than it is.
 package freshness
 
 import (
@@ -17,47 +19,48 @@
 	"fescuestand/internal/clock"
 )
 
-// Limits say how old the knowledge may be by which keys are judged.
+// Limits are the maximum ages of the configuration for validating keys by it.
 type Limits struct {
-	// MaxAcceptAge is the greatest age by which a key is accepted, zero for any.
+	// MaxAcceptAge is the maximum age at which a key is accepted, zero for any.
 	MaxAcceptAge time.Duration
-	// MaxDenyAge is the greatest age by which a key is called unknown, zero for any.
+	// MaxDenyAge is the maximum age at which a key is rejected as unknown, zero for any.
 	MaxDenyAge time.Duration
 }
 
-// Tracker keeps the age of one VM's knowledge. It is safe for concurrent use.
+// Tracker tracks the age of one VM's configuration. It is safe for concurrent use.
 type Tracker struct {
 	clock  clock.Clock
 	limits Limits
 
-	mu      sync.Mutex
-	version uint64     // in force
-	known   clock.Time // versions published before it are in force, zero if unknown
-	pending claim      // the newest one that needs a newer version
-	blocked bool       // the newest version isn't understood
-	stale   bool       // the last judgement found the knowledge too old
+	mu          sync.Mutex
+	version     uint64       // in force
+	confirmedAt clock.Time   // versions published before it are in force, zero if unknown
+	pending     confirmation // the newest one that needs a newer version
+	unreadable  bool         // the newest version can't be parsed
+	stale       bool         // the last verdict was Stale
 }
 
-// claim says that version is the newest one published before at.
-type claim struct {
+// confirmation says that version is the newest one published before at.
+type confirmation struct {
 	at      clock.Time
 	version uint64
 }
 
-// New returns a tracker that knows nothing.
+// New returns a tracker without any confirmed configuration.
 func New(c clock.Clock, l Limits) *Tracker { return &Tracker{clock: c, limits: l} }
 
-// RecordRead notes that the store was read to its end by a call that was sent at sentAt.
+// RecordRead records that a call sent at sentAt read all versions in the store.
 func (t *Tracker) RecordRead(sentAt clock.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.blocked {
-		t.raise(sentAt)
+	if !t.unreadable {
+		t.advance(sentAt)
 	}
 }
 
-// MergeAnswer takes the answer of another VM to a question of askedAt: up to age before
-// the answer it knew all versions, of which version was the newest.
+// MergeAnswer merges the answer of another VM to a query sent at askedAt. The answer says that age
+// before it was sent that VM had all published versions, of which version was the newest. The
+// answer takes effect once version is in force here.
 func (t *Tracker) MergeAnswer(askedAt clock.Time, age time.Duration, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,77 +70,79 @@
 	at := askedAt.Add(-age)
 	switch {
 	case version <= t.version:
-		t.raise(at)
+		t.advance(at)
 	case at > t.pending.at:
-		t.pending = claim{at, version}
+		t.pending = confirmation{at, version}
 	}
 }
 
-// RecordInForce notes that a version is in force from now on.
+// RecordInForce records that a version is in force from now on.
 func (t *Tracker) RecordInForce(version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.version = max(t.version, version)
-	t.blocked = false
+	t.unreadable = false
 	if t.pending.version <= t.version {
-		t.raise(t.pending.at)
+		t.advance(t.pending.at)
 	}
 }
 
-// RecordUnreadable notes that the newest version can't be understood: keys that it takes away
-// are still in force here.
+// RecordUnreadable records that the newest version can't be parsed. Reads of the store don't count
+// until another version is in force, since keys that the unreadable version revokes still work
+// here.
 func (t *Tracker) RecordUnreadable() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.blocked = true
+	t.unreadable = true
 }
 
-func (t *Tracker) raise(at clock.Time) { t.known = max(t.known, at) }
+func (t *Tracker) advance(at clock.Time) { t.confirmedAt = max(t.confirmedAt, at) }
 
-// Age returns the age of the knowledge and the version in force. It is not ok if
-// nothing is known.
+// Age returns the age of the configuration and the version in force. ok is false if no read or
+// answer has confirmed a version yet.
 func (t *Tracker) Age() (age time.Duration, version uint64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.clock.Now().Sub(t.known), t.version, t.known != 0
+	return t.clock.Now().Sub(t.confirmedAt), t.version, t.confirmedAt != 0
 }
 
-// Verdict on the knowledge by which a key is judged.
+// Verdict says how far keys can be validated by the configuration in force.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Stale  Verdict = iota // neither can be said
-	AcceptOnly                // a key that is known is valid
-	AcceptOrDeny                 // and one that isn't known is invalid
+	Stale        Verdict = iota // no key can be validated
+	AcceptOnly                  // a known key is valid, an unknown one can't be rejected
+	AcceptOrDeny                // a known key is valid, an unknown one is invalid
 )
 
-// Verdict returns what the knowledge as it is now can say of keys.
+// Verdict returns how far keys can be validated now.
 func (t *Tracker) Verdict() Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	age := t.clock.Now().Sub(t.known)
+	age := t.clock.Now().Sub(t.confirmedAt)
 	v := AcceptOrDeny
 	switch {
-	case t.limits.MaxAcceptAge > 0 && (t.known == 0 || age > t.limits.MaxAcceptAge):
+	case t.limits.MaxAcceptAge > 0 && (t.confirmedAt == 0 || age > t.limits.MaxAcceptAge):
 		v = Stale
-	case t.limits.MaxDenyAge > 0 && (t.known == 0 || age > t.limits.MaxDenyAge):
+	case t.limits.MaxDenyAge > 0 && (t.confirmedAt == 0 || age > t.limits.MaxDenyAge):
 		v = AcceptOnly
 	}
-	t.note(v == Stale, age)
+	t.logTransition(v == Stale, age)
 	return v
 }
 
-// note logs the loss and the return of knowledge that is fresh enough, once each.
-func (t *Tracker) note(stale bool, age time.Duration) {
+// logTransition logs when the configuration becomes too old and when it is fresh enough again, once
+// each.
+func (t *Tracker) logTransition(stale bool, age time.Duration) {
 	if stale == t.stale {
 		return
 	}
 	t.stale = stale
 	e := log.WithField("version", t.version).WithField("age_ms", age.Milliseconds())
 	if stale {
-		e.Warn("keys can't be judged")
+		e.Warn("key validation unavailable")
 		return
 	}
-	e.Info("keys are judged again")
+	e.Info("key validation restored")
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	accept = 5 * time.Second
-	deny   = 3 * time.Second
+	maxAcceptAge = 5 * time.Second
+	maxDenyAge   = 3 * time.Second
 )
 
 func newTracker() (*clock.Manual, *Tracker) {
 	c := &clock.Manual{T: clock.Time(time.Hour)}
-	return c, New(c, Limits{accept, deny})
+	return c, New(c, Limits{maxAcceptAge, maxDenyAge})
 }
 
-func TestKnowledgeAges(t *testing.T) {
+func TestVerdictFollowsConfigAge(t *testing.T) {
 	c, tr := newTracker()
 	assert.Equal(t, tr.Verdict(), Stale)
 	tr.RecordRead(c.T)
 	for _, step := range []struct {
 		after time.Duration
 		want  Verdict
-	}{{0, AcceptOrDeny}, {deny, AcceptOrDeny}, {deny + 1, AcceptOnly}, {accept, AcceptOnly}, {accept + 1, Stale}} {
+	}{{0, AcceptOrDeny}, {maxDenyAge, AcceptOrDeny}, {maxDenyAge + 1, AcceptOnly}, {maxAcceptAge, AcceptOnly}, {maxAcceptAge + 1, Stale}} {
 		tr.RecordRead(clock.Time(time.Hour)) // an older read changes nothing
 		c.T = clock.Time(time.Hour).Add(step.after)
 		assert.Equal(t, tr.Verdict(), step.want, "after %s", step.after)
@@ -36,17 +36,18 @@
 	assert.Equal(t, tr.Verdict(), AcceptOrDeny)
 }
 
-// Guards against a message that waited in the socket of a suspended process and made its knowledge look new.
-func TestAnAnswerThatWaitedIsAsOldAsItsQuestion(t *testing.T) {
+// Guards against an answer that waited in the socket of a suspended process and makes the
+// configuration look newer than it is.
+func TestDelayedAnswerCountsFromItsQuery(t *testing.T) {
 	c, tr := newTracker()
-	asked := c.T
+	askedAt := c.T
 	c.T = c.T.Add(10 * time.Second)
-	tr.MergeAnswer(asked, 0, 0)
+	tr.MergeAnswer(askedAt, 0, 0)
 	assert.Equal(t, tr.Verdict(), Stale)
 }
 
-// Guards against freshness that is taken over without the version that it stands for.
-func TestAnAnswerCountsOnlyWithItsVersion(t *testing.T) {
+// Guards against an answer that counts before the version that it names is in force.
+func TestAnswerCountsOnceItsVersionIsInForce(t *testing.T) {
 	c, tr := newTracker()
 	tr.RecordInForce(3)
 	tr.MergeAnswer(c.T, 0, 4)
@@ -55,12 +56,13 @@
 	assert.Equal(t, tr.Verdict(), AcceptOrDeny)
 }
 
-// Guards against a configuration that isn't understood and whose revoked keys would go on working.
-func TestAVersionThatIsNotUnderstoodEndsFreshness(t *testing.T) {
+// Guards against revoked keys that go on working because the version that revokes them can't be
+// parsed.
+func TestUnreadableVersionStopsRefresh(t *testing.T) {
 	c, tr := newTracker()
 	tr.RecordRead(c.T)
 	tr.RecordUnreadable()
-	c.T = c.T.Add(accept + 1)
+	c.T = c.T.Add(maxAcceptAge + 1)
 	tr.RecordRead(c.T)
 	assert.Equal(t, tr.Verdict(), Stale)
 	tr.RecordInForce(5)
@@ -68,7 +70,7 @@
 	assert.Equal(t, tr.Verdict(), AcceptOrDeny)
 }
 
-// Guards against impossible answers: from the future, or of a negative age.
+// Guards against impossible answers: to a query from the future, or with a negative age.
 func TestImpossibleAnswersAreDropped(t *testing.T) {
 	c, tr := newTracker()
 	tr.MergeAnswer(c.T.Add(time.Second), 0, 0)
@@ -76,7 +78,8 @@
 	assert.Equal(t, tr.Verdict(), Stale)
 }
 
-// published is the history of a store in which each version replaces the one before.
+// published holds the publication times of a store's versions, each of which replaces the one
+// before.
 type published []clock.Time
 
 // at returns the newest version that was published by then.
@@ -90,20 +93,20 @@
 	return v
 }
 
-// message is an answer under way.
+// message is an answer in flight.
 type message struct {
 	to      int
 	arrives clock.Time
-	asked   clock.Time
+	askedAt clock.Time
 	age     time.Duration
 	version uint64
 }
 
-// simulate runs VMs of which two read the store, and all ask each other. Some are
-// suspended, messages are late, repeated or lost, and the store turns VMs away. It
-// returns the longest time for which a VM accepted keys of a version that had been
-// replaced. trusting takes the age of an answer from its arrival.
-func simulate(seed uint64, trusting bool) time.Duration {
+// simulate runs VMs of which two read the store, and all query each other. Some are suspended,
+// messages are late, duplicated or lost, and the store rejects VMs. It returns the longest time for
+// which a VM accepted keys of a version that had been replaced. If fromArrival is set, the age of
+// an answer counts from its arrival.
+func simulate(seed uint64, fromArrival bool) time.Duration {
 	const (
 		vms  = 8
 		step = clock.Time(50 * time.Millisecond)
@@ -113,10 +116,10 @@
 	now := &clock.Manual{T: 1}
 	var history published
 	var trackers []*Tracker
-	asleep := make([]clock.Time, vms)
+	suspendedUntil := make([]clock.Time, vms)
 	versions := make([]uint64, vms)
 	for range vms {
-		trackers = append(trackers, New(now, Limits{accept, deny}))
+		trackers = append(trackers, New(now, Limits{maxAcceptAge, maxDenyAge}))
 	}
 	var inFlight []message
 	worst := time.Duration(0)
@@ -126,9 +129,9 @@
 		}
 		for i, tr := range trackers {
 			if rng.IntN(300) == 0 {
-				asleep[i] = now.T.Add(time.Duration(rng.IntN(12)) * time.Second)
+				suspendedUntil[i] = now.T.Add(time.Duration(rng.IntN(12)) * time.Second)
 			}
-			if asleep[i] > now.T {
+			if suspendedUntil[i] > now.T {
 				continue
 			}
 			if i < 2 && rng.IntN(8) == 0 {
@@ -139,11 +142,11 @@
 			if rng.IntN(6) == 0 {
 				from := trackers[rng.IntN(vms)]
 				if age, v, ok := from.Age(); ok && rng.IntN(5) > 0 {
-					late := clock.Time(rng.IntN(200)) * clock.Time(time.Millisecond)
+					delay := clock.Time(rng.IntN(200)) * clock.Time(time.Millisecond)
 					if rng.IntN(20) == 0 {
-						late += clock.Time(rng.IntN(8)) * clock.Time(time.Second)
+						delay += clock.Time(rng.IntN(8)) * clock.Time(time.Second)
 					}
-					m := message{i, now.T + late, now.T, age, v}
+					m := message{i, now.T + delay, now.T, age, v}
 					inFlight = append(inFlight, m)
 					if rng.IntN(10) == 0 {
 						m.arrives += clock.Time(3 * time.Second)
@@ -155,13 +158,13 @@
 				if m.to != i || m.arrives > now.T || m.arrives < now.T-clock.Time(20*time.Second) {
 					continue
 				}
-				asked := m.asked
-				if trusting {
-					asked = now.T
+				askedAt := m.askedAt
+				if fromArrival {
+					askedAt = now.T
 				}
-				tr.MergeAnswer(asked, m.age, m.version)
+				tr.MergeAnswer(askedAt, m.age, m.version)
 				if m.version > versions[i] && rng.IntN(3) == 0 {
-					versions[i] = m.version // the version is fetched
+					versions[i] = m.version // the VM fetches the version
 					tr.RecordInForce(m.version)
 				}
 			}
@@ -173,18 +176,20 @@
 	return worst
 }
 
-// Guards against keys that work longer than their bound at a VM that was suspended, cut off, or told late.
-func TestNoKeyOutlivesItsBound(t *testing.T) {
+// Guards against revoked keys that work for longer than their bound at a VM that was suspended,
+// that has no connection, or that gets late answers.
+func TestRevokedKeyIsRejectedWithinBound(t *testing.T) {
 	for seed := range uint64(200) {
-		assert.Assert(t, simulate(seed, false) <= accept, "seed %d", seed)
+		assert.Assert(t, simulate(seed, false) <= maxAcceptAge, "seed %d", seed)
 	}
 }
 
-// The check above fails where the age of an answer counts from its arrival.
-func TestNoKeyOutlivesItsBoundNeedsTheMomentOfTheQuestion(t *testing.T) {
+// Checks that the simulation above finds a violation where the age of an answer counts from its
+// arrival.
+func TestRevocationBoundNeedsQueryTime(t *testing.T) {
 	broken := 0
 	for seed := range uint64(50) {
-		if simulate(seed, true) > accept {
+		if simulate(seed, true) > maxAcceptAge {
 			broken++
 		}
 	}
