--- a/internal/truetime/truetime.go
+++ b/internal/truetime/truetime.go
@@ -1,8 +1,8 @@
 // Package truetime estimates the time of day from the clocks of several VMs.
 //
-// The time of day of single VMs may jump by seconds and back. Each VM tells its own;
-// the estimate is the median, kept as an offset to a monotone clock, so that a jump of
-// fewer than half of the clocks doesn't move it.
+// The time of day of a single VM may jump by seconds and back. Each VM sends its time of day to the
+// others. The estimate is the median of all, kept as an offset to the monotonic clock, so that a
+// jump of fewer than half of the clocks doesn't move it.
 package truetime
 
 import (
@@ -14,29 +14,30 @@
 )
 
 const (
-	// sampleLife is how long what a VM has told counts.
-	sampleLife = 3 * time.Second
-	// refresh is the time between two medians.
-	refresh = 200 * time.Millisecond
+	// sampleWindow is the length of a window of samples from one VM. A sample counts until the end
+	// of the window after its own.
+	sampleWindow = 3 * time.Second
+	// medianInterval is the minimum time between two computations of the median.
+	medianInterval = 200 * time.Millisecond
 )
 
-// sample is what one VM has told: its time of day less this VM's monotone clock. A
-// message that was delayed makes it too small, so that the largest of a span counts.
+// sample holds the offsets received from one VM: its time of day less this VM's monotonic clock.
+// Message delay makes an offset too small, so the largest one of each window counts.
 type sample struct {
-	at       clock.Time // when the span began
-	now      time.Duration
-	previous time.Duration // largest of the span before, zero if none
+	windowStart       clock.Time
+	maxOffset         time.Duration // of the current window
+	previousMaxOffset time.Duration // of the window before, zero if none
 }
 
-// Estimator is one process's. It is safe for concurrent use.
+// Estimator estimates the time of day for one process. It is safe for concurrent use.
 type Estimator struct {
 	clock clock.Clock
 	wall  func() time.Time
 
-	mu     sync.Mutex
-	peers  map[string]*sample
-	offset time.Duration // of the estimate to the monotone clock
-	due    clock.Time    // of the next median
+	mu           sync.Mutex
+	peers        map[string]*sample
+	offset       time.Duration // of the estimate to the monotonic clock
+	nextMedianAt clock.Time
 }
 
 // New returns an estimator; wall reads this VM's time of day.
@@ -44,23 +45,23 @@
 	return &Estimator{clock: c, wall: wall, peers: map[string]*sample{}}
 }
 
-// LocalTime returns this VM's time of day, to be told to the others.
+// LocalTime returns this VM's time of day, which is sent to the other VMs.
 func (e *Estimator) LocalTime() time.Time { return e.wall() }
 
-// ReceiveTime takes the time of day of the VM at peer.
-func (e *Estimator) ReceiveTime(peer string, told time.Time) {
+// ReceiveTime records the time of day that the VM at peer sent.
+func (e *Estimator) ReceiveTime(peer string, peerTime time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	offset := offsetOf(told, now)
+	offset := offsetOf(peerTime, now)
 	s := e.peers[peer]
 	switch {
-	case s == nil || now.Sub(s.at) > 2*sampleLife:
-		e.peers[peer] = &sample{at: now, now: offset}
-	case now.Sub(s.at) > sampleLife:
-		*s = sample{at: now, now: offset, previous: s.now}
+	case s == nil || now.Sub(s.windowStart) > 2*sampleWindow:
+		e.peers[peer] = &sample{windowStart: now, maxOffset: offset}
+	case now.Sub(s.windowStart) > sampleWindow:
+		*s = sample{windowStart: now, maxOffset: offset, previousMaxOffset: s.maxOffset}
 	default:
-		s.now = max(s.now, offset)
+		s.maxOffset = max(s.maxOffset, offset)
 	}
 }
 
@@ -68,25 +69,26 @@
 	return time.Duration(wall.UnixNano() - int64(at))
 }
 
-// At returns the estimate of the time of day at a reading of the monotone clock.
+// At returns the estimated time of day at a reading of the monotonic clock.
 func (e *Estimator) At(at clock.Time) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now := e.clock.Now(); now >= e.due {
-		e.offset, e.due = e.median(now), now.Add(refresh)
+	if now := e.clock.Now(); now >= e.nextMedianAt {
+		e.offset, e.nextMedianAt = e.median(now), now.Add(medianInterval)
 	}
 	return time.Unix(0, int64(at)+int64(e.offset))
 }
 
-// median is called with the lock held.
+// median returns the median offset of this VM and its peers, and deletes the peers whose samples
+// have expired. The caller holds the lock.
 func (e *Estimator) median(now clock.Time) time.Duration {
 	offsets := []time.Duration{offsetOf(e.wall(), now)}
 	for peer, s := range e.peers {
-		if now.Sub(s.at) > 2*sampleLife {
+		if now.Sub(s.windowStart) > 2*sampleWindow {
 			delete(e.peers, peer)
 			continue
 		}
-		offsets = append(offsets, max(s.now, s.previous))
+		offsets = append(offsets, max(s.maxOffset, s.previousMaxOffset))
 	}
 	slices.Sort(offsets)
 	return offsets[len(offsets)/2]
--- a/internal/truetime/truetime_test.go
+++ b/internal/truetime/truetime_test.go
@@ -10,26 +10,28 @@
 	"fescuestand/internal/clock"
 )
 
-// trueStart is the true time at the monotone clock's zero.
+// trueStart is the true time at the monotonic clock's zero.
 var trueStart = time.Unix(1_800_000_000, 0)
 
-// deployment is one VM and nine others, whose clocks are off by skew.
+// deployment is one VM, whose clock is off by ownSkew, and nine others, whose clocks are off by
+// skew.
 type deployment struct {
-	clock *clock.Manual
-	own   time.Duration
-	skew  [9]time.Duration
-	e     *Estimator
+	clock   *clock.Manual
+	ownSkew time.Duration
+	skew    [9]time.Duration
+	e       *Estimator
 }
 
 func newDeployment() *deployment {
 	d := &deployment{clock: &clock.Manual{T: clock.Time(time.Minute)}}
-	d.e = New(d.clock, func() time.Time { return d.now().Add(d.own) })
+	d.e = New(d.clock, func() time.Time { return d.now().Add(d.ownSkew) })
 	return d
 }
 
 func (d *deployment) now() time.Time { return trueStart.Add(time.Duration(d.clock.T)) }
 
-// run has the others tell their time ten times a second, each message late by delay.
+// run has the others send their time ten times a second, each message delayed by delay. It returns
+// the largest error of the estimate.
 func (d *deployment) run(t *testing.T, span, delay time.Duration) (worst time.Duration) {
 	t.Helper()
 	for end := d.clock.T.Add(span); d.clock.T < end; d.clock.T = d.clock.T.Add(100 * time.Millisecond) {
@@ -41,29 +43,29 @@
 	return worst
 }
 
-const exact = 5 * time.Millisecond
+const maxError = 5 * time.Millisecond
 
-// Guards against a jump of some clocks that moves requests into other windows.
-func TestAJumpOfSomeClocksDoesNotMoveTheEstimate(t *testing.T) {
+// Guards against requests being counted in a wrong window because the clocks of some VMs jump.
+func TestClockJumpsOfMinorityDoNotMoveEstimate(t *testing.T) {
 	d := newDeployment()
 	d.run(t, time.Second, time.Millisecond)
-	d.own = 2 * time.Second
+	d.ownSkew = 2 * time.Second
 	d.skew[1], d.skew[5] = 2*time.Second, -2*time.Second
-	assert.Assert(t, d.run(t, 10*time.Second, time.Millisecond) <= exact)
-	d.own, d.skew[1], d.skew[5] = 0, 0, 0
-	assert.Assert(t, d.run(t, 10*time.Second, time.Millisecond) <= exact)
+	assert.Assert(t, d.run(t, 10*time.Second, time.Millisecond) <= maxError)
+	d.ownSkew, d.skew[1], d.skew[5] = 0, 0, 0
+	assert.Assert(t, d.run(t, 10*time.Second, time.Millisecond) <= maxError)
 }
 
-// Guards against messages that waited while this process was suspended.
-func TestDelayedMessagesDoNotMoveTheEstimate(t *testing.T) {
+// Guards against a wrong estimate from messages that waited while this process was suspended.
+func TestDelayedMessagesDoNotMoveEstimate(t *testing.T) {
 	d := newDeployment()
 	d.run(t, 2*time.Second, time.Millisecond)
-	assert.Assert(t, d.run(t, 500*time.Millisecond, 4*time.Second) <= exact)
-	assert.Assert(t, d.run(t, time.Second, time.Millisecond) <= exact)
+	assert.Assert(t, d.run(t, 500*time.Millisecond, 4*time.Second) <= maxError)
+	assert.Assert(t, d.run(t, time.Second, time.Millisecond) <= maxError)
 }
 
-func TestAVMAloneGoesByItsOwnClock(t *testing.T) {
+func TestSingleVMUsesItsOwnClock(t *testing.T) {
 	d := newDeployment()
-	d.own = 300 * time.Millisecond
-	assert.Equal(t, d.e.At(d.clock.T), d.now().Add(d.own))
+	d.ownSkew = 300 * time.Millisecond
+	assert.Equal(t, d.e.At(d.clock.T), d.now().Add(d.ownSkew))
 }
