--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	// silenceTimeout is how long after its last beat a VM of the active set is no longer advertised
-	// to callers: several beats in a row are missing.
+	// silenceTimeout is the time since the last beat of a VM of the active set from which the VM is
+	// no longer advertised to callers: several beats in a row are missing.
 	silenceTimeout = swim.Silence
 	// countRetention is how long a VM that became unresponsive still counts as one that shares the
 	// rate limits and budgets of the deployment.
