--- a/internal/gateway/authorize.go
+++ b/internal/gateway/authorize.go
@@ -35,7 +35,7 @@
 	switch {
 	case c.Workspace != nil:
 		return nil
-	case v == freshness.Accept:
+	case v == freshness.AcceptOnly:
 		return refuseStaleKeys()
 	}
 	return refuse(code.UnknownAPIKey, "no workspace holds the request's API key")
--- a/internal/gateway/authorize_test.go
+++ b/internal/gateway/authorize_test.go
@@ -37,7 +37,7 @@
 
 func newKeyedGateway(t *testing.T, r catalog.Route) *keyedGateway {
 	t.Helper()
-	w := &keyedGateway{testGateway: newTestGateway(t), verdict: freshness.Judge}
+	w := &keyedGateway{testGateway: newTestGateway(t), verdict: freshness.AcceptOrDeny}
 	o := &w.gateway.o
 	o.Codec = keyedCodec{}
 	o.KeyFreshness = func() freshness.Verdict {
@@ -90,15 +90,15 @@
 		verdict freshness.Verdict
 		status  int
 	}{
-		{"known", commitRoute, "k1", freshness.Judge, 200},
-		{"known key, older configuration", commitRoute, "k1", freshness.Accept, 200},
+		{"known", commitRoute, "k1", freshness.AcceptOrDeny, 200},
+		{"known key, older configuration", commitRoute, "k1", freshness.AcceptOnly, 200},
 		{"known key, stale configuration", commitRoute, "k1", freshness.Stale, 503},
-		{"unknown", commitRoute, "k2", freshness.Judge, 401},
-		{"unknown key, older configuration", commitRoute, "k2", freshness.Accept, 503},
+		{"unknown", commitRoute, "k2", freshness.AcceptOrDeny, 401},
+		{"unknown key, older configuration", commitRoute, "k2", freshness.AcceptOnly, 503},
 		{"unknown key, stale configuration", commitRoute, "k2", freshness.Stale, 503},
-		{"none", commitRoute, "", freshness.Judge, 401},
+		{"none", commitRoute, "", freshness.AcceptOrDeny, 401},
 		{"no key on an anonymous route", anonymousRoute, "", freshness.Stale, 200},
-		{"unknown key on an anonymous route", anonymousRoute, "k2", freshness.Judge, 401},
+		{"unknown key on an anonymous route", anonymousRoute, "k2", freshness.AcceptOrDeny, 401},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newKeyedGateway(t, tc.route)
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -64,7 +64,7 @@
 		from.gossip.Fill(b)
 		for j, to := range all {
 			if j != i {
-				to.gossip.Take(b.GetPeer(), b)
+				to.gossip.Receive(b.GetPeer(), b)
 			}
 		}
 	}
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -43,18 +43,18 @@
 	n.config.Apply, n.config.OneKey = n.applyConfig, true
 	n.config.Wait, n.config.Pause, n.config.Clock = n.configWait, n.configPause, n.clock
 	if n.fresh != nil {
-		n.config.Read = n.fresh.Read
+		n.config.Read = n.fresh.RecordRead
 	}
 	n.puller = configsync.NewPuller(n.clock, n.version, n.config)
 	n.fleet = keyedlog.New("fleet", n.adapter.Endpoints())
 	n.fleet.Apply, n.fleet.Begin, n.fleet.End = n.applyEndpoint, n.catalog.Hold, n.catalog.Release
-	n.fleet.Pause, n.fleet.Lost = n.members.ReadPause, n.catalog.Unreachable
+	n.fleet.Pause, n.fleet.Lost = n.members.ReadInterval, n.catalog.Unreachable
 	n.fleet.Read = func(clock.Time) {
-		n.members.HaveRead()
+		n.members.RecordRead()
 		n.changes.RecordRead(n.fleet.Next())
 	}
 	n.changes = gateway.NewChanges(n.clock, n.fleet)
-	n.changes.IsReader = n.members.Reads
+	n.changes.IsReader = n.members.IsReader
 }
 
 // configWait is how long a read of the configuration waits for a newer one.
@@ -62,9 +62,9 @@
 	switch {
 	case n.confirms():
 		return freshWait
-	case !n.members.ReadsConfig():
+	case !n.members.IsConfigReader():
 		return 0
-	case n.members.Reads():
+	case n.members.IsReader():
 		return readerWait
 	}
 	return configWait
@@ -72,14 +72,16 @@
 
 // confirms tells whether this VM reads the store so often that others can judge keys by
 // what it knows. While the store is away its reads of the endpoints show the return.
-func (n *Node) confirms() bool { return n.fresh != nil && n.members.Reads() && n.members.HasRead() }
+func (n *Node) confirms() bool {
+	return n.fresh != nil && n.members.IsReader() && n.members.HasFreshRead()
+}
 
 // configPause is the time between two reads of the configuration.
 func (n *Node) configPause() time.Duration {
-	if n.members.ReadsConfig() || n.confirms() {
+	if n.members.IsConfigReader() || n.confirms() {
 		return configPause
 	}
-	return n.members.IdlePause()
+	return n.members.IdleReadInterval()
 }
 
 // version is that of the configuration in force, zero if there is none.
@@ -115,7 +117,7 @@
 		f.n.catalog.Settle()
 		f.n.confirmSoon()
 		f.n.members.SetReady(f.n.catalog.View().Config != nil)
-		if f.n.members.Known() {
+		if f.n.members.HasPeers() {
 			f.n.budget.SetMembers(f.n.members.Count())
 		}
 		select {
@@ -146,7 +148,7 @@
 	c, err := n.adapter.DecodeConfig(e.Value)
 	if err != nil {
 		if n.fresh != nil {
-			n.fresh.Block()
+			n.fresh.RecordUnreadable()
 		}
 		log.WithError(err).WithField("offset", e.Offset).Error("configuration not understood")
 		return
@@ -155,11 +157,11 @@
 		return
 	}
 	if n.fresh != nil {
-		n.fresh.InForce(c.Version)
+		n.fresh.RecordInForce(c.Version)
 	}
 	n.share.Set(e)
 	if !e.Heard {
-		n.gossip.Soon() // those that don't read the store wait for it
+		n.gossip.SendEarly() // those that don't read the store wait for it
 	}
 	n.news()
 }
