--- a/internal/entry/callerapi/handler.go
+++ b/internal/entry/callerapi/handler.go
@@ -123,7 +123,7 @@
 		defer cancel()
 		reply, err = h.backend.Call(ctx, c)
 	} else {
-		err = UnsureOfEarlier(r, err)
+		err = MarkResendUnknown(r, err)
 	}
 	if err != nil {
 		h.Refuse(w, r, err)
@@ -139,9 +139,9 @@
 	return v != "" && v != "0" && v != "false"
 }
 
-// UnsureOfEarlier takes not-run back from the refusal of a resend that was
+// MarkResendUnknown takes not-run back from the refusal of a resend that was
 // made without a look at the key: an earlier sending may have run.
-func UnsureOfEarlier(r *http.Request, err error) error {
+func MarkResendUnknown(r *http.Request, err error) error {
 	e := code.Of(err)
 	if e.Run == code.NotRun && isResend(r) {
 		e.Run = code.Unknown
--- a/internal/entry/forward/front.go
+++ b/internal/entry/forward/front.go
@@ -63,7 +63,7 @@
 		return
 	}
 	if err := f.passOn(w, r); err != nil {
-		f.Refuse(w, r, callerapi.UnsureOfEarlier(r, err))
+		f.Refuse(w, r, callerapi.MarkResendUnknown(r, err))
 	}
 }
 
--- a/internal/entry/forward/serve.go
+++ b/internal/entry/forward/serve.go
@@ -22,7 +22,7 @@
 	case err != nil:
 		f.Refuse(w, &http.Request{URL: &url.URL{}, Header: http.Header{}}, code.Wrap(code.BadField, err, "forwarded request"))
 	case (f.Away() || fwd.GetHops() > 1) && !f.offHops:
-		f.Refuse(w, r, callerapi.UnsureOfEarlier(r, code.Wrap(code.ForwardLoop, ErrLoop, "this VM is leaving too")))
+		f.Refuse(w, r, callerapi.MarkResendUnknown(r, code.Wrap(code.ForwardLoop, ErrLoop, "this VM is leaving too")))
 	default:
 		f.Next.ServeHTTP(w, r)
 	}
