--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -102,10 +102,10 @@
 
 // Limits implements callerapi.Backend.
 func (b *backend) Limits() callerapi.Limits {
-	l := callerapi.Limits{MaxBody: defaultMaxBody, MaxTokens: defaultMaxTokens}
+	l := callerapi.Limits{MaxBodyBytes: defaultMaxBody, MaxTokens: defaultMaxTokens}
 	if s := b.views().Sheet; s != nil {
 		if s.Limits.MaxBody > 0 {
-			l.MaxBody = s.Limits.MaxBody
+			l.MaxBodyBytes = s.Limits.MaxBody
 		}
 		if s.Limits.MaxTokens > 0 {
 			l.MaxTokens = s.Limits.MaxTokens
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -133,7 +133,7 @@
 
 func (benchBackend) Addresses(string) callerapi.Addresses { return callerapi.Addresses{} }
 func (benchBackend) Limits() callerapi.Limits {
-	return callerapi.Limits{MaxBody: 1 << 20, MaxTokens: 1 << 20}
+	return callerapi.Limits{MaxBodyBytes: 1 << 20, MaxTokens: 1 << 20}
 }
 
 func (benchBackend) NeedsKey(string, string) (bool, error) { return false, nil }
--- a/internal/entry/callerapi/api.go
+++ b/internal/entry/callerapi/api.go
@@ -110,6 +110,6 @@
 
 // Limits bounds one request. The sheet sets them.
 type Limits struct {
-	MaxBody   int
+	MaxBodyBytes   int
 	MaxTokens int
 }
--- a/internal/entry/callerapi/callerapi_test.go
+++ b/internal/entry/callerapi/callerapi_test.go
@@ -34,7 +34,7 @@
 
 func (f *fake) Ready() *code.Error                         { return nil }
 func (f *fake) Addresses(string) Addresses                 { return Addresses{TTLMS: 1} }
-func (f *fake) Limits() Limits                             { return Limits{MaxBody: 1000, MaxTokens: 1 << 30} }
+func (f *fake) Limits() Limits                             { return Limits{MaxBodyBytes: 1000, MaxTokens: 1 << 30} }
 func (f *fake) Commit(string) (Reply, error)               { return Reply{}, nil }
 func (f *fake) NeedsKey(string, string) (bool, error)      { return true, nil }
 func (f *fake) Call(context.Context, *Call) (Reply, error) { return Reply{Body: []byte("{}")}, nil }
@@ -193,7 +193,7 @@
 	f.Add([]byte(`{"model":`))
 	f.Add([]byte(`{"model":"m","prompt":"\ud800","max_tokens":1e3}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		g, err := decodeGenerate(b, Limits{MaxBody: 1000, MaxTokens: 100})
+		g, err := decodeGenerate(b, Limits{MaxBodyBytes: 1000, MaxTokens: 100})
 		if err != nil {
 			assert.Equal(t, err.Run, code.NotRun)
 			assert.Assert(t, err.Code == code.BadJSON || err.Code == code.BadField)
--- a/internal/entry/callerapi/handler.go
+++ b/internal/entry/callerapi/handler.go
@@ -103,7 +103,7 @@
 		return nil, bad
 	}
 	limits := h.backend.Limits()
-	body, bad := readBody(w, r, limits.MaxBody)
+	body, bad := readBody(w, r, limits.MaxBodyBytes)
 	if bad != nil {
 		return nil, bad
 	}
@@ -168,7 +168,7 @@
 			return nil, bad
 		}
 	}
-	if c.Body, bad = readBody(w, r, h.backend.Limits().MaxBody); bad != nil {
+	if c.Body, bad = readBody(w, r, h.backend.Limits().MaxBodyBytes); bad != nil {
 		return nil, bad
 	}
 	return c, nil
