--- a/internal/entry/dispatch/attempt.go
+++ b/internal/entry/dispatch/attempt.go
@@ -183,7 +183,7 @@
 }
 
 func (s *session) one(t driver.Token) error {
-	keep, err := s.asm.Take(t)
+	keep, err := s.asm.Accept(t)
 	if err != nil || !keep {
 		return err
 	}
--- a/internal/entry/stream/assembler.go
+++ b/internal/entry/stream/assembler.go
@@ -39,14 +39,14 @@
 // Dropped returns how many tokens were dropped as late or repeated.
 func (a *Assembler) Dropped() int { return a.dropped }
 
-// Take tells whether t is the next token of the stream.
+// Accept tells whether t is the next token of the stream.
 //
 // Failure: after a move or a crash, tokens of the earlier attempt are still on
 // their way, or an engine answers with another request's tokens. Passed on,
 // the caller would see a repeated or a foreign piece of text. A token of
 // another attempt and a position already sent are dropped; a gap means that
 // this attempt has lost tokens, and it is given up.
-func (a *Assembler) Take(t driver.Token) (keep bool, err error) {
+func (a *Assembler) Accept(t driver.Token) (keep bool, err error) {
 	if t.Attempt != a.attempt && !a.off.attempt {
 		a.dropped++
 		return false, nil
--- a/internal/entry/stream/stream_test.go
+++ b/internal/entry/stream/stream_test.go
@@ -49,11 +49,11 @@
 				if rng.IntN(3) > 0 {
 					continue
 				}
-				if _, err := a.Take(tok); err != nil {
+				if _, err := a.Accept(tok); err != nil {
 					return err
 				}
 			}
-			if _, err := a.Take(driver.Token{Attempt: id, Pos: pos, Text: word(pos)}); err != nil {
+			if _, err := a.Accept(driver.Token{Attempt: id, Pos: pos, Text: word(pos)}); err != nil {
 				return err
 			}
 		}
@@ -93,7 +93,7 @@
 func TestGapEndsTheAttempt(t *testing.T) {
 	var a Assembler
 	a.Begin("a")
-	_, err := a.Take(driver.Token{Attempt: "a", Pos: 1})
+	_, err := a.Accept(driver.Token{Attempt: "a", Pos: 1})
 	assert.ErrorIs(t, err, driver.ErrBadAnswer)
 }
 
