--- a/internal/entry/dispatch/attempt.go
+++ b/internal/entry/dispatch/attempt.go
@@ -94,7 +94,7 @@
 	if p.Prefill.Endpoint != nil && req.KV == nil {
 		req.KV = s.prefill(ctx, &p.Prefill, req)
 	}
-	s.asm.Begin(req.Attempt)
+	s.asm.BeginAttempt(req.Attempt)
 	ts, err := e.Generate(ctx, req)
 	if err != nil {
 		s.touched = s.touched || !untouched(err)
--- a/internal/entry/stream/assembler.go
+++ b/internal/entry/stream/assembler.go
@@ -26,8 +26,8 @@
 	position bool // take tokens at any position
 }
 
-// Begin makes attempt the only one whose tokens count.
-func (a *Assembler) Begin(attempt string) { a.attempt = attempt }
+// BeginAttempt makes attempt the only one whose tokens count.
+func (a *Assembler) BeginAttempt(attempt string) { a.attempt = attempt }
 
 // Next returns the position of the first token not yet accepted.
 func (a *Assembler) Next() int { return a.next }
--- a/internal/entry/stream/stream_test.go
+++ b/internal/entry/stream/stream_test.go
@@ -34,7 +34,7 @@
 	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 	for attempt := 0; a.Next() < total; attempt++ {
 		id := fmt.Sprint("a", attempt)
-		a.Begin(id)
+		a.BeginAttempt(id)
 		end := a.Next() + rng.IntN(total-a.Next()+1)
 		for pos := a.Next(); pos < end; pos++ {
 			noise := []driver.Token{
@@ -92,7 +92,7 @@
 // were missing.
 func TestGapEndsTheAttempt(t *testing.T) {
 	var a Assembler
-	a.Begin("a")
+	a.BeginAttempt("a")
 	_, err := a.Accept(driver.Token{Attempt: "a", Pos: 1})
 	assert.ErrorIs(t, err, driver.ErrBadAnswer)
 }
