--- a/internal/entry/dispatch/attempt.go
+++ b/internal/entry/dispatch/attempt.go
@@ -101,7 +101,7 @@
 		return err
 	}
 	s.touched = true
-	pump := stream.Start(ts)
+	pump := stream.StartPump(ts)
 	defer pump.Close()
 	return s.passOn(ctx, &live{p: p, e: e, pump: pump, attempt: req.Attempt, moved: moved, exposure: x})
 }
--- a/internal/entry/stream/pump.go
+++ b/internal/entry/stream/pump.go
@@ -22,8 +22,8 @@
 	err    error // valid once tokens is closed
 }
 
-// Start begins to read s. Close must be called.
-func Start(s driver.TokenStream) *Pump {
+// StartPump begins to read s. Close must be called.
+func StartPump(s driver.TokenStream) *Pump {
 	p := &Pump{stream: s, tokens: make(chan driver.Token, buffered), stop: make(chan struct{})}
 	p.wg.Go(p.read)
 	return p
--- a/internal/entry/stream/stream_test.go
+++ b/internal/entry/stream/stream_test.go
@@ -122,7 +122,7 @@
 // its end leaves no goroutine behind.
 func TestSlowReaderHoldsBoundedMemory(t *testing.T) {
 	e := &endless{closed: make(chan struct{})}
-	p := Start(e)
+	p := StartPump(e)
 	<-p.Tokens()
 	p.Close()
 	assert.Assert(t, e.sent <= buffered+3, "%d tokens were read ahead", e.sent)
@@ -144,7 +144,7 @@
 func (w *whole) Close() error { return nil }
 
 func TestPumpEndsWithTheStreamsOwnEnd(t *testing.T) {
-	p := Start(&whole{left: 3})
+	p := StartPump(&whole{left: 3})
 	n := 0
 	for range p.Tokens() {
 		n++
