--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -161,8 +161,8 @@
 	return callerapi.Reply{Code: ans.Code, Body: ans.Body}, err
 }
 
-// Commit implements callerapi.Backend.
-func (b *backend) Commit(key string) (callerapi.Reply, error) {
+// CommitStatus implements callerapi.Backend.
+func (b *backend) CommitStatus(key string) (callerapi.Reply, error) {
 	ans, err := b.commits.Status(key)
 	return callerapi.Reply{Code: ans.Code, Body: ans.Body}, err
 }
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -140,7 +140,7 @@
 func (benchBackend) Call(context.Context, *callerapi.Call) (callerapi.Reply, error) {
 	return callerapi.Reply{}, nil
 }
-func (benchBackend) Commit(string) (callerapi.Reply, error) { return callerapi.Reply{}, nil }
+func (benchBackend) CommitStatus(string) (callerapi.Reply, error) { return callerapi.Reply{}, nil }
 
 // discardWriter is the caller's connection.
 type discardWriter struct {
--- a/internal/entry/callerapi/api.go
+++ b/internal/entry/callerapi/api.go
@@ -102,7 +102,7 @@
 	// went wrong.
 	Generate(ctx context.Context, g *Generate, out Sink) error
 	Call(ctx context.Context, c *Call) (Reply, error)
-	Commit(key string) (Reply, error)
+	CommitStatus(key string) (Reply, error)
 	// NeedsKey tells whether the operation is non-idempotent.
 	NeedsKey(service, operation string) (bool, error)
 	Limits() Limits
--- a/internal/entry/callerapi/callerapi_test.go
+++ b/internal/entry/callerapi/callerapi_test.go
@@ -35,7 +35,7 @@
 func (f *fake) Ready() *code.Error                         { return nil }
 func (f *fake) Addresses(string) Addresses                 { return Addresses{TTLMS: 1} }
 func (f *fake) Limits() Limits                             { return Limits{MaxBodyBytes: 1000, MaxTokens: 1 << 30} }
-func (f *fake) Commit(string) (Reply, error)               { return Reply{}, nil }
+func (f *fake) CommitStatus(string) (Reply, error)               { return Reply{}, nil }
 func (f *fake) NeedsKey(string, string) (bool, error)      { return true, nil }
 func (f *fake) Call(context.Context, *Call) (Reply, error) { return Reply{Body: []byte("{}")}, nil }
 
--- a/internal/entry/callerapi/handler.go
+++ b/internal/entry/callerapi/handler.go
@@ -175,7 +175,7 @@
 }
 
 func (h *Handler) commit(w http.ResponseWriter, r *http.Request) {
-	reply, err := h.backend.Commit(r.PathValue("key"))
+	reply, err := h.backend.CommitStatus(r.PathValue("key"))
 	if err != nil {
 		h.Refuse(w, r, err)
 		return
