--- a/internal/entry/callerapi/callerapi_test.go
+++ b/internal/entry/callerapi/callerapi_test.go
@@ -72,7 +72,7 @@
 	w := httptest.NewRecorder()
 	NewHandler(f).ServeHTTP(w, generateRequest(body(len(text))))
 	var got []byte
-	var end End
+	var end EndEvent
 	for _, event := range strings.Split(w.Body.String(), "\n\n") {
 		name, data, _ := strings.Cut(event, "\ndata: ")
 		if name == "event: token" {
--- a/internal/entry/callerapi/sse.go
+++ b/internal/entry/callerapi/sse.go
@@ -18,8 +18,8 @@
 // the engine's places; no memory here grows with it.
 const writeStall = 10 * time.Second
 
-// End is the data of a stream's last event. A stream without it is cut.
-type End struct {
+// EndEvent is the data of a stream's last event. A stream without it is cut.
+type EndEvent struct {
 	Code   int      `json:"code"`
 	Run    code.Run `json:"run"`
 	Tokens int      `json:"tokens"`
@@ -101,7 +101,7 @@
 
 // end tells that the stream is whole.
 func (s *eventStream) end() error {
-	s.event("end", End{
+	s.event("end", EndEvent{
 		Code: int(code.OK), Run: code.Ran, Tokens: s.tokens, Bytes: s.bytes,
 		Sum: sumText(s.sum.Sum64()),
 	})
