--- a/internal/entry/forward/forward_test.go
+++ b/internal/entry/forward/forward_test.go
@@ -17,7 +17,7 @@
 
 // network joins fronts by address. Frames pass through memory.
 type network struct {
-	fronts map[string]*Front
+	fronts map[string]*Handler
 	fail   map[string]error // of Forward, by address
 	cut    bool             // the peer dies after its first frame
 	sent   int
@@ -59,8 +59,8 @@
 
 func (f *frames) Close() error { return nil }
 
-func front(n *network, away bool, peers ...string) *Front {
-	return &Front{
+func front(n *network, away bool, peers ...string) *Handler {
+	return &Handler{
 		Next: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			b, _ := io.ReadAll(r.Body)
 			w.Header().Set("Result-Code", "0")
@@ -76,7 +76,7 @@
 	}
 }
 
-func post(f *Front, resend bool) *httptest.ResponseRecorder {
+func post(f *Handler, resend bool) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "/v1/generate", strings.NewReader("body"))
 	r.Header.Set("Workspace", "-ws")
 	if resend {
@@ -89,7 +89,7 @@
 
 func TestLateArrivalIsServedByAPeer(t *testing.T) {
 	n := &network{}
-	n.fronts = map[string]*Front{"b": front(n, false)}
+	n.fronts = map[string]*Handler{"b": front(n, false)}
 	n.fail = map[string]error{"down": code.New(code.PeerGone, "dial")}
 	w := post(front(n, true, "down", "b"), false)
 	assert.Equal(t, w.Body.String(), "echo body-ws end")
@@ -107,7 +107,7 @@
 		if off {
 			a.Next, b.Next = loop(a), loop(b)
 		}
-		n.fronts = map[string]*Front{"a": a, "b": b}
+		n.fronts = map[string]*Handler{"a": a, "b": b}
 		w := post(a, false)
 		if off {
 			assert.Equal(t, n.sent, maxSent+1)
@@ -119,12 +119,12 @@
 	}
 }
 
-func loop(f *Front) http.Handler { return http.HandlerFunc(f.ServeHTTP) }
+func loop(f *Handler) http.Handler { return http.HandlerFunc(f.ServeHTTP) }
 
 // A peer may have the request: no other is asked, and its fate is unknown.
 func TestMaybeSentIsNotSentAgain(t *testing.T) {
 	n := &network{}
-	n.fronts = map[string]*Front{"b": front(n, false)}
+	n.fronts = map[string]*Handler{"b": front(n, false)}
 	n.fail = map[string]error{"a": code.New(code.PeerGone, "write").WithRun(code.Unknown)}
 	w := post(front(n, true, "a", "b"), false)
 	assert.Equal(t, w.Body.String(), "peer-gone unknown")
@@ -135,7 +135,7 @@
 // off, so that a cut answer can't look whole.
 func TestCutAnswerBreaksTheConnection(t *testing.T) {
 	n := &network{cut: true}
-	n.fronts = map[string]*Front{"b": front(n, false)}
+	n.fronts = map[string]*Handler{"b": front(n, false)}
 	defer func() {
 		err, _ := recover().(error)
 		assert.Assert(t, errors.Is(err, http.ErrAbortHandler))
--- a/internal/entry/forward/front.go
+++ b/internal/entry/forward/front.go
@@ -42,8 +42,8 @@
 	Forward(ctx context.Context, addr string, fwd *wire.Forward) (Frames, error)
 }
 
-// Front is the handler that callers meet first.
-type Front struct {
+// Handler is the handler that callers meet first.
+type Handler struct {
 	Next  http.Handler
 	Peers Peers
 	// Away tells whether this VM takes no new work.
@@ -57,7 +57,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost || !f.Away() {
 		f.Next.ServeHTTP(w, r)
 		return
@@ -68,7 +68,7 @@
 }
 
 // passOn returns an error if nothing was written to the caller.
-func (f *Front) passOn(w http.ResponseWriter, r *http.Request) error {
+func (f *Handler) passOn(w http.ResponseWriter, r *http.Request) error {
 	fwd, bad := message(w, r)
 	if bad != nil {
 		return bad
@@ -110,7 +110,7 @@
 
 // try offers the request to one peer. sent says that the peer may have it, so
 // that no other may be asked.
-func (f *Front) try(w http.ResponseWriter, r *http.Request, addr string, fwd *wire.Forward) (sent bool, err error) {
+func (f *Handler) try(w http.ResponseWriter, r *http.Request, addr string, fwd *wire.Forward) (sent bool, err error) {
 	frames, err := f.Peers.Forward(r.Context(), addr, fwd)
 	if err != nil {
 		return code.Of(err).Run != code.NotRun, err
--- a/internal/entry/forward/serve.go
+++ b/internal/entry/forward/serve.go
@@ -15,7 +15,7 @@
 // Serve answers a request that a peer has passed on, as if its caller had come
 // here. A request is passed on once: two VMs that leave together would
 // otherwise send it to and fro until its deadline.
-func (f *Front) Serve(ctx context.Context, fwd *wire.Forward, send func(*wire.ForwardFrame) error) error {
+func (f *Handler) Serve(ctx context.Context, fwd *wire.Forward, send func(*wire.ForwardFrame) error) error {
 	w := &frameWriter{send: send, header: http.Header{}}
 	r, err := request(ctx, fwd)
 	switch {
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -64,7 +64,7 @@
 	journal  *journal
 	backend  *backend
 	account  *account
-	front    *forward.Front
+	front    *forward.Handler
 	server   *http.Server
 	peers    *peer.Server
 
@@ -93,7 +93,7 @@
 	u.backend = &backend{own: s, views: o.Replica.View, dispatch: u.dispatch, commits: u.commits}
 	u.account = newAccount(u.backend, o.Clock)
 	handler := callerapi.NewHandler(u.account)
-	u.front = &forward.Front{
+	u.front = &forward.Handler{
 		Next: handler, Peers: pool{o.Peers}, Away: u.away,
 		Choose: u.backend.peers, Refuse: handler.Refuse,
 	}
