--- a/internal/entry/forward/front.go
+++ b/internal/entry/forward/front.go
@@ -46,8 +46,8 @@
 type Handler struct {
 	Next  http.Handler
 	Peers Peers
-	// Away tells whether this VM takes no new work.
-	Away func() bool
+	// Leaving tells whether this VM takes no new work.
+	Leaving func() bool
 	// Choose returns the peer addresses to try, best first.
 	Choose func() []string
 	// Refuse writes a numbered refusal.
@@ -58,7 +58,7 @@
 
 // ServeHTTP implements http.Handler.
 func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.Method != http.MethodPost || !f.Away() {
+	if r.Method != http.MethodPost || !f.Leaving() {
 		f.Next.ServeHTTP(w, r)
 		return
 	}
--- a/internal/entry/forward/serve.go
+++ b/internal/entry/forward/serve.go
@@ -21,7 +21,7 @@
 	switch {
 	case err != nil:
 		f.Refuse(w, &http.Request{URL: &url.URL{}, Header: http.Header{}}, code.Wrap(code.BadField, err, "forwarded request"))
-	case (f.Away() || fwd.GetHops() > 1) && !f.offHops:
+	case (f.Leaving() || fwd.GetHops() > 1) && !f.offHops:
 		f.Refuse(w, r, callerapi.MarkResendUnknown(r, code.Wrap(code.ForwardLoop, ErrLoop, "this VM is leaving too")))
 	default:
 		f.Next.ServeHTTP(w, r)
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -94,7 +94,7 @@
 	u.account = newAccount(u.backend, o.Clock)
 	handler := callerapi.NewHandler(u.account)
 	u.front = &forward.Handler{
-		Next: handler, Peers: pool{o.Peers}, Away: u.away,
+		Next: handler, Peers: pool{o.Peers}, Leaving: u.away,
 		Choose: u.backend.peers, Refuse: handler.Refuse,
 	}
 	u.server = callerapi.NewServer(u.counted(u.front))
