--- a/internal/entry/forward/forward_test.go
+++ b/internal/entry/forward/forward_test.go
@@ -68,7 +68,7 @@
 			_ = http.NewResponseController(w).Flush()
 			_, _ = w.Write([]byte(" end"))
 		}),
-		Peers: n, Leaving: func() bool { return away }, Choose: func() []string { return peers },
+		Peers: n, Leaving: func() bool { return away }, PeerAddresses: func() []string { return peers },
 		Refuse: func(w http.ResponseWriter, _ *http.Request, err error) {
 			w.WriteHeader(code.Of(err).Code.Info().Status)
 			_, _ = w.Write([]byte(code.Of(err).Code.String() + " " + string(code.Of(err).Run)))
--- a/internal/entry/forward/front.go
+++ b/internal/entry/forward/front.go
@@ -48,8 +48,8 @@
 	Peers Peers
 	// Leaving tells whether this VM takes no new work.
 	Leaving func() bool
-	// Choose returns the peer addresses to try, best first.
-	Choose func() []string
+	// PeerAddresses returns the peer addresses to try, best first.
+	PeerAddresses func() []string
 	// Refuse writes a numbered refusal.
 	Refuse func(w http.ResponseWriter, r *http.Request, err error)
 
@@ -73,7 +73,7 @@
 	if bad != nil {
 		return bad
 	}
-	addrs := f.Choose()
+	addrs := f.PeerAddresses()
 	var last error
 	for _, addr := range addrs[:min(len(addrs), maxPeers)] {
 		sent, err := f.try(w, r, addr, fwd)
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -95,7 +95,7 @@
 	handler := callerapi.NewHandler(u.account)
 	u.front = &forward.Handler{
 		Next: handler, Peers: pool{o.Peers}, Leaving: u.away,
-		Choose: u.backend.peers, Refuse: handler.Refuse,
+		PeerAddresses: u.backend.peers, Refuse: handler.Refuse,
 	}
 	u.server = callerapi.NewServer(u.counted(u.front))
 	u.peers = peer.NewServer(u.hello(), u)
