--- a/internal/entry/stream/assembler.go
+++ b/internal/entry/stream/assembler.go
@@ -1,8 +1,10 @@
-// Package stream joins the token streams of several attempts into one.
+// Package stream merges the token streams of several attempts at one completion into a single
+// stream, and buffers the tokens of each attempt.
 //
-// A completion may be produced by more than one engine: one crashes, or a
-// planned change moves its streams. Positions make the joints exact; the id of
-// the attempt keeps tokens of an earlier attempt, which may still arrive, out.
+// More than one engine may produce a completion: an engine may crash, or a planned role change may
+// move its streams to another engine. Each token carries its position, so that the next attempt
+// continues exactly where the previous one stopped, and the id of its attempt, so that late tokens
+// of an earlier attempt are dropped.
 package stream
 
 import (
@@ -11,51 +13,51 @@
 	"fescuestand/internal/driver"
 )
 
-// Assembler accepts each position once and in order.
+// Assembler accepts the token of each position exactly once, in order.
 type Assembler struct {
-	attempt string
-	next    int
-	text    []byte
-	dropped int
-	off     guardsOff
+	attempt  string
+	next     int
+	text     []byte
+	dropped  int
+	disabled disabledGuards
 }
 
-// guardsOff switches single guards off, so that tests show what each is for.
-type guardsOff struct {
-	attempt  bool // take tokens of any attempt
-	position bool // take tokens at any position
+// disabledGuards disables single guards, so that tests can show what each one prevents.
+type disabledGuards struct {
+	attempt  bool // accept tokens of any attempt
+	position bool // accept tokens at any position
 }
 
-// BeginAttempt makes attempt the only one whose tokens count.
+// BeginAttempt makes attempt the only one whose tokens are accepted.
 func (a *Assembler) BeginAttempt(attempt string) { a.attempt = attempt }
 
-// Next returns the position of the first token not yet accepted.
+// Next returns the position of the next token to accept.
 func (a *Assembler) Next() int { return a.next }
 
-// Text returns everything accepted so far. A resumed attempt is given it, so
-// that the engine continues where the other stopped.
+// Text returns the text of all tokens accepted so far. It is sent to the engine of a resumed
+// attempt, which continues from there.
 func (a *Assembler) Text() []byte { return a.text }
 
-// Dropped returns how many tokens were dropped as late or repeated.
+// Dropped returns how many late or repeated tokens were dropped.
 func (a *Assembler) Dropped() int { return a.dropped }
 
-// Accept tells whether t is the next token of the stream.
+// Accept appends t if it is the next token of the stream, and reports whether it did.
 //
-// Failure: after a move or a crash, tokens of the earlier attempt are still on
-// their way, or an engine answers with another request's tokens. Passed on,
-// the caller would see a repeated or a foreign piece of text. A token of
-// another attempt and a position already sent are dropped; a gap means that
-// this attempt has lost tokens, and it is given up.
-func (a *Assembler) Accept(t driver.Token) (keep bool, err error) {
-	if t.Attempt != a.attempt && !a.off.attempt {
+// Failure: after a move or a crash, tokens of the earlier attempt may still arrive, or an engine
+// may send tokens of another request. If they were passed on, the caller would receive repeated
+// text or text of another request. Tokens of another attempt and tokens at a position already
+// accepted are dropped. A gap means that this attempt has lost tokens: Accept returns an error, and
+// the attempt has to be abandoned.
+func (a *Assembler) Accept(t driver.Token) (accepted bool, err error) {
+	if t.Attempt != a.attempt && !a.disabled.attempt {
 		a.dropped++
 		return false, nil
 	}
-	if t.Pos < a.next && !a.off.position {
+	if t.Pos < a.next && !a.disabled.position {
 		a.dropped++
 		return false, nil
 	}
-	if t.Pos > a.next && !a.off.position {
+	if t.Pos > a.next && !a.disabled.position {
 		return false, fmt.Errorf("%w: token %d where %d is due", driver.ErrBadAnswer, t.Pos, a.next)
 	}
 	a.next++
--- a/internal/entry/stream/pump.go
+++ b/internal/entry/stream/pump.go
@@ -6,13 +6,12 @@
 	"fescuestand/internal/driver"
 )
 
-// buffered is how many tokens of one stream wait for a slow reader. When they
-// are full the engine's connection is not read, which stops the engine's side
-// by TCP; 64 tokens are over two seconds of a stream at 39 ms each, and a few
-// kilobytes.
-const buffered = 64
+// maxBufferedTokens bounds the tokens of one stream that are buffered for a slow reader. When the
+// buffer is full, the engine's connection is not read, so that TCP flow control stops the engine.
+// 64 tokens are over two seconds of a stream at 39 ms per token, and a few kilobytes.
+const maxBufferedTokens = 64
 
-// Pump reads one attempt's tokens ahead of the reader.
+// Pump reads the tokens of one attempt into a bounded buffer, ahead of its consumer.
 type Pump struct {
 	stream driver.TokenStream
 	tokens chan driver.Token
@@ -22,9 +21,9 @@
 	err    error // valid once tokens is closed
 }
 
-// StartPump begins to read s. Close must be called.
+// StartPump starts a goroutine that reads s. Close must be called.
 func StartPump(s driver.TokenStream) *Pump {
-	p := &Pump{stream: s, tokens: make(chan driver.Token, buffered), stop: make(chan struct{})}
+	p := &Pump{stream: s, tokens: make(chan driver.Token, maxBufferedTokens), stop: make(chan struct{})}
 	p.wg.Go(p.read)
 	return p
 }
@@ -46,13 +45,13 @@
 	}
 }
 
-// Tokens is closed after the last token.
+// Tokens returns the channel of the tokens. It is closed after the last one.
 func (p *Pump) Tokens() <-chan driver.Token { return p.tokens }
 
-// Err returns why Tokens was closed: io.EOF if the attempt is whole.
+// Err returns why Tokens was closed: io.EOF if the attempt is complete.
 func (p *Pump) Err() error { return p.err }
 
-// Close cancels the attempt at its engine and waits for the reading to end.
+// Close cancels the attempt at its engine and waits until the reading goroutine has ended.
 func (p *Pump) Close() {
 	p.once.Do(func() {
 		close(p.stop)
