--- a/internal/entry/forward/forward_test.go
+++ b/internal/entry/forward/forward_test.go
@@ -15,35 +15,35 @@
 	"fescuestand/internal/wire"
 )
 
-// network joins fronts by address. Frames pass through memory.
+// network connects handlers by address, in memory.
 type network struct {
-	fronts map[string]*Handler
-	fail   map[string]error // of Forward, by address
-	cut    bool             // the peer dies after its first frame
-	sent   int
+	handlers    map[string]*Handler
+	errs        map[string]error // returned by Forward, by address
+	interrupted bool             // the peer fails after its first frame
+	sent        int
 }
 
-const maxSent = 50 // ends an endless loop
+const maxForwards = 50 // ends a forwarding loop
 
 // Forward implements Peers.
 func (n *network) Forward(ctx context.Context, addr string, fwd *wire.Forward) (Frames, error) {
-	if err := n.fail[addr]; err != nil {
+	if err := n.errs[addr]; err != nil {
 		return nil, err
 	}
 	n.sent++
-	if n.sent > maxSent {
+	if n.sent > maxForwards {
 		return nil, code.New(code.PeerGone, "enough")
 	}
-	var f frames
-	err := n.fronts[addr].Serve(ctx, fwd, func(one *wire.ForwardFrame) error {
-		f.list = append(f.list, one)
+	var answer frames
+	err := n.handlers[addr].Serve(ctx, fwd, func(frame *wire.ForwardFrame) error {
+		answer.list = append(answer.list, frame)
 		return nil
 	})
-	if n.cut {
-		f.list = f.list[:1]
-		f.list[0].End = false
+	if n.interrupted {
+		answer.list = answer.list[:1]
+		answer.list[0].End = false
 	}
-	return &f, err
+	return &answer, err
 }
 
 type frames struct{ list []*wire.ForwardFrame }
@@ -52,14 +52,14 @@
 	if len(f.list) == 0 {
 		return nil, io.ErrUnexpectedEOF
 	}
-	one := f.list[0]
+	frame := f.list[0]
 	f.list = f.list[1:]
-	return one, nil
+	return frame, nil
 }
 
 func (f *frames) Close() error { return nil }
 
-func front(n *network, away bool, peers ...string) *Handler {
+func newHandler(n *network, leaving bool, peers ...string) *Handler {
 	return &Handler{
 		Next: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			b, _ := io.ReadAll(r.Body)
@@ -68,7 +68,7 @@
 			_ = http.NewResponseController(w).Flush()
 			_, _ = w.Write([]byte(" end"))
 		}),
-		Peers: n, Leaving: func() bool { return away }, PeerAddresses: func() []string { return peers },
+		Peers: n, Leaving: func() bool { return leaving }, PeerAddresses: func() []string { return peers },
 		Refuse: func(w http.ResponseWriter, _ *http.Request, err error) {
 			w.WriteHeader(code.Of(err).Code.Info().Status)
 			_, _ = w.Write([]byte(code.Of(err).Code.String() + " " + string(code.Of(err).Run)))
@@ -87,30 +87,30 @@
 	return w
 }
 
-func TestLateArrivalIsServedByAPeer(t *testing.T) {
+func TestRequestToLeavingVMIsServedByPeer(t *testing.T) {
 	n := &network{}
-	n.fronts = map[string]*Handler{"b": front(n, false)}
-	n.fail = map[string]error{"down": code.New(code.PeerGone, "dial")}
-	w := post(front(n, true, "down", "b"), false)
+	n.handlers = map[string]*Handler{"b": newHandler(n, false)}
+	n.errs = map[string]error{"down": code.New(code.PeerGone, "dial")}
+	w := post(newHandler(n, true, "down", "b"), false)
 	assert.Equal(t, w.Body.String(), "echo body-ws end")
 	assert.Equal(t, w.Header().Get("Result-Code"), "0")
 }
 
-// Two VMs leave together and are each other's only peer. Without the bound on
-// hops a late request goes to and fro between them until its deadline.
+// Two VMs leave together and are each other's only peer. Without the hop limit, a request is
+// forwarded back and forth between them until its deadline.
 func TestLeavingPeersDoNotLoop(t *testing.T) {
-	for _, off := range []bool{false, true} {
+	for _, disabled := range []bool{false, true} {
 		n := &network{}
-		a, b := front(n, true, "b"), front(n, true, "a")
-		a.offHops, b.offHops = off, off
-		// With the guard off a VM serves what a peer passes on as a caller's.
-		if off {
-			a.Next, b.Next = loop(a), loop(b)
+		a, b := newHandler(n, true, "b"), newHandler(n, true, "a")
+		a.hopLimitDisabled, b.hopLimitDisabled = disabled, disabled
+		// With the guard disabled, a VM handles a forwarded request like one from a caller.
+		if disabled {
+			a.Next, b.Next = serveAsCaller(a), serveAsCaller(b)
 		}
-		n.fronts = map[string]*Handler{"a": a, "b": b}
+		n.handlers = map[string]*Handler{"a": a, "b": b}
 		w := post(a, false)
-		if off {
-			assert.Equal(t, n.sent, maxSent+1)
+		if disabled {
+			assert.Equal(t, n.sent, maxForwards+1)
 			continue
 		}
 		assert.Equal(t, n.sent, 1)
@@ -119,32 +119,33 @@
 	}
 }
 
-func loop(f *Handler) http.Handler { return http.HandlerFunc(f.ServeHTTP) }
+func serveAsCaller(f *Handler) http.Handler { return http.HandlerFunc(f.ServeHTTP) }
 
-// A peer may have the request: no other is asked, and its fate is unknown.
-func TestMaybeSentIsNotSentAgain(t *testing.T) {
+// Forwarding fails after a peer may have received the request. It must not be sent to another peer,
+// and its outcome is reported as unknown.
+func TestNoSecondPeerAfterPossibleDelivery(t *testing.T) {
 	n := &network{}
-	n.fronts = map[string]*Handler{"b": front(n, false)}
-	n.fail = map[string]error{"a": code.New(code.PeerGone, "write").WithRun(code.Unknown)}
-	w := post(front(n, true, "a", "b"), false)
+	n.handlers = map[string]*Handler{"b": newHandler(n, false)}
+	n.errs = map[string]error{"a": code.New(code.PeerGone, "write").WithRun(code.Unknown)}
+	w := post(newHandler(n, true, "a", "b"), false)
 	assert.Equal(t, w.Body.String(), "peer-gone unknown")
 	assert.Equal(t, n.sent, 0)
 }
 
-// The peer dies in the middle of its answer. The caller's connection is broken
-// off, so that a cut answer can't look whole.
-func TestCutAnswerBreaksTheConnection(t *testing.T) {
-	n := &network{cut: true}
-	n.fronts = map[string]*Handler{"b": front(n, false)}
+// The peer fails in the middle of its answer. The caller's connection must be aborted, so that a
+// truncated answer can't be taken for a complete one.
+func TestTruncatedAnswerAbortsConnection(t *testing.T) {
+	n := &network{interrupted: true}
+	n.handlers = map[string]*Handler{"b": newHandler(n, false)}
 	defer func() {
 		err, _ := recover().(error)
 		assert.Assert(t, errors.Is(err, http.ErrAbortHandler))
 	}()
-	post(front(n, true, "b"), false)
-	t.Fatal("the answer looks whole")
+	post(newHandler(n, true, "b"), false)
+	t.Fatal("the truncated answer was not aborted")
 }
 
-func TestNoPeerLeft(t *testing.T) {
-	w := post(front(&network{}, true), false)
+func TestNoPeerAvailable(t *testing.T) {
+	w := post(newHandler(&network{}, true), false)
 	assert.Equal(t, w.Body.String(), "leaving not-run")
 }
--- a/internal/entry/forward/front.go
+++ b/internal/entry/forward/front.go
@@ -1,8 +1,9 @@
-// Package forward passes requests that arrive on a leaving VM on to a peer,
-// once, and serves those that peers pass on.
+// Package forward forwards requests that arrive at a draining VM to a peer, and serves the requests
+// that peers forward.
 //
-// Callers keep an address for a while after its VM has begun to leave. Refusing
-// them all would lose nothing but time; passing them on loses not even that.
+// Callers cache an address for a while after its VM has begun to leave. The VM could refuse their
+// requests, which would cost the callers a retry; forwarding them saves that time. A request is
+// forwarded at most once, so that VMs that leave together can't pass it back and forth.
 package forward
 
 import (
@@ -22,38 +23,39 @@
 )
 
 const (
-	// maxPeers is how many peers are tried before a late arrival is refused.
-	maxPeers = 3
-	// maxBody bounds the body of a forwarded request; the peer's protocol
-	// bounds the whole message.
-	maxBody = peer.MaxMessage - 64<<10
-	// bodyTime is how long a caller may take to send the body.
-	bodyTime = 8 * time.Second
+	// maxPeersTried is how many peers are tried before the request is refused.
+	maxPeersTried = 3
+	// maxBodyBytes bounds the body of a forwarded request, which the peer protocol sends as part of
+	// one bounded message.
+	maxBodyBytes = peer.MaxMessage - 64<<10
+	// bodyTimeout is how long a caller may take to send the body.
+	bodyTimeout = 8 * time.Second
 )
 
-// Frames is the answer of a peer.
+// Frames is the answer of a peer, read frame by frame.
 type Frames interface {
 	Next() (*wire.ForwardFrame, error)
 	Close() error
 }
 
-// Peers passes one request on.
+// Peers forwards one request to the peer at addr.
 type Peers interface {
 	Forward(ctx context.Context, addr string, fwd *wire.Forward) (Frames, error)
 }
 
-// Handler is the handler that callers meet first.
+// Handler wraps the handler of the caller interface. While this VM is leaving, it forwards POST
+// requests to a peer; otherwise it passes every request to Next.
 type Handler struct {
 	Next  http.Handler
 	Peers Peers
-	// Leaving tells whether this VM takes no new work.
+	// Leaving reports whether this VM accepts no new work.
 	Leaving func() bool
 	// PeerAddresses returns the peer addresses to try, best first.
 	PeerAddresses func() []string
-	// Refuse writes a numbered refusal.
+	// Refuse writes a refusal with a result code.
 	Refuse func(w http.ResponseWriter, r *http.Request, err error)
 
-	offHops bool // pass on what was passed on before, so that a test shows the loop
+	hopLimitDisabled bool // forward forwarded requests again, so that a test can show the loop
 }
 
 // ServeHTTP implements http.Handler.
@@ -62,37 +64,38 @@
 		f.Next.ServeHTTP(w, r)
 		return
 	}
-	if err := f.passOn(w, r); err != nil {
+	if err := f.forwardToPeer(w, r); err != nil {
 		f.Refuse(w, r, callerapi.MarkResendUnknown(r, err))
 	}
 }
 
-// passOn returns an error if nothing was written to the caller.
-func (f *Handler) passOn(w http.ResponseWriter, r *http.Request) error {
-	fwd, bad := message(w, r)
-	if bad != nil {
-		return bad
+// forwardToPeer forwards the request to the first peer that takes it. It returns an error if
+// nothing was written to the caller.
+func (f *Handler) forwardToPeer(w http.ResponseWriter, r *http.Request) error {
+	fwd, refusal := encodeRequest(w, r)
+	if refusal != nil {
+		return refusal
 	}
 	addrs := f.PeerAddresses()
-	var last error
-	for _, addr := range addrs[:min(len(addrs), maxPeers)] {
-		sent, err := f.try(w, r, addr, fwd)
+	var lastErr error
+	for _, addr := range addrs[:min(len(addrs), maxPeersTried)] {
+		sent, err := f.tryPeer(w, r, addr, fwd)
 		if err == nil || sent {
 			return err
 		}
-		last = err
+		lastErr = err
 	}
-	return code.Wrap(code.Leaving, last, "this VM is leaving and no peer took the request").WithRetryAfter(time.Millisecond)
+	return code.Wrap(code.Leaving, lastErr, "this VM is leaving and no peer took the request").WithRetryAfter(time.Millisecond)
 }
 
-// message reads the request whole: it may have to be offered to several peers.
-func message(w http.ResponseWriter, r *http.Request) (*wire.Forward, *code.Error) {
-	if r.ContentLength > maxBody {
+// encodeRequest reads the whole request into a message, as it may be sent to several peers.
+func encodeRequest(w http.ResponseWriter, r *http.Request) (*wire.Forward, *code.Error) {
+	if r.ContentLength > maxBodyBytes {
 		return nil, code.New(code.BodyTooLarge, "%d bytes", r.ContentLength)
 	}
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(bodyTime))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		w.Header().Set("Connection", "close")
 		return nil, code.Wrap(code.SlowSender, err, "reading the body")
@@ -108,9 +111,9 @@
 	return fwd, nil
 }
 
-// try offers the request to one peer. sent says that the peer may have it, so
-// that no other may be asked.
-func (f *Handler) try(w http.ResponseWriter, r *http.Request, addr string, fwd *wire.Forward) (sent bool, err error) {
+// tryPeer sends the request to one peer and copies the answer to the caller. sent reports that the
+// peer may have received the request, so that it must not be sent to another one.
+func (f *Handler) tryPeer(w http.ResponseWriter, r *http.Request, addr string, fwd *wire.Forward) (sent bool, err error) {
 	frames, err := f.Peers.Forward(r.Context(), addr, fwd)
 	if err != nil {
 		return code.Of(err).Run != code.NotRun, err
@@ -125,8 +128,8 @@
 	}
 	w.WriteHeader(int(first.GetStatus()))
 	if err := copyFrames(w, first, frames); err != nil {
-		log.WithError(err).WithField("peer", addr).Warn("forwarded answer cut")
-		// The caller must see that the answer isn't whole.
+		log.WithError(err).WithField("peer", addr).Warn("forwarded answer interrupted")
+		// Aborting the connection shows the caller that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	return true, nil
@@ -153,5 +156,5 @@
 	}
 }
 
-// ErrLoop is the refusal of a request that was passed on before.
+// ErrLoop is the reason for refusing a request that was forwarded before.
 var ErrLoop = errors.New("passed on once already")
--- a/internal/entry/forward/serve.go
+++ b/internal/entry/forward/serve.go
@@ -12,16 +12,16 @@
 	"fescuestand/internal/wire"
 )
 
-// Serve answers a request that a peer has passed on, as if its caller had come
-// here. A request is passed on once: two VMs that leave together would
-// otherwise send it to and fro until its deadline.
+// Serve answers a request that a peer has forwarded, as if the caller had sent it to this VM. It
+// refuses a request that would have to be forwarded again: two VMs that leave together would
+// otherwise pass it back and forth until its deadline.
 func (f *Handler) Serve(ctx context.Context, fwd *wire.Forward, send func(*wire.ForwardFrame) error) error {
 	w := &frameWriter{send: send, header: http.Header{}}
-	r, err := request(ctx, fwd)
+	r, err := decodeRequest(ctx, fwd)
 	switch {
 	case err != nil:
 		f.Refuse(w, &http.Request{URL: &url.URL{}, Header: http.Header{}}, code.Wrap(code.BadField, err, "forwarded request"))
-	case (f.Leaving() || fwd.GetHops() > 1) && !f.offHops:
+	case (f.Leaving() || fwd.GetHops() > 1) && !f.hopLimitDisabled:
 		f.Refuse(w, r, callerapi.MarkResendUnknown(r, code.Wrap(code.ForwardLoop, ErrLoop, "this VM is leaving too")))
 	default:
 		f.Next.ServeHTTP(w, r)
@@ -29,7 +29,7 @@
 	return w.end()
 }
 
-func request(ctx context.Context, fwd *wire.Forward) (*http.Request, error) {
+func decodeRequest(ctx context.Context, fwd *wire.Forward) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(ctx, fwd.GetMethod(), fwd.GetPath(), bytes.NewReader(fwd.GetBody()))
 	if err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 	return r, nil
 }
 
-// frameWriter is an http.ResponseWriter that sends frames.
+// frameWriter is an http.ResponseWriter that sends the answer to a peer in frames.
 type frameWriter struct {
 	send    func(*wire.ForwardFrame) error
 	header  http.Header
@@ -67,30 +67,30 @@
 func (w *frameWriter) Write(b []byte) (int, error) {
 	w.WriteHeader(http.StatusOK)
 	w.data = append(w.data, b...)
-	if len(w.data) >= frameBytes {
-		return len(b), w.emit(false)
+	if len(w.data) >= flushThresholdBytes {
+		return len(b), w.sendFrame(false)
 	}
 	return len(b), w.err
 }
 
-// frameBytes is from which size on gathered bytes go out unasked: far below the
-// longest message between peers.
-const frameBytes = 256 << 10
+// flushThresholdBytes is the number of buffered bytes that are sent without a call of Flush. It is
+// far below the longest message between peers.
+const flushThresholdBytes = 256 << 10
 
-// FlushError is what http.ResponseController calls.
+// FlushError is called by http.ResponseController.Flush.
 func (w *frameWriter) FlushError() error {
 	if len(w.data) == 0 {
 		return w.err
 	}
-	return w.emit(false)
+	return w.sendFrame(false)
 }
 
 func (w *frameWriter) end() error {
 	w.WriteHeader(http.StatusOK)
-	return w.emit(true)
+	return w.sendFrame(true)
 }
 
-func (w *frameWriter) emit(end bool) error {
+func (w *frameWriter) sendFrame(end bool) error {
 	if w.err != nil {
 		return w.err
 	}
