--- a/internal/entry/callerapi/api.go
+++ b/internal/entry/callerapi/api.go
@@ -1,9 +1,9 @@
-// Package callerapi is the HTTP interface towards callers: it decodes and
-// checks their requests, and encodes answers, streams and refusals.
-// docs/CALLERS.md describes it for callers.
+// Package callerapi implements the HTTP interface for callers: it decodes and validates their
+// requests, and encodes answers, token streams and refusals. docs/CALLERS.md describes the
+// interface for callers.
 //
-// It decides nothing: a Backend does. Whatever it refuses itself has reached no
-// engine and no service.
+// Admission and execution are up to a Backend. A request that this package refuses itself has
+// reached no engine and no service.
 package callerapi
 
 import (
@@ -18,10 +18,10 @@
 const (
 	HeaderRequestID = "Request-Id"
 	HeaderDeadline  = "Deadline-Ms"     // time left for the whole answer
-	HeaderCaller    = "Caller"          // who asks
-	HeaderWorkspace = "Workspace"       // on whose behalf
+	HeaderCaller    = "Caller"          // name of the calling program
+	HeaderWorkspace = "Workspace"       // workspace on whose behalf it calls
 	HeaderKey       = "Idempotency-Key" // of a non-idempotent operation
-	HeaderIssued    = "Key-Issued-Ms"   // when the key was made, Unix ms
+	HeaderIssued    = "Key-Issued-Ms"   // when the key was created, Unix ms
 	HeaderResend    = "Resend"          // set when the key may have been sent before
 	HeaderCode      = "Result-Code"
 	HeaderRun       = "Run"
@@ -41,13 +41,13 @@
 	Addresses []Address `json:"addresses"`
 }
 
-// Address is one place where callers are served.
+// Address is the address of one VM that serves callers.
 type Address struct {
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
 
-// Caller says who sent a request and until when an answer is of use.
+// Caller identifies the sender of a request and the deadline of the answer.
 type Caller struct {
 	RequestID string
 	Name      string
@@ -55,11 +55,11 @@
 	Deadline  time.Time
 }
 
-// Generate asks for a streamed completion.
+// Generate is a request for a streamed completion.
 type Generate struct {
 	Caller
 	Model     string
-	Version   string // empty: the one in force
+	Version   string // empty: the version in force
 	Adapter   string
 	Prompt    []byte
 	MaxTokens int
@@ -67,7 +67,7 @@
 	Class     string
 }
 
-// Call asks for one operation of a plain service.
+// Call is a request for one operation of a plain service.
 type Call struct {
 	Caller
 	Service   string
@@ -84,32 +84,31 @@
 	Body []byte
 }
 
-// Sink takes the tokens of one completion, in order and each once. An error
-// means that the caller is gone or has read nothing for too long.
+// Sink receives the tokens of one completion, each once and in order. An error means that the
+// caller has disconnected or has read nothing for too long.
 type Sink interface {
 	Token(t driver.Token) error
-	// Flush sends what Token has gathered.
+	// Flush sends the tokens that Token has buffered.
 	Flush() error
 }
 
 // Backend serves decoded requests. Its errors are *code.Error.
 type Backend interface {
-	// Ready is nil if requests are taken, or says why not.
+	// Ready returns nil if requests are accepted, or the reason why not.
 	Ready() *code.Error
 	// Addresses ranks the addresses for a caller in zone, which may be empty.
 	Addresses(zone string) Addresses
-	// Generate returns after the last token went to the sink, or with what
-	// went wrong.
+	// Generate returns nil after the last token was written to the sink.
 	Generate(ctx context.Context, g *Generate, out Sink) error
 	Call(ctx context.Context, c *Call) (Reply, error)
 	CommitStatus(key string) (Reply, error)
-	// NeedsKey tells whether the operation is non-idempotent.
+	// NeedsKey reports whether the operation is non-idempotent.
 	NeedsKey(service, operation string) (bool, error)
 	Limits() Limits
 }
 
-// Limits bounds one request. The sheet sets them.
+// Limits are the bounds of one request, set in the sheet.
 type Limits struct {
-	MaxBodyBytes   int
-	MaxTokens int
+	MaxBodyBytes int
+	MaxTokens    int
 }
--- a/internal/entry/callerapi/callerapi_test.go
+++ b/internal/entry/callerapi/callerapi_test.go
@@ -25,28 +25,30 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fake is a Backend that streams as many tokens as it is asked for.
-type fake struct {
-	text func(pos int) []byte
-	err  error // after the tokens
-	sent chan int
+// fakeBackend streams as many tokens as are requested.
+type fakeBackend struct {
+	text     func(pos int) []byte
+	err      error // returned after the tokens
+	failedAt chan int
 }
 
-func (f *fake) Ready() *code.Error                         { return nil }
-func (f *fake) Addresses(string) Addresses                 { return Addresses{TTLMS: 1} }
-func (f *fake) Limits() Limits                             { return Limits{MaxBodyBytes: 1000, MaxTokens: 1 << 30} }
-func (f *fake) CommitStatus(string) (Reply, error)               { return Reply{}, nil }
-func (f *fake) NeedsKey(string, string) (bool, error)      { return true, nil }
-func (f *fake) Call(context.Context, *Call) (Reply, error) { return Reply{Body: []byte("{}")}, nil }
+func (f *fakeBackend) Ready() *code.Error                    { return nil }
+func (f *fakeBackend) Addresses(string) Addresses            { return Addresses{TTLMS: 1} }
+func (f *fakeBackend) Limits() Limits                        { return Limits{MaxBodyBytes: 1000, MaxTokens: 1 << 30} }
+func (f *fakeBackend) CommitStatus(string) (Reply, error)    { return Reply{}, nil }
+func (f *fakeBackend) NeedsKey(string, string) (bool, error) { return true, nil }
+func (f *fakeBackend) Call(context.Context, *Call) (Reply, error) {
+	return Reply{Body: []byte("{}")}, nil
+}
 
-func (f *fake) Generate(ctx context.Context, g *Generate, out Sink) error {
+func (f *fakeBackend) Generate(ctx context.Context, g *Generate, out Sink) error {
 	for pos := range g.MaxTokens {
 		if err := out.Token(driver.Token{Pos: pos, Text: f.text(pos)}); err != nil {
 			return err
 		}
 		if err := out.Flush(); err != nil {
-			if f.sent != nil {
-				f.sent <- pos
+			if f.failedAt != nil {
+				f.failedAt <- pos
 			}
 			return err
 		}
@@ -60,17 +62,17 @@
 	return r
 }
 
-func body(tokens int) string {
+func generateJSON(tokens int) string {
 	return fmt.Sprintf(`{"model":"m","prompt":"x","max_tokens":%d,"class":"c"}`, tokens)
 }
 
-// A token ends in the middle of a character, as tokens of real models do. The
-// caller must get the whole text, and the end event's sum must be of it.
-func TestSplitCharactersArriveWhole(t *testing.T) {
+// Tokens end in the middle of a UTF-8 character, as those of real models do. The caller must receive
+// the whole text, and the checksum of the end event must match it.
+func TestSplitCharactersAreJoined(t *testing.T) {
 	text := []byte("año ñandú 🥒 \"x\"\n")
-	f := &fake{text: func(pos int) []byte { return text[pos : pos+1] }}
+	f := &fakeBackend{text: func(pos int) []byte { return text[pos : pos+1] }}
 	w := httptest.NewRecorder()
-	NewHandler(f).ServeHTTP(w, generateRequest(body(len(text))))
+	NewHandler(f).ServeHTTP(w, generateRequest(generateJSON(len(text))))
 	var got []byte
 	var end EndEvent
 	for _, event := range strings.Split(w.Body.String(), "\n\n") {
@@ -91,29 +93,29 @@
 }
 
 func TestFailureBeforeAndAfterTheFirstToken(t *testing.T) {
-	f := &fake{err: code.New(code.EndpointCut, "x").WithRun(code.Ran), text: func(int) []byte { return []byte("w ") }}
+	f := &fakeBackend{err: code.New(code.EndpointCut, "x").WithRun(code.Ran), text: func(int) []byte { return []byte("w ") }}
 	w := httptest.NewRecorder()
-	NewHandler(f).ServeHTTP(w, generateRequest(body(2)))
+	NewHandler(f).ServeHTTP(w, generateRequest(generateJSON(2)))
 	assert.Equal(t, w.Code, http.StatusOK)
 	assert.Assert(t, strings.Contains(w.Body.String(), "event: error\ndata: {\"code\":3003,"))
 	assert.Assert(t, !strings.Contains(w.Body.String(), "event: end"))
 
-	refusing := &refuser{fake: f}
+	rejecting := &refusingBackend{fakeBackend: f}
 	w = httptest.NewRecorder()
-	NewHandler(refusing).ServeHTTP(w, generateRequest(body(2)))
+	NewHandler(rejecting).ServeHTTP(w, generateRequest(generateJSON(2)))
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, w.Header().Get("Retry-After"), "3")
 	assert.Equal(t, w.Header().Get(HeaderRun), "not-run")
 }
 
-type refuser struct{ *fake }
+type refusingBackend struct{ *fakeBackend }
 
-func (r *refuser) Generate(context.Context, *Generate, Sink) error {
+func (r *refusingBackend) Generate(context.Context, *Generate, Sink) error {
 	return code.New(code.QueueFull, "x").WithRetryAfter(2500 * time.Millisecond)
 }
 
-// serve runs the handler behind the real server.
-func serve(t *testing.T, b Backend) string {
+// startServer runs the handler on the real server and returns its address.
+func startServer(t *testing.T, b Backend) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := NewServer(NewHandler(b))
@@ -126,41 +128,41 @@
 	return l.Addr().String()
 }
 
-// A caller stops reading in the middle of its stream but keeps its connection.
-// The entry must not gather its tokens, and gives it up after writeStall.
-func TestSlowReaderIsGivenUp(t *testing.T) {
+// A caller stops reading in the middle of its stream but keeps its connection open. The entry must
+// not buffer its tokens without bound, and must end the stream after writeTimeout.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	if testing.Short() {
-		t.Skip("takes writeStall")
+		t.Skip("takes writeTimeout")
 	}
-	f := &fake{text: func(int) []byte { return bytes.Repeat([]byte("w"), 1000) }, sent: make(chan int, 1)}
-	addr := serve(t, f)
+	f := &fakeBackend{text: func(int) []byte { return bytes.Repeat([]byte("w"), 1000) }, failedAt: make(chan int, 1)}
+	addr := startServer(t, f)
 	conn, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
-	b := body(1 << 20)
+	b := generateJSON(1 << 20)
 	_, err = fmt.Fprintf(conn, "POST /v1/generate HTTP/1.1\r\nHost: x\r\nDeadline-Ms: 60000\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
 	assert.NilError(t, err)
 	select {
-	case pos := <-f.sent:
-		t.Logf("given up after %d KB in the kernel's buffers", pos)
-	case <-time.After(writeStall + 5*time.Second):
-		t.Fatal("the entry still writes")
+	case pos := <-f.failedAt:
+		t.Logf("stream ended after %d KB in the kernel's buffers", pos)
+	case <-time.After(writeTimeout + 5*time.Second):
+		t.Fatal("the stream has not ended")
 	}
 }
 
-// A caller sends its headers and then the body a byte now and then. It must
-// not hold a connection for ever, and hears a numbered refusal.
+// A caller sends its headers and then only the first byte of its body. It must not occupy a
+// connection forever, and receives a refusal with a result code.
 func TestSlowSenderIsRefused(t *testing.T) {
 	if testing.Short() {
-		t.Skip("takes bodyTime")
+		t.Skip("takes bodyTimeout")
 	}
-	addr := serve(t, &fake{})
+	addr := startServer(t, &fakeBackend{})
 	conn, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
 	_, err = io.WriteString(conn, "POST /v1/generate HTTP/1.1\r\nHost: x\r\nDeadline-Ms: 60000\r\nContent-Length: 900\r\n\r\n{")
 	assert.NilError(t, err)
-	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(bodyTime+5*time.Second)))
+	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(bodyTimeout+5*time.Second)))
 	answer := make([]byte, 1000)
 	n, err := conn.Read(answer)
 	assert.NilError(t, err)
@@ -169,12 +171,12 @@
 
 // The server also speaks HTTP/2 without encryption.
 func TestHTTP2(t *testing.T) {
-	addr := serve(t, &fake{text: func(int) []byte { return []byte("w ") }})
+	addr := startServer(t, &fakeBackend{text: func(int) []byte { return []byte("w ") }})
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
 	tr := &http.Transport{Protocols: &p}
 	defer tr.CloseIdleConnections()
-	req, err := http.NewRequest(http.MethodPost, "http://"+addr+PathGenerate, strings.NewReader(body(3)))
+	req, err := http.NewRequest(http.MethodPost, "http://"+addr+PathGenerate, strings.NewReader(generateJSON(3)))
 	assert.NilError(t, err)
 	req.Header.Set(HeaderDeadline, "1000")
 	resp, err := (&http.Client{Transport: tr}).Do(req)
@@ -186,10 +188,9 @@
 	assert.Assert(t, bytes.Contains(b, []byte("event: end")))
 }
 
-// Whatever bytes a caller sends, it gets a whole completion request or a
-// numbered refusal, never a fault.
+// Any bytes decode into a valid completion request or yield a refusal with a result code.
 func FuzzDecodeGenerate(f *testing.F) {
-	f.Add([]byte(body(5)))
+	f.Add([]byte(generateJSON(5)))
 	f.Add([]byte(`{"model":`))
 	f.Add([]byte(`{"model":"m","prompt":"\ud800","max_tokens":1e3}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -218,7 +219,7 @@
 		}
 		var c Call
 		if err := decodeKey(h, &c); err == nil {
-			assert.Assert(t, len(c.Key) > 0 && len(c.Key) <= maxName && c.Issued.Unix() >= 0)
+			assert.Assert(t, len(c.Key) > 0 && len(c.Key) <= maxNameBytes && c.Issued.Unix() >= 0)
 		}
 	})
 }
--- a/internal/entry/callerapi/decode.go
+++ b/internal/entry/callerapi/decode.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// maxDeadline is the longest deadline that makes sense: an hour is far
-	// above the longest class and still finite.
+	// maxDeadline is the longest deadline that is accepted. An hour is far above the deadline of the
+	// longest class, and still finite.
 	maxDeadline = time.Hour
-	// maxName bounds identifiers that are kept or logged.
-	maxName = 200
-	// maxHeaders bounds all headers together. net/http's own bound is above
-	// it, so that the refusal carries a numbered code.
-	maxHeaders = 16 << 10
-	// bodyTime is how long a caller may take to send its body: 1 MiB at
-	// 1 Mbit/s. A slower sender holds a connection and its memory for nothing.
-	bodyTime = 8 * time.Second
+	// maxNameBytes bounds identifiers that are stored or logged.
+	maxNameBytes = 200
+	// maxHeaderBytes bounds the size of all headers together. It is below net/http's own bound, so
+	// that the refusal carries a result code.
+	maxHeaderBytes = 16 << 10
+	// bodyTimeout bounds how long a caller may take to send its body: 1 MiB at 1 Mbit/s. A slower
+	// sender would occupy a connection and memory.
+	bodyTimeout = 8 * time.Second
 )
 
 type generateBody struct {
@@ -38,7 +38,8 @@
 	Class     string `json:"class"`
 }
 
-// decodeGenerate checks everything that needs no sheet.
+// decodeGenerate decodes the body of a completion request and validates whatever can be checked
+// without the sheet.
 func decodeGenerate(body []byte, limits Limits) (*Generate, *code.Error) {
 	var b generateBody
 	d := json.NewDecoder(bytes.NewReader(body))
@@ -50,10 +51,10 @@
 		return nil, code.New(code.BadJSON, "more than one JSON value in the body")
 	}
 	switch {
-	case b.Model == "" || len(b.Model) > maxName:
-		return nil, code.New(code.BadField, "model: allowed: 1 to %d bytes", maxName)
-	case len(b.Version) > maxName, len(b.Adapter) > maxName, len(b.Class) > maxName:
-		return nil, code.New(code.BadField, "version, adapter, class: allowed: up to %d bytes", maxName)
+	case b.Model == "" || len(b.Model) > maxNameBytes:
+		return nil, code.New(code.BadField, "model: allowed: 1 to %d bytes", maxNameBytes)
+	case len(b.Version) > maxNameBytes, len(b.Adapter) > maxNameBytes, len(b.Class) > maxNameBytes:
+		return nil, code.New(code.BadField, "version, adapter, class: allowed: up to %d bytes", maxNameBytes)
 	case b.Prompt == "":
 		return nil, code.New(code.BadField, "prompt: must not be empty")
 	case b.MaxTokens < 1 || b.MaxTokens > limits.MaxTokens:
@@ -65,16 +66,16 @@
 	}, nil
 }
 
-// decodeCaller reads the headers that every request carries.
+// decodeCaller reads the headers that are common to all requests.
 func decodeCaller(h http.Header, now time.Time) (Caller, *code.Error) {
 	c := Caller{RequestID: h.Get(HeaderRequestID), Name: h.Get(HeaderCaller), Workspace: h.Get(HeaderWorkspace)}
 	for _, v := range []string{c.RequestID, c.Name, c.Workspace} {
-		if len(v) > maxName || !utf8.ValidString(v) {
-			return c, code.New(code.BadField, "%s, %s, %s: allowed: up to %d bytes of UTF-8", HeaderRequestID, HeaderCaller, HeaderWorkspace, maxName)
+		if len(v) > maxNameBytes || !utf8.ValidString(v) {
+			return c, code.New(code.BadField, "%s, %s, %s: allowed: up to %d bytes of UTF-8", HeaderRequestID, HeaderCaller, HeaderWorkspace, maxNameBytes)
 		}
 	}
-	left, err := decodeDeadline(h)
-	c.Deadline = now.Add(left)
+	remaining, err := decodeDeadline(h)
+	c.Deadline = now.Add(remaining)
 	return c, err
 }
 
@@ -95,27 +96,27 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// decodeKey reads the headers of a non-idempotent operation.
+// decodeKey reads the idempotency key of a non-idempotent operation into c.
 func decodeKey(h http.Header, c *Call) *code.Error {
-	keys, issued := h.Values(HeaderKey), h.Values(HeaderIssued)
-	if len(keys) == 0 || len(issued) == 0 {
+	keyValues, issuedValues := h.Values(HeaderKey), h.Values(HeaderIssued)
+	if len(keyValues) == 0 || len(issuedValues) == 0 {
 		return code.New(code.MissingKey, "%s and %s are required", HeaderKey, HeaderIssued)
 	}
-	if len(keys) > 1 || len(issued) > 1 {
+	if len(keyValues) > 1 || len(issuedValues) > 1 {
 		return code.New(code.BadKey, "%s and %s: wanted once each", HeaderKey, HeaderIssued)
 	}
-	ms, err := strconv.ParseInt(issued[0], 10, 64)
+	ms, err := strconv.ParseInt(issuedValues[0], 10, 64)
 	if err != nil || ms <= 0 {
-		return code.New(code.BadKey, "%s: %.40q is not a time in Unix milliseconds", HeaderIssued, issued[0])
+		return code.New(code.BadKey, "%s: %.40q is not a time in Unix milliseconds", HeaderIssued, issuedValues[0])
 	}
-	if len(keys[0]) == 0 || len(keys[0]) > maxName || !utf8.ValidString(keys[0]) {
-		return code.New(code.BadKey, "%s: allowed: 1 to %d bytes of UTF-8", HeaderKey, maxName)
+	if len(keyValues[0]) == 0 || len(keyValues[0]) > maxNameBytes || !utf8.ValidString(keyValues[0]) {
+		return code.New(code.BadKey, "%s: allowed: 1 to %d bytes of UTF-8", HeaderKey, maxNameBytes)
 	}
-	c.Key, c.Issued = keys[0], time.UnixMilli(ms)
+	c.Key, c.Issued = keyValues[0], time.UnixMilli(ms)
 	return nil
 }
 
-// checkHeaders refuses a flood of headers.
+// checkHeaders refuses requests whose headers are over maxHeaderBytes.
 func checkHeaders(h http.Header) *code.Error {
 	size := 0
 	for name, values := range h {
@@ -123,14 +124,14 @@
 			size += len(name) + len(v)
 		}
 	}
-	if size > maxHeaders {
-		return code.New(code.HeaderTooLarge, "%d bytes of headers; allowed: %d", size, maxHeaders)
+	if size > maxHeaderBytes {
+		return code.New(code.HeaderTooLarge, "%d bytes of headers; allowed: %d", size, maxHeaderBytes)
 	}
 	return nil
 }
 
-// readBody reads the body within its size, and within the time that ServeHTTP
-// has set. The size is checked before the memory is taken.
+// readBody reads a body of up to limit bytes, within the read deadline that ServeHTTP has set. It
+// checks the declared size before it allocates memory.
 func readBody(w http.ResponseWriter, r *http.Request, limit int) ([]byte, *code.Error) {
 	if r.ContentLength > int64(limit) {
 		return nil, code.New(code.BodyTooLarge, "%d bytes; allowed: %d", r.ContentLength, limit)
@@ -139,14 +140,15 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
-		// From here on the server only waits for the caller to go away.
+		// After the body, the server reads from the connection only to detect that the caller
+		// disconnects, which needs no deadline.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 		return body, nil
 	case errors.As(err, &tooLarge):
 		return nil, code.New(code.BodyTooLarge, "over %d bytes", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		w.Header().Set("Connection", "close")
-		return nil, code.New(code.SlowSender, "the body did not arrive within %v", bodyTime)
+		return nil, code.New(code.SlowSender, "the body did not arrive within %v", bodyTimeout)
 	}
 	return nil, code.Wrap(code.CallerGone, err, "reading the body")
 }
--- a/internal/entry/callerapi/handler.go
+++ b/internal/entry/callerapi/handler.go
@@ -19,25 +19,24 @@
 	mux     *http.ServeMux
 }
 
-// NewHandler returns the handler over b.
+// NewHandler returns a handler that passes decoded requests to b.
 func NewHandler(b Backend) *Handler {
 	h := &Handler{backend: b, mux: http.NewServeMux()}
 	h.mux.HandleFunc("GET "+PathAddresses, h.addresses)
 	h.mux.HandleFunc("POST "+PathGenerate, h.generate)
 	h.mux.HandleFunc("POST "+PathServices+"{service}/{operation}", h.call)
-	h.mux.HandleFunc("GET "+PathCommits+"{key}", h.commit)
-	h.mux.HandleFunc("/", h.unknown)
+	h.mux.HandleFunc("GET "+PathCommits+"{key}", h.commitStatus)
+	h.mux.HandleFunc("/", h.unknownPath)
 	return h
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// The deadline also bounds what net/http reads of the body of a request
-	// that was refused unread. A forwarded request has no deadline: its body is
-	// here.
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTime))
+	// The deadline also applies when net/http discards the unread body of a refused request. The
+	// body of a forwarded request is already in memory and needs no deadline.
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	if err := checkHeaders(r.Header); err != nil {
-		// The rest of the request isn't worth reading.
+		// Closing the connection saves reading the rest of the request.
 		w.Header().Set("Connection", "close")
 		h.Refuse(w, r, err)
 		return
@@ -45,26 +44,27 @@
 	h.mux.ServeHTTP(w, r)
 }
 
-// Refuse writes a numbered refusal.
+// Refuse answers with a refusal that carries the result code of err. It adds the addresses of other
+// VMs if the code means that this VM can't serve the request but another may.
 func (h *Handler) Refuse(w http.ResponseWriter, r *http.Request, err error) {
 	e := code.Of(err)
 	log.WithField("path", r.URL.Path).WithField("request", r.Header.Get(HeaderRequestID)).
 		WithField("code", int(e.Code)).WithField("run", string(e.Run)).Debug("refused")
-	var elsewhere []Address
+	var alternatives []Address
 	if e.Code == code.Leaving || e.Code == code.NotReady || e.Code == code.ForwardLoop {
-		elsewhere = h.backend.Addresses("").Addresses
+		alternatives = h.backend.Addresses("").Addresses
 	}
-	refuse(w, err, elsewhere)
+	writeRefusal(w, err, alternatives)
 }
 
-func (h *Handler) unknown(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) unknownPath(w http.ResponseWriter, r *http.Request) {
 	h.Refuse(w, r, code.New(code.UnknownPath, "%s %.100s", r.Method, r.URL.Path))
 }
 
 func (h *Handler) addresses(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	body, _ := json.Marshal(h.backend.Addresses(r.URL.Query().Get("zone"))) // strings and numbers always encode
-	writeAll(w, body)
+	writeBody(w, body)
 }
 
 func (h *Handler) generate(w http.ResponseWriter, r *http.Request) {
@@ -83,8 +83,8 @@
 	_ = out.end()
 }
 
-// failStream tells why a completion isn't whole: as a plain refusal if nothing
-// of the stream has left.
+// failStream reports why a completion is incomplete: as an error event, or as a plain refusal if
+// nothing of the stream was sent yet.
 func (h *Handler) failStream(w http.ResponseWriter, r *http.Request, out *eventStream, err error) {
 	if out.started {
 		out.fail(err)
@@ -98,18 +98,18 @@
 	if err := h.backend.Ready(); err != nil {
 		return nil, err
 	}
-	caller, bad := decodeCaller(r.Header, now)
-	if bad != nil {
-		return nil, bad
+	caller, refusal := decodeCaller(r.Header, now)
+	if refusal != nil {
+		return nil, refusal
 	}
 	limits := h.backend.Limits()
-	body, bad := readBody(w, r, limits.MaxBodyBytes)
-	if bad != nil {
-		return nil, bad
+	body, refusal := readBody(w, r, limits.MaxBodyBytes)
+	if refusal != nil {
+		return nil, refusal
 	}
-	g, bad := decodeGenerate(body, limits)
-	if bad != nil {
-		return nil, bad
+	g, refusal := decodeGenerate(body, limits)
+	if refusal != nil {
+		return nil, refusal
 	}
 	g.Caller = caller
 	return g, nil
@@ -132,15 +132,16 @@
 	writeReply(w, reply)
 }
 
-// isResend tells whether the caller says that it has sent the key before. Any
-// value but none, 0 or false says so.
+// isResend reports whether the caller marks the request as one whose key it may have sent before.
+// Any value but an empty one, 0 and false does so.
 func isResend(r *http.Request) bool {
 	v := strings.ToLower(r.Header.Get(HeaderResend))
 	return v != "" && v != "0" && v != "false"
 }
 
-// MarkResendUnknown takes not-run back from the refusal of a resend that was
-// made without a look at the key: an earlier sending may have run.
+// MarkResendUnknown changes the outcome of a refused resend from not-run to unknown. It is for
+// refusals that were made without looking up the key: an earlier request with that key may have
+// run.
 func MarkResendUnknown(r *http.Request, err error) error {
 	e := code.Of(err)
 	if e.Run == code.NotRun && isResend(r) {
@@ -155,26 +156,26 @@
 		return nil, err
 	}
 	c := &Call{Service: r.PathValue("service"), Operation: r.PathValue("operation"), Resend: isResend(r)}
-	keyed, err := h.backend.NeedsKey(c.Service, c.Operation)
+	needsKey, err := h.backend.NeedsKey(c.Service, c.Operation)
 	if err != nil {
 		return nil, err
 	}
-	var bad *code.Error
-	if c.Caller, bad = decodeCaller(r.Header, now); bad != nil {
-		return nil, bad
+	var refusal *code.Error
+	if c.Caller, refusal = decodeCaller(r.Header, now); refusal != nil {
+		return nil, refusal
 	}
-	if keyed {
-		if bad := decodeKey(r.Header, c); bad != nil {
-			return nil, bad
+	if needsKey {
+		if refusal := decodeKey(r.Header, c); refusal != nil {
+			return nil, refusal
 		}
 	}
-	if c.Body, bad = readBody(w, r, h.backend.Limits().MaxBodyBytes); bad != nil {
-		return nil, bad
+	if c.Body, refusal = readBody(w, r, h.backend.Limits().MaxBodyBytes); refusal != nil {
+		return nil, refusal
 	}
 	return c, nil
 }
 
-func (h *Handler) commit(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) commitStatus(w http.ResponseWriter, r *http.Request) {
 	reply, err := h.backend.CommitStatus(r.PathValue("key"))
 	if err != nil {
 		h.Refuse(w, r, err)
@@ -188,5 +189,5 @@
 	h.Set("Content-Type", "application/json")
 	h.Set(HeaderCode, strconv.Itoa(int(reply.Code)))
 	h.Set(HeaderRun, string(code.Ran))
-	writeAll(w, reply.Body)
+	writeBody(w, reply.Body)
 }
--- a/internal/entry/callerapi/refuse.go
+++ b/internal/entry/callerapi/refuse.go
@@ -10,22 +10,21 @@
 	"fescuestand/internal/code"
 )
 
-// Refusal is the body of every answer that is not the wanted one, and the data
-// of a stream's error event.
+// Refusal is the body of every error answer, and the data of a stream's error event.
 type Refusal struct {
 	Code         int       `json:"code"`
 	Name         string    `json:"name"`
 	Run          code.Run  `json:"run"`
 	Detail       string    `json:"detail,omitempty"`
 	RetryAfterMS int64     `json:"retry_after_ms"`
-	Addresses    []Address `json:"addresses,omitempty"` // where else to ask
+	Addresses    []Address `json:"addresses,omitempty"` // other VMs to send the request to
 }
 
-// defaultRetry is told for a code that allows another try when the refuser
-// named no time: a caller that comes back at once would meet the same state.
-const defaultRetry = 500 * time.Millisecond
+// defaultRetryAfter is the retry delay sent with a retryable code if the error has none: a caller
+// that retries immediately would find the same state.
+const defaultRetryAfter = 500 * time.Millisecond
 
-func refusalOf(err error) *Refusal {
+func newRefusal(err error) *Refusal {
 	e := code.Of(err)
 	r := &Refusal{Code: int(e.Code), Name: e.Code.String(), Run: e.Run, Detail: e.Detail}
 	if e.Err != nil {
@@ -35,15 +34,15 @@
 	case e.RetryAfter > 0:
 		r.RetryAfterMS = max(e.RetryAfter.Milliseconds(), 1)
 	case e.Code.Info().Again:
-		r.RetryAfterMS = defaultRetry.Milliseconds()
+		r.RetryAfterMS = defaultRetryAfter.Milliseconds()
 	}
 	return r
 }
 
-// refuse writes err as the whole answer.
-func refuse(w http.ResponseWriter, err error, elsewhere []Address) {
-	r := refusalOf(err)
-	r.Addresses = elsewhere
+// writeRefusal writes err as the complete answer.
+func writeRefusal(w http.ResponseWriter, err error, alternatives []Address) {
+	r := newRefusal(err)
+	r.Addresses = alternatives
 	body, _ := json.Marshal(r) // strings and numbers always encode
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -54,13 +53,13 @@
 		h.Set("Retry-After", strconv.Itoa(int(seconds)))
 	}
 	w.WriteHeader(code.Code(r.Code).Info().Status)
-	writeAll(w, body)
+	writeBody(w, body)
 }
 
-// writeAll bounds how long a caller may take to read a whole answer.
-func writeAll(w http.ResponseWriter, body []byte) {
+// writeBody writes a complete answer and bounds how long the caller may take to read it.
+func writeBody(w http.ResponseWriter, body []byte) {
 	rc := http.NewResponseController(w)
-	_ = rc.SetWriteDeadline(time.Now().Add(writeStall))
+	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, _ = w.Write(body)
 	_ = rc.Flush()
 	_ = rc.SetWriteDeadline(time.Time{})
--- a/internal/entry/callerapi/sse.go
+++ b/internal/entry/callerapi/sse.go
@@ -13,30 +13,30 @@
 	"fescuestand/internal/driver"
 )
 
-// writeStall is how long a caller may read nothing of its stream before it
-// counts as gone. Its tokens wait at the engine meanwhile, which holds one of
-// the engine's places; no memory here grows with it.
-const writeStall = 10 * time.Second
+// writeTimeout is how long a caller may read nothing of its stream before it counts as
+// disconnected. Until then its tokens wait at the engine and occupy one of the engine's slots; no
+// memory of this process grows with them.
+const writeTimeout = 10 * time.Second
 
-// EndEvent is the data of a stream's last event. A stream without it is cut.
+// EndEvent is the data of a stream's last event. A stream without it is incomplete.
 type EndEvent struct {
 	Code   int      `json:"code"`
 	Run    code.Run `json:"run"`
 	Tokens int      `json:"tokens"`
 	Bytes  int      `json:"bytes"`
-	Sum    string   `json:"xxh64"` // of the whole text
+	Sum    string   `json:"xxh64"` // checksum of the whole text
 }
 
 // eventStream encodes one completion as server-sent events.
 type eventStream struct {
-	w       http.ResponseWriter
-	rc      *http.ResponseController
-	buf     []byte
-	carry   []byte // start of a character whose rest is in the next token
-	sum     *xxhash.Digest
-	tokens  int
-	bytes   int
-	started bool
+	w           http.ResponseWriter
+	rc          *http.ResponseController
+	buf         []byte
+	partialRune []byte // start of a UTF-8 character that continues in the next token
+	sum         *xxhash.Digest
+	tokens      int
+	bytes       int
+	started     bool
 }
 
 func newEventStream(w http.ResponseWriter) *eventStream {
@@ -46,12 +46,12 @@
 // Token implements Sink.
 func (s *eventStream) Token(t driver.Token) error {
 	text := t.Text
-	if len(s.carry) > 0 {
-		text = append(s.carry, text...)
-		s.carry = nil
+	if len(s.partialRune) > 0 {
+		text = append(s.partialRune, text...)
+		s.partialRune = nil
 	}
-	if n := incomplete(text); n > 0 {
-		s.carry = append([]byte(nil), text[len(text)-n:]...)
+	if n := incompleteSuffix(text); n > 0 {
+		s.partialRune = append([]byte(nil), text[len(text)-n:]...)
 		text = text[:len(text)-n]
 	}
 	s.buf = append(s.buf, "event: token\ndata: {\"pos\":"...)
@@ -59,12 +59,12 @@
 	s.buf = append(s.buf, `,"text":`...)
 	s.buf = appendJSON(s.buf, text)
 	s.buf = append(s.buf, "}\n\n"...)
-	s.count(text)
+	s.addToTotals(text)
 	s.tokens++
 	return nil
 }
 
-func (s *eventStream) count(text []byte) {
+func (s *eventStream) addToTotals(text []byte) {
 	s.bytes += len(text)
 	_, _ = s.sum.Write(text)
 }
@@ -74,9 +74,10 @@
 	if len(s.buf) == 0 {
 		return nil
 	}
-	s.start()
-	// Not every writer has deadlines; a forwarded stream's peer bounds it.
-	_ = s.rc.SetWriteDeadline(time.Now().Add(writeStall))
+	s.writeHeader()
+	// The writer of a forwarded request has no deadlines; the peer that forwarded it bounds the
+	// stream.
+	_ = s.rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := s.w.Write(s.buf)
 	if err == nil {
 		err = s.rc.Flush()
@@ -88,7 +89,7 @@
 	return nil
 }
 
-func (s *eventStream) start() {
+func (s *eventStream) writeHeader() {
 	if s.started {
 		return
 	}
@@ -99,30 +100,30 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// end tells that the stream is whole.
+// end sends the end event, which marks the stream as complete.
 func (s *eventStream) end() error {
-	s.event("end", EndEvent{
+	s.appendEvent("end", EndEvent{
 		Code: int(code.OK), Run: code.Ran, Tokens: s.tokens, Bytes: s.bytes,
-		Sum: sumText(s.sum.Sum64()),
+		Sum: checksumHex(s.sum.Sum64()),
 	})
 	return s.close()
 }
 
-// fail ends a stream that has begun with the reason why it isn't whole.
+// fail ends a started stream with an error event that says why it is incomplete.
 func (s *eventStream) fail(err error) {
-	s.event("error", refusalOf(err))
+	s.appendEvent("error", newRefusal(err))
 	_ = s.close()
 }
 
-// close sends the last event and gives the connection back to the server, whose
-// next request must not inherit this one's deadline.
+// close sends the last event and clears the write deadline, which the next request on the
+// connection must not inherit.
 func (s *eventStream) close() error {
 	err := s.Flush()
 	_ = s.rc.SetWriteDeadline(time.Time{})
 	return err
 }
 
-func (s *eventStream) event(name string, data any) {
+func (s *eventStream) appendEvent(name string, data any) {
 	b, _ := json.Marshal(data) // strings and numbers always encode
 	s.buf = append(s.buf, "event: "...)
 	s.buf = append(s.buf, name...)
@@ -131,7 +132,7 @@
 	s.buf = append(s.buf, "\n\n"...)
 }
 
-func sumText(sum uint64) string {
+func checksumHex(sum uint64) string {
 	const digits = 16
 	text := strconv.FormatUint(sum, 16)
 	for len(text) < digits {
@@ -140,9 +141,9 @@
 	return text
 }
 
-// incomplete returns how many bytes at the end of text begin a character that
-// is not whole. Sent as they are, JSON would replace them.
-func incomplete(text []byte) int {
+// incompleteSuffix returns the number of bytes at the end of text that begin an incomplete UTF-8
+// character. The JSON encoder would replace them.
+func incompleteSuffix(text []byte) int {
 	for n := 1; n < utf8.UTFMax && n <= len(text); n++ {
 		b := text[len(text)-n]
 		if utf8.RuneStart(b) {
@@ -155,8 +156,8 @@
 	return 0
 }
 
-// appendJSON appends text as a JSON string. Plain ASCII, the usual case, is
-// copied without an allocation.
+// appendJSON appends text as a JSON string. It copies plain ASCII, the usual case, without an
+// allocation.
 func appendJSON(dst, text []byte) []byte {
 	for _, b := range text {
 		if b < ' ' || b >= utf8.RuneSelf || b == '"' || b == '\\' {
