--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -16,39 +16,39 @@
 	"fescuestand/internal/sheet"
 )
 
-// commitTarget is the share of commits whose outcome has to be known. The sheet
-// has objectives for classes of completions only; an unknown commit makes
-// somebody look at the service by hand, so that one in a thousand is much.
-const commitTarget = 0.999
-
-// account wraps the backend and keeps the service-level account and the counts
-// of answers.
-type account struct {
+// commitOutcomeTarget is the objective for the share of commits that end with a known outcome. The
+// sheet has objectives for classes of completions only. Somebody has to check each commit of
+// unknown outcome at the service by hand, so that even one in a thousand is many.
+const commitOutcomeTarget = 0.999
+
+// instrumentedBackend wraps a backend. It records service-level indicators, counts answers by
+// result, and logs refusals.
+type instrumentedBackend struct {
 	callerapi.Backend
 	clk      clock.Clock
 	burn     *burn.Recorder
-	refusals *refusals
+	refusals *refusalLogger
 
 	mu      sync.Mutex
 	results map[result]uint64
 }
 
-// result is one kind of answer.
+// result is a kind of answer: its code and whether the request was executed.
 type result struct {
 	code code.Code
 	run  code.Run
 }
 
-func newAccount(b callerapi.Backend, clk clock.Clock) *account {
+func newInstrumentedBackend(b callerapi.Backend, clk clock.Clock) *instrumentedBackend {
 	r, err := burn.NewRecorder(nil)
 	if err != nil {
-		panic("entry: no objectives are always valid: " + err.Error())
+		panic("entry: an empty list of objectives was rejected: " + err.Error())
 	}
-	return &account{Backend: b, clk: clk, burn: r, refusals: newRefusals(), results: map[result]uint64{}}
+	return &instrumentedBackend{Backend: b, clk: clk, burn: r, refusals: newRefusalLogger(), results: map[result]uint64{}}
 }
 
-// follow takes over the objectives of a sheet.
-func (a *account) follow(s *sheet.Sheet) {
+// setObjectives applies the objectives of a sheet.
+func (b *instrumentedBackend) setObjectives(s *sheet.Sheet) {
 	var list []burn.Objective
 	for _, c := range s.Classes {
 		list = append(list,
@@ -58,94 +58,94 @@
 		)
 	}
 	for _, v := range s.Services {
-		list = append(list, burn.Objective{Class: v.Name, Signal: burn.Commits, Target: commitTarget})
+		list = append(list, burn.Objective{Class: v.Name, Signal: burn.Commits, Target: commitOutcomeTarget})
 	}
-	if err := a.burn.Apply(list); err != nil {
-		log.WithError(err).Warn("objectives of the sheet not taken over")
+	if err := b.burn.Apply(list); err != nil {
+		log.WithError(err).Warn("cannot apply the objectives of the sheet")
 	}
 }
 
 // Generate implements callerapi.Backend.
-func (a *account) Generate(ctx context.Context, g *callerapi.Generate, out callerapi.Sink) error {
-	began := a.clk.Now()
-	timed := &timedSink{Sink: out, a: a, class: g.Class, began: began}
-	err := a.Backend.Generate(ctx, g, timed)
-	now := a.clk.Now()
-	a.count(err)
+func (b *instrumentedBackend) Generate(ctx context.Context, g *callerapi.Generate, out callerapi.Sink) error {
+	startedAt := b.clk.Now()
+	timed := &timedSink{Sink: out, b: b, class: g.Class, startedAt: startedAt}
+	err := b.Backend.Generate(ctx, g, timed)
+	now := b.clk.Now()
+	b.count(err)
 	if err != nil {
-		a.refusals.log(&g.Caller, g.Class, err)
+		b.refusals.log(&g.Caller, g.Class, err)
 	}
 	switch {
 	case err == nil:
-		a.burn.Answer(now, g.Class, ctx.Err() == nil, now.Sub(began))
-	case callersFault(err):
+		b.burn.Answer(now, g.Class, ctx.Err() == nil, now.Sub(startedAt))
+	case isCallerFault(err):
 	case code.Of(err).Run == code.NotRun:
-		a.burn.Refused(now, g.Class)
+		b.burn.Refused(now, g.Class)
 	default:
-		a.burn.Answer(now, g.Class, false, now.Sub(began))
+		b.burn.Answer(now, g.Class, false, now.Sub(startedAt))
 	}
 	return err
 }
 
 // Call implements callerapi.Backend.
-func (a *account) Call(ctx context.Context, c *callerapi.Call) (callerapi.Reply, error) {
-	reply, err := a.Backend.Call(ctx, c)
-	a.count(err)
+func (b *instrumentedBackend) Call(ctx context.Context, c *callerapi.Call) (callerapi.Reply, error) {
+	reply, err := b.Backend.Call(ctx, c)
+	b.count(err)
 	if err != nil {
-		a.refusals.log(&c.Caller, c.Service+"/"+c.Operation, err)
+		b.refusals.log(&c.Caller, c.Service+"/"+c.Operation, err)
 	}
-	if c.Key != "" && (err == nil || !callersFault(err)) {
-		known := err == nil || code.Of(err).Run != code.Unknown
-		a.burn.Commit(a.clk.Now(), c.Service, known)
+	if c.Key != "" && (err == nil || !isCallerFault(err)) {
+		outcomeKnown := err == nil || code.Of(err).Run != code.Unknown
+		b.burn.Commit(b.clk.Now(), c.Service, outcomeKnown)
 	}
 	return reply, err
 }
 
-func (a *account) count(err error) {
+func (b *instrumentedBackend) count(err error) {
 	r := result{code.OK, code.Ran}
 	var e *code.Error
 	if errors.As(err, &e) {
 		r = result{e.Code, e.Run}
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.results[r]++
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.results[r]++
 }
 
-// Results returns the answers so far by "code/run".
-func (a *account) Results() map[string]uint64 {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	out := make(map[string]uint64, len(a.results))
-	for r, n := range a.results {
+// Results returns the counts of answers since the start by "code/run".
+func (b *instrumentedBackend) Results() map[string]uint64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	out := make(map[string]uint64, len(b.results))
+	for r, n := range b.results {
 		out[r.code.String()+"/"+string(r.run)] = n
 	}
 	return out
 }
 
-// timedSink records when tokens go to the caller.
+// timedSink records the times of the tokens sent to the caller.
 type timedSink struct {
 	callerapi.Sink
-	a       *account
-	class   string
-	began   clock.Time
-	last    clock.Time
-	flushed bool // since the last token
+	b           *instrumentedBackend
+	class       string
+	startedAt   clock.Time
+	lastTokenAt clock.Time
+	flushed     bool // since the last token
 }
 
-// Token implements callerapi.Sink. Tokens of one write leave together, so that
-// the clock, a system call, is read once for them.
+// Token implements callerapi.Sink. It reads the clock, which is a system call, once for all tokens
+// that are sent in one write.
 func (s *timedSink) Token(t driver.Token) error {
 	switch {
-	case s.last == 0:
-		s.last = s.a.clk.Now()
-		s.a.burn.FirstToken(s.last, s.class, s.last.Sub(s.began))
+	case s.lastTokenAt == 0:
+		s.lastTokenAt = s.b.clk.Now()
+		s.b.burn.FirstToken(s.lastTokenAt, s.class, s.lastTokenAt.Sub(s.startedAt))
 	case s.flushed:
-		now := s.a.clk.Now()
-		s.a.burn.BetweenTokens(now, s.class, max(now.Sub(s.last), time.Nanosecond))
-		s.last = now
+		now := s.b.clk.Now()
+		s.b.burn.BetweenTokens(now, s.class, max(now.Sub(s.lastTokenAt), time.Nanosecond))
+		s.lastTokenAt = now
 	default:
-		s.a.burn.BetweenTokens(s.last, s.class, time.Nanosecond)
+		s.b.burn.BetweenTokens(s.lastTokenAt, s.class, time.Nanosecond)
 	}
 	s.flushed = false
 	return s.Sink.Token(t)
--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -16,19 +16,18 @@
 )
 
 const (
-	// addressTTL is how long callers keep an address answer: a leaving VM
-	// gets no more first requests after it, and address requests stay rare
-	// against the work of a caller.
+	// addressTTL is how long callers cache an address answer. A leaving VM receives no new callers
+	// once it has passed, and address requests stay rare compared with a caller's other requests.
 	addressTTL = 2 * time.Second
-	// Limits of a sheet that sets none.
-	defaultMaxBody   = 1 << 20
-	defaultMaxTokens = 4096
+	// The limits if the sheet sets none.
+	defaultMaxBodyBytes = 1 << 20
+	defaultMaxTokens    = 4096
 )
 
 // backend implements callerapi.Backend.
 type backend struct {
-	own      *Settings
-	views    func() *replica.View
+	settings *Settings
+	view     func() *replica.View
 	dispatch *dispatch.Dispatcher
 	commits  *commit.Committer
 }
@@ -37,63 +36,64 @@
 
 // Ready implements callerapi.Backend.
 func (b *backend) Ready() *code.Error {
-	if !b.views().Ready {
+	if !b.view().Ready {
 		return code.New(code.NotReady, "no sheet is in force here yet").WithRetryAfter(time.Second)
 	}
 	return nil
 }
 
-// Addresses implements callerapi.Backend. VMs of the caller's availability zone
-// come first, of the own one if the caller names none; the order within a zone
-// is random, so that callers spread.
+// Addresses implements callerapi.Backend. VMs of the caller's availability zone come first; if the
+// caller names no zone, those of this VM's zone. The order within a zone is random to spread the
+// callers.
 func (b *backend) Addresses(zone string) callerapi.Addresses {
 	if zone == "" {
-		zone = b.own.Zone
+		zone = b.settings.Zone
 	}
-	usable := b.usable()
+	usable := b.usableMembers()
 	rand.Shuffle(len(usable), func(i, j int) { usable[i], usable[j] = usable[j], usable[i] })
 	slices.SortStableFunc(usable, func(x, y membership.Member) int {
-		return rank(&x, zone) - rank(&y, zone)
+		return zoneRank(&x, zone) - zoneRank(&y, zone)
 	})
 	out := callerapi.Addresses{TTLMS: addressTTL.Milliseconds(), Addresses: []callerapi.Address{}}
 	for _, m := range usable {
 		out.Addresses = append(out.Addresses, callerapi.Address{Address: m.Caller, Zone: m.Zone})
 	}
-	if v := b.views(); len(out.Addresses) == 0 && !v.Leaving {
-		out.Addresses = append(out.Addresses, callerapi.Address{Address: b.own.Addresses.Caller, Zone: b.own.Zone})
+	if v := b.view(); len(out.Addresses) == 0 && !v.Leaving {
+		out.Addresses = append(out.Addresses, callerapi.Address{Address: b.settings.Addresses.Caller, Zone: b.settings.Zone})
 	}
 	return out
 }
 
-func rank(m *membership.Member, zone string) int {
+func zoneRank(m *membership.Member, zone string) int {
 	if m.Zone == zone {
 		return 0
 	}
 	return 1
 }
 
-// usable returns the VMs that callers and new work may be sent to.
-func (b *backend) usable() []membership.Member {
-	v := b.views()
+// usableMembers returns the VMs that may be sent callers and new work.
+func (b *backend) usableMembers() []membership.Member {
+	v := b.view()
 	var out []membership.Member
 	for i := range v.Members {
 		m := v.Members[i]
-		if m.Usable() && (!v.Leaving || m.Name != b.own.VM) {
+		if m.Usable() && (!v.Leaving || m.Name != b.settings.VM) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// peers returns the peer addresses that late arrivals may be passed on to.
-func (b *backend) peers() []string {
-	usable := b.usable()
+// peerAddresses returns the addresses of the usable peers, those in this VM's zone first. Requests
+// may be forwarded to them while this VM leaves.
+func (b *backend) peerAddresses() []string {
+	usable := b.usableMembers()
 	slices.SortStableFunc(usable, func(x, y membership.Member) int {
-		return rank(&x, b.own.Zone) - rank(&y, b.own.Zone)
+		return zoneRank(&x, b.settings.Zone) - zoneRank(&y, b.settings.Zone)
 	})
 	var out []string
 	for _, m := range usable {
-		if m.Name != b.own.VM && m.Peer != "" {
+		if m.Name != b.settings.VM && m.Peer != "" {
 			out = append(out, m.Peer)
 		}
 	}
@@ -102,8 +102,8 @@
 
 // Limits implements callerapi.Backend.
 func (b *backend) Limits() callerapi.Limits {
-	l := callerapi.Limits{MaxBodyBytes: defaultMaxBody, MaxTokens: defaultMaxTokens}
-	if s := b.views().Sheet; s != nil {
+	l := callerapi.Limits{MaxBodyBytes: defaultMaxBodyBytes, MaxTokens: defaultMaxTokens}
+	if s := b.view().Sheet; s != nil {
 		if s.Limits.MaxBody > 0 {
 			l.MaxBodyBytes = s.Limits.MaxBody
 		}
@@ -130,9 +130,9 @@
 
 // Call implements callerapi.Backend.
 func (b *backend) Call(ctx context.Context, c *callerapi.Call) (callerapi.Reply, error) {
-	leave, err := b.dispatch.Admit(ctx, c)
+	done, err := b.dispatch.Admit(ctx, c)
 	if err != nil {
-		return callerapi.Reply{}, resent(c, err)
+		return callerapi.Reply{}, markResendUnknown(c, err)
 	}
 	var reply callerapi.Reply
 	if c.Key == "" {
@@ -140,13 +140,13 @@
 	} else {
 		reply, err = b.commit(ctx, c)
 	}
-	leave(err == nil)
+	done(err == nil)
 	return reply, err
 }
 
-// resent takes not-run back from a refusal that was made before the log was
-// asked about an earlier sending of the key.
-func resent(c *callerapi.Call, err error) error {
+// markResendUnknown changes the outcome of a resend that was refused before its key was looked up in
+// the log from not-run to unknown, as an earlier request with that key may have run.
+func markResendUnknown(c *callerapi.Call, err error) error {
 	var e *code.Error
 	if c.Key != "" && c.Resend && errors.As(err, &e) && e.Run == code.NotRun {
 		return e.WithRun(code.Unknown)
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -32,18 +32,18 @@
 	"fescuestand/internal/sheet"
 )
 
-// benchEngine makes tokens without a network, so that only the entry's own work
-// is measured.
-type benchEngine struct{ hold chan struct{} }
+// benchEngine produces tokens without a network, so that only the work of the entry is measured.
+type benchEngine struct{ release chan struct{} }
 
 func init() {
 	driver.Engines.Register("bench", func(driver.Target) (driver.Engine, error) {
-		return &benchEngine{hold: holdStreams}, nil
+		return &benchEngine{release: releaseStreams}, nil
 	})
 }
 
-// holdStreams lets benchStreams end; closed but in the memory measurement.
-var holdStreams = closedChan()
+// releaseStreams blocks benchStreams after their first token until it is closed. It is open only
+// while memory is measured.
+var releaseStreams = closedChan()
 
 func closedChan() chan struct{} {
 	ch := make(chan struct{})
@@ -68,7 +68,7 @@
 }
 
 func (e *benchEngine) Generate(_ context.Context, r *driver.GenerateRequest) (driver.TokenStream, error) {
-	return &benchStream{attempt: r.Attempt, left: r.MaxTokens, hold: holdStreams}, nil
+	return &benchStream{attempt: r.Attempt, left: r.MaxTokens, release: releaseStreams}, nil
 }
 
 func (e *benchEngine) Export(context.Context, string) (driver.KVHandle, error) {
@@ -81,7 +81,7 @@
 type benchStream struct {
 	attempt   string
 	pos, left int
-	hold      chan struct{}
+	release   chan struct{}
 }
 
 var benchToken = []byte("label ")
@@ -91,7 +91,7 @@
 		return driver.Token{}, io.EOF
 	}
 	if s.pos > 0 {
-		<-s.hold
+		<-s.release
 	}
 	s.pos++
 	return driver.Token{Attempt: s.attempt, Pos: s.pos - 1, Text: benchToken}, nil
@@ -99,7 +99,7 @@
 
 func (s *benchStream) Close() error { return nil }
 
-// benchHandler is the caller interface over one engine without a network.
+// benchHandler returns the handler of the callers' interface on one engine, without a network.
 func benchHandler(b testing.TB) http.Handler {
 	s := &sheet.Sheet{
 		Engines: []sheet.Engine{{Name: "e", Driver: "bench"}},
@@ -122,8 +122,8 @@
 	for f.Router().Capacity(clock.Boot{}.Now(), "p", route.Artifact{Model: "m", Version: "1"}, "") == (route.Capacity{}) {
 		time.Sleep(time.Millisecond)
 	}
-	a := newAccount(benchBackend{d}, clock.Boot{})
-	a.follow(s)
+	a := newInstrumentedBackend(benchBackend{d}, clock.Boot{})
+	a.setObjectives(s)
 	return callerapi.NewHandler(a)
 }
 
@@ -142,7 +142,7 @@
 }
 func (benchBackend) CommitStatus(string) (callerapi.Reply, error) { return callerapi.Reply{}, nil }
 
-// discardWriter is the caller's connection.
+// discardWriter stands for the caller's connection and discards the answer.
 type discardWriter struct {
 	header http.Header
 	bytes  int
@@ -164,20 +164,20 @@
 	return r
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkStream gives the processor time and allocations of one request, by
-// its tokens: the slope is the cost of a token.
+// BenchmarkStream measures the CPU time and the allocations of one request by its number of tokens.
+// The slope is the cost per token.
 func BenchmarkStream(b *testing.B) {
 	h := benchHandler(b)
 	for _, tokens := range []int{1, 200, 1000} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
 			b.ReportAllocs()
-			began := cpu()
+			startedAt := cpuTime()
 			for b.Loop() {
 				w := &discardWriter{header: http.Header{}}
 				h.ServeHTTP(w, benchRequest(tokens))
@@ -185,57 +185,57 @@
 					b.Fatal(w.status)
 				}
 			}
-			b.ReportMetric(float64(cpu()-began)/float64(b.N)/1000, "cpu-µs/op")
+			b.ReportMetric(float64(cpuTime()-startedAt)/float64(b.N)/1000, "cpu-µs/op")
 		})
 	}
 }
 
-// BenchmarkOpenStreams gives the memory of one stream that waits for its next
-// token, without its connections.
+// BenchmarkOpenStreams measures the memory of one stream that waits for its next token, without its
+// connections.
 func BenchmarkOpenStreams(b *testing.B) {
 	h := benchHandler(b)
-	const open = 24 // what the pool lets through at first
+	const open = 24 // initial concurrency limit of the pool
 	for b.Loop() {
-		holdStreams = make(chan struct{})
-		before := inUse()
+		releaseStreams = make(chan struct{})
+		before := memoryInUse()
 		var wg sync.WaitGroup
 		for range open {
 			wg.Go(func() { h.ServeHTTP(&discardWriter{header: http.Header{}}, benchRequest(200)) })
 		}
 		time.Sleep(100 * time.Millisecond)
-		b.ReportMetric(float64(inUse()-before)/open, "B/stream")
-		close(holdStreams)
+		b.ReportMetric(float64(memoryInUse()-before)/open, "B/stream")
+		close(releaseStreams)
 		wg.Wait()
 	}
 }
 
-func inUse() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkCommits gives what the log adds to a commit and the appends that it
-// takes, at several loads, with a log that takes 3 ms for an append and a
-// process that may append 20 times a second.
+// BenchmarkCommits measures the latency that the log adds to a commit and the number of appends per
+// commit at several request rates. An append takes 3 ms, and the process may append 20 times per
+// second.
 func BenchmarkCommits(b *testing.B) {
 	for _, rate := range []int{1, 10, 50, 200} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
 			for b.Loop() {
-				commitsAt(b, rate)
+				runCommits(b, rate)
 			}
 		})
 	}
 }
 
-type instant struct{}
+type instantDispatcher struct{}
 
-func (instant) Dispatch(_ context.Context, _ *commit.Call, permit func() error) ([]byte, error) {
+func (instantDispatcher) Dispatch(_ context.Context, _ *commit.Call, permit func() error) ([]byte, error) {
 	return []byte("{}"), permit()
 }
 
-func commitsAt(b *testing.B, rate int) {
+func runCommits(b *testing.B, rate int) {
 	const span = 4 * time.Second
 	lg := logtest.New()
 	lg.SetLatency(3 * time.Millisecond)
@@ -244,24 +244,24 @@
 	j := &journal{log: client, stream: "commits"}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { _ = j.follow(ctx, t) })
-	assert.NilError(b, j.awaitEnd(ctx, t))
+	wg.Go(func() { _ = j.tailInto(ctx, t) })
+	assert.NilError(b, j.awaitCaughtUp(ctx, t))
 	c := commit.New(commit.Options{
 		Writer: "w", Window: func() time.Duration { return time.Hour }, MaxWindow: time.Hour,
-	}, t, j, instant{})
+	}, t, j, instantDispatcher{})
 	var mu sync.Mutex
 	var took []time.Duration
 	n := rate * int(span/time.Second)
 	var calls sync.WaitGroup
 	for i := range n {
 		calls.Go(func() {
-			began := time.Now()
-			if _, err := c.Do(ctx, &commit.Request{Key: fmt.Sprint(i), Issued: began}); err != nil {
+			startedAt := time.Now()
+			if _, err := c.Do(ctx, &commit.Request{Key: fmt.Sprint(i), Issued: startedAt}); err != nil {
 				b.Error(err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			took = append(took, time.Since(began))
+			took = append(took, time.Since(startedAt))
 		})
 		time.Sleep(time.Second / time.Duration(rate))
 	}
--- a/internal/entry/caller_test.go
+++ b/internal/entry/caller_test.go
@@ -14,28 +14,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
-	status  int
-	header  http.Header
-	body    string
-	text    string // of a stream's tokens
-	ended   bool   // the stream's end event came
-	refusal struct {
+	status   int
+	header   http.Header
+	body     string
+	text     string // text of a stream's tokens
+	complete bool   // the stream's end event was received
+	refusal  struct {
 		Code int
 		Name string
 		Run  string
 	}
 }
 
-func (w *world) post(ctx context.Context, addr, path, body string, header map[string]string) (*answer, error) {
+func (cl *cluster) post(ctx context.Context, addr, path, body string, header map[string]string) (*answer, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, strings.NewReader(body))
-	assert.NilError(w.t, err)
+	assert.NilError(cl.t, err)
 	req.Header.Set("Deadline-Ms", "20000")
 	for k, v := range header {
 		req.Header.Set(k, v)
 	}
-	resp, err := w.client.Do(req)
+	resp, err := cl.client.Do(req)
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 			next++
 			a.text += t.Text
 		case name == "data" && event == "end":
-			a.ended = true
+			a.complete = true
 		case name == "data" && event == "error":
 			_ = json.Unmarshal([]byte(value), &a.refusal)
 		}
@@ -82,23 +82,23 @@
 	return lines.Err()
 }
 
-func (w *world) generate(addr, prompt string, tokens int) (*answer, error) {
+func (cl *cluster) generate(addr, prompt string, tokens int) (*answer, error) {
 	body := fmt.Sprintf(`{"model":"m","prompt":%q,"max_tokens":%d,"seed":7,"class":"question"}`, prompt, tokens)
-	return w.post(w.ctx, addr, "/v1/generate", body, nil)
+	return cl.post(cl.ctx, addr, "/v1/generate", body, nil)
 }
 
-func (w *world) topup(addr, key, body string, resend bool, issued time.Time) (*answer, error) {
+func (cl *cluster) topup(addr, key, body string, resend bool, issued time.Time) (*answer, error) {
 	h := map[string]string{"Idempotency-Key": key, "Key-Issued-Ms": strconv.FormatInt(issued.UnixMilli(), 10)}
 	if resend {
 		h["Resend"] = "1"
 	}
-	return w.post(w.ctx, addr, "/v1/services/lantern/topup", body, h)
+	return cl.post(cl.ctx, addr, "/v1/services/lantern/topup", body, h)
 }
 
-// fault tells a stand-in to misbehave.
-func (w *world) fault(addr, body string) {
+// fault injects a fault into a stand-in.
+func (cl *cluster) fault(addr, body string) {
 	resp, err := http.Post("http://"+addr+"/fault", "application/json", strings.NewReader(body))
-	assert.NilError(w.t, err)
+	assert.NilError(cl.t, err)
 	_ = resp.Body.Close()
-	assert.Equal(w.t, resp.StatusCode, http.StatusNoContent)
+	assert.Equal(cl.t, resp.StatusCode, http.StatusNoContent)
 }
--- a/internal/entry/callers_test.go
+++ b/internal/entry/callers_test.go
@@ -18,10 +18,10 @@
 	"fescuestand/internal/standin/service"
 )
 
-// example is one request of the callers' page with the answer it shows.
+// example is one request shown on the callers' page, with the answer shown for it.
 type example struct{ request, answer string }
 
-func examplesOf(t *testing.T, file string) []example {
+func readExamples(t *testing.T, file string) []example {
 	page, err := os.ReadFile(file)
 	assert.NilError(t, err)
 	blocks := regexp.MustCompile("(?s)```http (request|answer)\n(.*?)```").FindAllStringSubmatch(string(page), -1)
@@ -36,25 +36,25 @@
 	return out
 }
 
-// The examples of the callers' page work as they stand there.
-func TestCallersPage(t *testing.T) {
-	w := newWorld(t, worldConfig{entries: 1, engines: []engine.Config{quick()}, services: []service.Config{{}}})
+// Every example request of the callers' page must give the answer shown there.
+func TestCallersPageExamples(t *testing.T) {
+	cl := newCluster(t, clusterConfig{entries: 1, engines: []engine.Config{fastEngine()}, services: []service.Config{{}}})
 	now := strconv.FormatInt(time.Now().UnixMilli(), 10)
-	examples := examplesOf(t, "../../docs/CALLERS.md")
+	examples := readExamples(t, "../../docs/CALLERS.md")
 	assert.Assert(t, len(examples) >= 6)
 	for _, ex := range examples {
-		checkExample(t, w, strings.ReplaceAll(ex.request, "NOW", now), ex.answer)
+		checkExample(t, cl, strings.ReplaceAll(ex.request, "NOW", now), ex.answer)
 	}
 }
 
-func checkExample(t *testing.T, w *world, request, answer string) {
+func checkExample(t *testing.T, cl *cluster, request, answer string) {
 	head, body, _ := strings.Cut(request, "\n\n")
 	body = strings.TrimSuffix(body, "\n")
 	text := fmt.Sprintf("%s\nHost: x\nContent-Length: %d\n\n%s", head, len(body), body)
 	req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	assert.NilError(t, err, request)
-	req.RequestURI, req.URL.Scheme, req.URL.Host = "", "http", w.entries[0].addr
-	resp, err := w.client.Do(req)
+	req.RequestURI, req.URL.Scheme, req.URL.Host = "", "http", cl.entries[0].addr
+	resp, err := cl.client.Do(req)
 	assert.NilError(t, err)
 	got, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,4 +1,3 @@
-// Package entry puts the parts of fescue-entry together: the caller interface,
-// admission and dispatch, commits, forwarding between peers, and the drain of a
-// leaving VM.
+// Package entry assembles the fescue-entry process from its parts: the callers' interface, admission
+// and dispatch, commits, forwarding between peers, and the drain of a leaving VM.
 package entry
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -13,7 +13,7 @@
 	"fescuestand/internal/standin/service"
 )
 
-func quick() engine.Config {
+func fastEngine() engine.Config {
 	return engine.Config{DecodeStep: 2 * time.Millisecond, Downtime: 300 * time.Millisecond}
 }
 
@@ -22,32 +22,32 @@
 }
 
 func TestStreamLookupAndCommit(t *testing.T) {
-	w := newWorld(t, worldConfig{entries: 2, engines: []engine.Config{quick(), quick()}, services: []service.Config{{}}})
-	a, err := w.generate(w.entries[0].addr, "lot 7", 40)
+	cl := newCluster(t, clusterConfig{entries: 2, engines: []engine.Config{fastEngine(), fastEngine()}, services: []service.Config{{}}})
+	a, err := cl.generate(cl.entries[0].addr, "lot 7", 40)
 	assert.NilError(t, err)
-	assert.Assert(t, a.ended, "%+v", a)
+	assert.Assert(t, a.complete, "%+v", a)
 	assert.Equal(t, a.text, wantText("lot 7", 40))
 
-	a, err = w.post(w.ctx, w.entries[0].addr, "/v1/services/lantern/balance", `{"id":1}`, nil)
+	a, err = cl.post(cl.ctx, cl.entries[0].addr, "/v1/services/lantern/balance", `{"id":1}`, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, a.body, string(oracle.Answer("balance", []byte(`{"id":1}`))), "%+v", a)
 
 	issued := time.Now()
-	a, err = w.topup(w.entries[0].addr, "k1", `{"id":1}`, false, issued)
+	a, err = cl.topup(cl.entries[0].addr, "k1", `{"id":1}`, false, issued)
 	assert.NilError(t, err)
 	assert.Equal(t, a.body, string(oracle.Answer("topup", []byte(`{"id":1}`))), "%+v", a)
 	assert.Equal(t, a.header.Get("Run"), "ran")
-	again, err := w.topup(w.entries[1].addr, "k1", `{"id":1}`, true, issued)
+	again, err := cl.topup(cl.entries[1].addr, "k1", `{"id":1}`, true, issued)
 	assert.NilError(t, err)
 	assert.Equal(t, again.header.Get("Result-Code"), "4006", "%+v", again)
 	assert.Equal(t, again.body, a.body)
-	other, err := w.topup(w.entries[1].addr, "k1", `{"id":2}`, true, issued)
+	other, err := cl.topup(cl.entries[1].addr, "k1", `{"id":2}`, true, issued)
 	assert.NilError(t, err)
 	assert.Equal(t, other.refusal.Name, "key-reused")
 
-	m := w.entries[1].unit.Metrics().(Metrics)
+	m := cl.entries[1].unit.Metrics().(Metrics)
 	assert.DeepEqual(t, m.Results, map[string]uint64{"ok/ran": 1, "key-reused/not-run": 1})
-	b, err := w.entries[0].unit.Burn()
+	b, err := cl.entries[0].unit.Burn()
 	assert.NilError(t, err)
 	var report burn.Report
 	assert.NilError(t, json.Unmarshal(b, &report))
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -17,200 +17,199 @@
 	"fescuestand/internal/wire"
 )
 
-// A line lead's draft is half written when its engine crashes, each time at
-// another token. The lead sees the rest come from another engine, without a
-// repeated or missing word.
+// An engine crashes in the middle of its streams, each time at another token. Another engine must
+// continue the streams without a repeated or missing word.
 func TestEngineCrashMidStream(t *testing.T) {
-	w := newWorld(t, worldConfig{entries: 1, engines: []engine.Config{quick(), quick(), quick()}})
+	cl := newCluster(t, clusterConfig{entries: 1, engines: []engine.Config{fastEngine(), fastEngine(), fastEngine()}})
 	for i, at := range []int{1, 5, 17, 30} {
 		var wg sync.WaitGroup
 		for j := range 6 {
 			wg.Go(func() {
 				prompt := fmt.Sprintf("lot %d-%d", i, j)
-				a, err := w.generate(w.entries[0].addr, prompt, 80)
+				a, err := cl.generate(cl.entries[0].addr, prompt, 80)
 				assert.Check(t, err)
-				assert.Check(t, a.ended, "%+v", a)
+				assert.Check(t, a.complete, "%+v", a)
 				assert.Check(t, a.text == wantText(prompt, 80))
 			})
 		}
 		time.Sleep(time.Duration(10+4*at) * time.Millisecond)
-		w.fault(w.engines[i%3], `{"name":"crash","count":1}`)
+		cl.fault(cl.engines[i%3], `{"name":"crash","count":1}`)
 		wg.Wait()
-		w.awaitReady(w.entries[0])
+		cl.awaitReady(cl.entries[0])
 	}
 }
 
-// The control process takes an engine away for another role while drafts run on
-// it. Callers must see nothing of it: the streams move, with their KV cache.
-func TestPlannedMoveCutsNoStream(t *testing.T) {
-	w := newWorld(t, worldConfig{entries: 1, engines: []engine.Config{quick(), quick()}})
+// The control process moves the streams off an engine that changes its role. The streams must
+// continue on another engine, with their KV cache, and callers must not notice.
+func TestPlannedMoveInterruptsNoStream(t *testing.T) {
+	cl := newCluster(t, clusterConfig{entries: 1, engines: []engine.Config{fastEngine(), fastEngine()}})
 	var wg sync.WaitGroup
 	for j := range 8 {
 		wg.Go(func() {
 			prompt := fmt.Sprintf("lot %d", j)
-			a, err := w.generate(w.entries[0].addr, prompt, 150)
+			a, err := cl.generate(cl.entries[0].addr, prompt, 150)
 			assert.Check(t, err)
-			assert.Check(t, a.ended, "%+v", a)
+			assert.Check(t, a.complete, "%+v", a)
 			assert.Check(t, a.text == wantText(prompt, 150))
 		})
 	}
 	time.Sleep(100 * time.Millisecond)
-	u := w.entries[0].unit
-	u.fleet.Direct(w.ctx, &wire.Directive{Engine: "e0", Fence: 5, Seq: 1, Phase: wire.Phase_PHASE_MOVE})
+	u := cl.entries[0].unit
+	u.fleet.Direct(cl.ctx, &wire.Directive{Engine: "e0", Fence: 5, Seq: 1, Phase: wire.Phase_PHASE_MOVE})
 	deadline := time.Now().Add(2 * time.Second)
 	for u.fleet.Engine("e0").InFlight() > 0 && time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
 	}
 	assert.Equal(t, u.fleet.Engine("e0").InFlight(), 0)
-	// A directive of a holder that has lost the engine must not open it.
-	u.fleet.Direct(w.ctx, &wire.Directive{Engine: "e0", Fence: 4, Seq: 9, Phase: wire.Phase_PHASE_OPEN})
+	// A directive with an older fencing token, from a former holder of the engine's lease, must not
+	// open the engine.
+	u.fleet.Direct(cl.ctx, &wire.Directive{Engine: "e0", Fence: 4, Seq: 9, Phase: wire.Phase_PHASE_OPEN})
 	for _, e := range u.Status().Endpoints {
 		assert.Assert(t, e.Name != "e0" || e.Phase == "draining", "%+v", e)
 	}
 	wg.Wait()
 }
 
-// A VM is taken down for a replacement under load. Its streams end whole, and
-// callers that still hold its address get their answers through a peer.
-func TestLeavingVMCutsNothing(t *testing.T) {
-	w := newWorld(t, worldConfig{
-		entries: 2, engines: []engine.Config{quick(), quick()}, services: []service.Config{{}},
+// A VM is shut down under load. Its streams must complete, and callers that still use its address
+// must be answered through a peer.
+func TestLeavingVMInterruptsNoRequest(t *testing.T) {
+	cl := newCluster(t, clusterConfig{
+		entries: 2, engines: []engine.Config{fastEngine(), fastEngine()}, services: []service.Config{{}},
 	})
-	leaving := w.entries[0]
+	leaving := cl.entries[0]
 	var wg sync.WaitGroup
-	ask := func(prompt string, tokens int) {
+	startStream := func(prompt string, tokens int) {
 		wg.Go(func() {
-			a, err := w.generate(leaving.addr, prompt, tokens)
+			a, err := cl.generate(leaving.addr, prompt, tokens)
 			if !assert.Check(t, err) {
 				return
 			}
-			assert.Check(t, a.ended, "%+v", a)
+			assert.Check(t, a.complete, "%+v", a)
 			assert.Check(t, a.text == wantText(prompt, tokens))
 		})
 	}
 	for i := range 5 {
-		ask(fmt.Sprintf("early %d", i), 600)
+		startStream(fmt.Sprintf("early %d", i), 600)
 	}
 	time.Sleep(100 * time.Millisecond)
 	leaving.terminate()
-	leaving.terminate() // an impatient operator
+	leaving.terminate() // an operator repeats the signal
 	for i := range 10 {
 		time.Sleep(100 * time.Millisecond)
-		ask(fmt.Sprintf("late %d", i), 20)
+		startStream(fmt.Sprintf("late %d", i), 20)
 		key := fmt.Sprintf("key-%d", i)
-		a, err := w.topup(leaving.addr, key, `{}`, false, time.Now())
+		a, err := cl.topup(leaving.addr, key, `{}`, false, time.Now())
 		assert.NilError(t, err)
 		assert.Equal(t, a.header.Get("Run"), "ran", "%+v", a)
 	}
-	for _, a := range w.entries[1].unit.backend.Addresses("").Addresses {
+	for _, a := range cl.entries[1].unit.backend.Addresses("").Addresses {
 		assert.Assert(t, a.Address != leaving.addr, "a leaving VM is in the address answer")
 	}
 	wg.Wait()
 	assert.NilError(t, <-leaving.done)
 }
 
-// Two VMs leave at the same time and each knows the other as its peer. A late
-// request must not go to and fro between them: it is refused as not run.
+// Two VMs leave at the same time and each has the other as its only peer. A request must not be
+// forwarded back and forth between them: it is refused as not run.
 func TestTwoLeavingVMsDoNotLoop(t *testing.T) {
-	w := newWorld(t, worldConfig{entries: 2, engines: []engine.Config{quick()}})
-	for _, e := range w.entries {
+	cl := newCluster(t, clusterConfig{entries: 2, engines: []engine.Config{fastEngine()}})
+	for _, e := range cl.entries {
 		e.unit.leaving.Store(true)
 	}
-	a, err := w.generate(w.entries[0].addr, "lot", 5)
+	a, err := cl.generate(cl.entries[0].addr, "lot", 5)
 	assert.NilError(t, err)
 	assert.Equal(t, a.refusal.Name, "forward-loop", "%+v", a)
 	assert.Equal(t, a.refusal.Run, "not-run")
 }
 
-// One request crashes every engine that runs it, and its caller sends it again
-// and again to all entries. Without a verdict the whole fleet would be down for
-// as long as the caller is patient; with it, two engines are lost, and the
-// drafts that shared them are whole.
+// One request crashes every engine that runs it, and its caller keeps retrying it at all entries.
+// Without quarantine the whole fleet is down for as long as the caller retries. With quarantine at
+// most two engines crash, and the other streams on them complete.
 func TestPoisonCostsAtMostTwoEngines(t *testing.T) {
-	lost, cut := poison(t, false)
-	assert.Assert(t, lost <= 2, "%d engines lost", lost)
-	assert.Equal(t, cut, 0)
+	crashed, interrupted := runPoison(t, false)
+	assert.Assert(t, crashed <= 2, "%d engines crashed", crashed)
+	assert.Equal(t, interrupted, 0)
 }
 
-func TestPoisonWithoutVerdict(t *testing.T) {
-	lost, cut := poison(t, true)
-	assert.Assert(t, lost > 2, "%d engines lost, %d drafts cut", lost, cut)
+func TestPoisonWithoutQuarantine(t *testing.T) {
+	crashed, interrupted := runPoison(t, true)
+	assert.Assert(t, crashed > 2, "%d engines crashed, %d streams interrupted", crashed, interrupted)
 }
 
-// poison returns how many engines one request costs that is sent 20 times, and
-// how many of six drafts that run meanwhile are cut.
-func poison(t *testing.T, off bool) (lost, cut int) {
-	poisoned := quick()
+// runPoison sends a request that crashes engines 20 times. It returns how many engines crashed, and
+// how many of six other streams that ran meanwhile were interrupted.
+func runPoison(t *testing.T, disabled bool) (crashed, interrupted int) {
+	poisoned := fastEngine()
 	poisoned.Poison = "mould"
 	poisoned.Downtime = 100 * time.Millisecond
-	w := newWorld(t, worldConfig{entries: 2, engines: []engine.Config{poisoned, poisoned, poisoned, poisoned}})
-	for _, e := range w.entries {
-		e.unit.suspects.Disabled = off
+	cl := newCluster(t, clusterConfig{entries: 2, engines: []engine.Config{poisoned, poisoned, poisoned, poisoned}})
+	for _, e := range cl.entries {
+		e.unit.suspects.Disabled = disabled
 	}
-	var cuts atomic.Int64
+	var interruptions atomic.Int64
 	var wg sync.WaitGroup
 	for j := range 6 {
 		wg.Go(func() {
 			prompt := fmt.Sprintf("neighbour %d", j)
-			a, err := w.generate(w.entries[j%2].addr, prompt, 400)
-			if err != nil || !a.ended || a.text != wantText(prompt, 400) {
-				cuts.Add(1)
+			a, err := cl.generate(cl.entries[j%2].addr, prompt, 400)
+			if err != nil || !a.complete || a.text != wantText(prompt, 400) {
+				interruptions.Add(1)
 			}
 		})
 	}
 	time.Sleep(100 * time.Millisecond)
-	lives := w.lives()
+	before := cl.incarnations()
 	for i := range 20 {
-		a, err := w.generate(w.entries[i%2].addr, "a crate with mould", 20)
+		a, err := cl.generate(cl.entries[i%2].addr, "a crate with mould", 20)
 		assert.NilError(t, err)
-		assert.Assert(t, !a.ended, "%+v", a)
-		assert.Assert(t, off || a.refusal.Name == "poison", "%+v", a)
+		assert.Assert(t, !a.complete, "%+v", a)
+		assert.Assert(t, disabled || a.refusal.Name == "poison", "%+v", a)
 	}
 	wg.Wait()
 	time.Sleep(4 * poisoned.Downtime)
-	for name, life := range w.lives() {
-		if lives[name] != life {
-			lost++
+	for name, incarnation := range cl.incarnations() {
+		if before[name] != incarnation {
+			crashed++
 		}
 	}
-	return lost, int(cuts.Load())
+	return crashed, int(interruptions.Load())
 }
 
-// lives returns the engines' incarnations.
-func (w *world) lives() map[string]string {
+// incarnations returns the engines' incarnations.
+func (cl *cluster) incarnations() map[string]string {
 	out := map[string]string{}
-	for name, e := range w.entries[0].unit.fleet.Engines() {
-		s, err := e.State(w.ctx)
-		assert.NilError(w.t, err)
+	for name, e := range cl.entries[0].unit.fleet.Engines() {
+		s, err := e.State(cl.ctx)
+		assert.NilError(cl.t, err)
 		out[name] = s.Incarnation
 	}
 	return out
 }
 
-// A caller closes its connection in the middle of a stream. The engine's place
-// must be free again at once, or gone callers fill the fleet.
-func TestCallerGoneCancelsUpstream(t *testing.T) {
-	w := newWorld(t, worldConfig{entries: 1, engines: []engine.Config{quick()}})
-	ctx, cancel := context.WithTimeout(w.ctx, 200*time.Millisecond)
+// A caller disconnects in the middle of a stream. The engine must free the slot immediately;
+// otherwise requests of disconnected callers fill the fleet.
+func TestCallerDisconnectCancelsUpstream(t *testing.T) {
+	cl := newCluster(t, clusterConfig{entries: 1, engines: []engine.Config{fastEngine()}})
+	ctx, cancel := context.WithTimeout(cl.ctx, 200*time.Millisecond)
 	defer cancel()
 	body := `{"model":"m","prompt":"x","max_tokens":2000,"seed":7,"class":"question"}`
-	_, err := w.post(ctx, w.entries[0].addr, "/v1/generate", body, nil)
+	_, err := cl.post(ctx, cl.entries[0].addr, "/v1/generate", body, nil)
 	assert.Assert(t, err != nil)
-	e := w.entries[0].unit.fleet.Engine("e0")
+	e := cl.entries[0].unit.fleet.Engine("e0")
 	for range 100 {
-		s, err := e.State(w.ctx)
+		s, err := e.State(cl.ctx)
 		assert.NilError(t, err)
 		if s.Running+s.Queued == 0 && e.InFlight() == 0 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the engine still runs a gone caller's request")
+	t.Fatal("the engine still runs the request of a disconnected caller")
 }
 
-// Every kind of bad request gets its own number at once, as not run.
-func TestBadRequestsAreNumbered(t *testing.T) {
-	w := newWorld(t, worldConfig{entries: 1, engines: []engine.Config{quick()}, services: []service.Config{{}}})
+// Each kind of invalid request must be refused with its own result code, as not run.
+func TestInvalidRequestsGetResultCodes(t *testing.T) {
+	cl := newCluster(t, clusterConfig{entries: 1, engines: []engine.Config{fastEngine()}, services: []service.Config{{}}})
 	good := `{"model":"m","prompt":"x","max_tokens":5,"seed":7,"class":"question"}`
 	now := fmt.Sprint(time.Now().UnixMilli())
 	tests := []struct {
@@ -242,11 +241,11 @@
 		}},
 	}
 	for _, tt := range tests {
-		a, err := w.post(w.ctx, w.entries[0].addr, tt.path, tt.body, tt.header)
+		a, err := cl.post(cl.ctx, cl.entries[0].addr, tt.path, tt.body, tt.header)
 		assert.NilError(t, err)
 		assert.Equal(t, a.refusal.Name, tt.name, "%s %.80s: %+v", tt.path, tt.body, a)
 		assert.Equal(t, a.refusal.Run, "not-run")
 		assert.Assert(t, a.status != http.StatusOK)
 	}
-	assert.Equal(t, w.entries[0].unit.Left(), 0)
+	assert.Equal(t, cl.entries[0].unit.Left(), 0)
 }
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -11,19 +11,19 @@
 	"fescuestand/internal/wire"
 )
 
-// exchangeTimeout bounds one exchange of evidence: a peer that takes longer
-// hears of it by the usual gossip.
-const exchangeTimeout = 100 * time.Millisecond
+// evidenceExchangeTimeout bounds one exchange of crash evidence. A peer that answers later receives
+// the evidence by regular gossip.
+const evidenceExchangeTimeout = 100 * time.Millisecond
 
 func seedOf(incarnation string) uint64 { return xxhash.Sum64String(incarnation) }
 
-// contribute adds what this entry measured to its gossip.
-func (u *Unit) contribute(g *wire.Gossip) {
+// addMeasurements adds the load per pool and the crash evidence of this entry to its gossip.
+func (u *Unit) addMeasurements(g *wire.Gossip) {
 	queues := u.dispatch.Queues()
 	for name, t := range u.dispatch.Counts().Snapshot() {
 		g.Pools = append(g.Pools, poolLoad(name, t, queues[name]))
 	}
-	g.Crashes = u.suspects.EvidenceForPeers(u.o.Clock.Now())
+	g.Crashes = u.suspects.EvidenceForPeers(u.opts.Clock.Now())
 }
 
 func poolLoad(name string, t dispatch.Totals, q dispatch.Queued) *wire.PoolLoad {
@@ -33,27 +33,27 @@
 	}
 }
 
-// hear takes what a peer says that matters to traffic.
-func (u *Unit) hear(g *wire.Gossip) {
+// receiveGossip applies the directives and merges the crash evidence of a peer's gossip.
+func (u *Unit) receiveGossip(g *wire.Gossip) {
 	for _, d := range g.GetDirectives() {
 		u.fleet.Hint(d)
 	}
-	u.suspects.MergeFromPeer(u.o.Clock.Now(), g.GetCrashes())
+	u.suspects.MergeFromPeer(u.opts.Clock.Now(), g.GetCrashes())
 }
 
-// exchangeEvidence sends this entry's crash evidence to every peer at once and
-// takes in theirs. It is no heartbeat: it names no process.
-func (u *Unit) exchangeEvidence(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
+// exchangeCrashEvidence sends this entry's crash evidence to all peers concurrently and merges
+// theirs. The message is no heartbeat, as it names no process.
+func (u *Unit) exchangeCrashEvidence(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, evidenceExchangeTimeout)
 	defer cancel()
 	req := &wire.PeerRequest{Kind: &wire.PeerRequest_Gossip{Gossip: &wire.Gossip{
-		Crashes: u.suspects.EvidenceForPeers(u.o.Clock.Now()),
+		Crashes: u.suspects.EvidenceForPeers(u.opts.Clock.Now()),
 	}}}
 	var wg sync.WaitGroup
-	for _, addr := range u.backend.peers() {
+	for _, addr := range u.backend.peerAddresses() {
 		wg.Go(func() {
-			if resp, err := u.o.Peers.Call(ctx, addr, req); err == nil {
-				u.hear(resp.GetGossip())
+			if resp, err := u.opts.Peers.Call(ctx, addr, req); err == nil {
+				u.receiveGossip(resp.GetGossip())
 			}
 		})
 	}
--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -13,7 +13,7 @@
 	"fescuestand/internal/wire"
 )
 
-// journal is the commits stream of the log service.
+// journal reads and writes the commits stream of the log service.
 type journal struct {
 	log    *logclient.Client
 	stream string
@@ -22,24 +22,23 @@
 // Append implements commit.Journal.
 func (j *journal) Append(ctx context.Context, e *wire.Entry) (uint64, error) {
 	r, err := j.log.Append(ctx, j.stream, e)
-	var numbered *code.Error
-	if errors.As(err, &numbered) && numbered.Run == code.NotRun {
+	var codeErr *code.Error
+	if errors.As(err, &codeErr) && codeErr.Run == code.NotRun {
 		return 0, fmt.Errorf("%w: %w", driver.ErrNotSent, err)
 	}
 	return r.Offset, err
 }
 
-// readyCheck is the pause between two looks whether the stream was read to its
-// end.
-const readyCheck = 50 * time.Millisecond
+// readyPollInterval is the interval of the checks whether the stream was read to its end.
+const readyPollInterval = 50 * time.Millisecond
 
-// follow feeds the commits stream to the table from the oldest offset kept.
+// tailInto applies the commits stream to the table, from the oldest retained offset on.
 //
-// Failure: a process that has just started takes a resend of a key whose first
-// sending it has not read yet, and runs it again. So the table is ready only
-// once the end of the log, as seen at the start, was reached. Records that
-// expired unread are older than any key that may still run.
-func (j *journal) follow(ctx context.Context, t *commit.Table) error {
+// Failure: a process that has just started receives a resend of a key whose first request it has
+// not read from the log yet, and runs it again. Therefore the table becomes ready only after
+// awaitCaughtUp has seen that the stream was read up to where the log ended at the start. Records
+// that expired unread are older than any key that may still run.
+func (j *journal) tailInto(ctx context.Context, t *commit.Table) error {
 	return j.log.Tail(ctx, j.stream, 1, func(items []logclient.Item) error {
 		for i := range items {
 			if it := &items[i]; it.Entry != nil {
@@ -50,8 +49,8 @@
 	})
 }
 
-func (j *journal) awaitEnd(ctx context.Context, t *commit.Table) error {
-	tick := time.NewTicker(readyCheck)
+func (j *journal) awaitCaughtUp(ctx context.Context, t *commit.Table) error {
+	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
 	for !j.log.Progress(j.stream).Read {
 		select {
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -7,10 +7,10 @@
 	"fescuestand/internal/policy/route"
 )
 
-// Metrics is what expvar shows of one entry.
+// Metrics are the figures of one entry that are published by expvar.
 type Metrics struct {
-	Requests  int                        `json:"requests"` // in hand
-	Results   map[string]uint64          `json:"results"`  // by code/run, since the start
+	Requests  int                        `json:"requests"` // in progress
+	Results   map[string]uint64          `json:"results"`  // counts by code/run since the start
 	Pools     map[string]dispatch.Totals `json:"pools"`
 	Queued    map[string]dispatch.Queued `json:"queued"`
 	Streams   dispatch.StreamCounts      `json:"streams"`
@@ -18,30 +18,30 @@
 	Endpoints []route.EndpointStats      `json:"endpoints"`
 }
 
-// CommitMetrics is the state of the commits.
+// CommitMetrics is the state of the commits and of their table.
 type CommitMetrics struct {
 	Pending int    `json:"pending"`
-	Keys    int    `json:"keys"` // remembered
+	Keys    int    `json:"keys"` // stored in the table
 	Offset  uint64 `json:"offset"`
 	Ready   bool   `json:"ready"`
 }
 
-// Metrics returns the present figures.
+// Metrics returns the current figures.
 func (u *Unit) Metrics() any {
-	offset, _ := u.table.Applied()
+	offset, _ := u.commitTable.Applied()
 	return Metrics{
-		Requests: int(u.active.Load()), Results: u.account.Results(),
+		Requests: int(u.active.Load()), Results: u.instrumented.Results(),
 		Pools: u.dispatch.Counts().Snapshot(), Queued: u.dispatch.Queues(), Streams: u.dispatch.Streams(),
 		Commits: CommitMetrics{
-			Pending: u.commits.Pending(), Keys: u.table.Len(), Offset: offset, Ready: u.table.Ready(),
+			Pending: u.commits.Pending(), Keys: u.commitTable.Len(), Offset: offset, Ready: u.commitTable.Ready(),
 		},
-		Endpoints: u.fleet.Router().Snapshot(u.o.Clock.Now()).Endpoints,
+		Endpoints: u.fleet.Router().Snapshot(u.opts.Clock.Now()).Endpoints,
 	}
 }
 
-// Burn returns this entry's service-level account as JSON.
+// Burn returns the burn-rate report of this entry as JSON.
 func (u *Unit) Burn() ([]byte, error) {
-	r, err := u.account.burn.Report(u.o.Clock.Now(), u.o.Settings.VM, u.o.Settings.Zone)
+	r, err := u.instrumented.burn.Report(u.opts.Clock.Now(), u.opts.Settings.VM, u.opts.Settings.Zone)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/entry/refusals.go
+++ b/internal/entry/refusals.go
@@ -10,28 +10,27 @@
 	"fescuestand/internal/entry/callerapi"
 )
 
-// refusalLines bounds the log lines about refusals, a second. At three times
-// the capacity a VM of the design size refuses some twenty requests a second;
-// beyond the bound lines are only counted, so that an overload does not fill the
-// log's disk with its own account.
+// refusalLinesPerSecond limits the rate of log lines about refusals. At three times its capacity, a
+// VM of the design size refuses some twenty requests per second. Lines above the limit are only
+// counted, so that an overload does not fill the disk of the log.
 const (
-	refusalLines = 50
-	refusalBurst = 200
+	refusalLinesPerSecond = 50
+	refusalBurst          = 200
 )
 
-// refusals logs why requests were not answered whole.
-type refusals struct {
+// refusalLogger logs, at a limited rate, why requests were refused or answered incompletely.
+type refusalLogger struct {
 	limit   *rate.Limiter
-	skipped atomic.Int64 // lines left out since the last one
+	skipped atomic.Int64 // lines suppressed since the last logged one
 }
 
-func newRefusals() *refusals {
-	return &refusals{limit: rate.NewLimiter(refusalLines, refusalBurst)}
+func newRefusalLogger() *refusalLogger {
+	return &refusalLogger{limit: rate.NewLimiter(refusalLinesPerSecond, refusalBurst)}
 }
 
-// log writes one line with the reason and its figures. kind is the class of a
-// completion or the operation of a service.
-func (r *refusals) log(c *callerapi.Caller, kind string, err error) {
+// log writes one line with the result and the request. kind is the class of a completion or the
+// operation of a service.
+func (r *refusalLogger) log(c *callerapi.Caller, kind string, err error) {
 	if !r.limit.Allow() {
 		r.skipped.Add(1)
 		return
@@ -44,10 +43,10 @@
 	}).Info("not answered whole")
 }
 
-// callersFault tells whether nobody but the caller could have done better: a
-// request for a model that the sheet does not have is no burn of our budget.
-func callersFault(err error) bool {
-	const requestCodes = 1999 // the last of the codes about the request itself
+// isCallerFault reports whether only the caller could have avoided the error. Such errors, for
+// example a request for a model that the sheet does not have, don't consume the error budget.
+func isCallerFault(err error) bool {
+	const lastRequestCode = 1999 // the last code for faults of the request itself
 	c := code.Of(err).Code
-	return c > code.OK && c <= requestCodes && c != code.DeadlinePassed
+	return c > code.OK && c <= lastRequestCode && c != code.DeadlinePassed
 }
--- a/internal/entry/rolling_test.go
+++ b/internal/entry/rolling_test.go
@@ -22,57 +22,57 @@
 	"fescuestand/internal/standin/service"
 )
 
-// load is a steady mix of callers that follow the address answer.
+// load is a constant number of callers that send a mix of requests to the advertised addresses.
 type load struct {
-	w       *world
-	stop    chan struct{}
-	wg      sync.WaitGroup
-	whole   atomic.Int64
-	refused atomic.Int64
-	mu      sync.Mutex
-	bad     []string
-	slowest time.Duration
+	cl        *cluster
+	stop      chan struct{}
+	wg        sync.WaitGroup
+	completed atomic.Int64
+	refused   atomic.Int64
+	mu        sync.Mutex
+	failures  []string
+	slowest   time.Duration
 }
 
-func (w *world) startLoad(callers int) *load {
-	l := &load{w: w, stop: make(chan struct{})}
+func (cl *cluster) startLoad(callers int) *load {
+	l := &load{cl: cl, stop: make(chan struct{})}
 	for i := range callers {
 		l.wg.Go(func() { l.caller(i) })
 	}
 	return l
 }
 
-// caller asks again and again, each time at an address of its last address
-// answer, which it keeps for the time to live.
+// caller sends requests in a loop, each to a random address of its last address answer, which it
+// refreshes after addressTTL.
 func (l *load) caller(id int) {
-	known, asked := []string{*l.w.newest.Load()}, time.Time{}
+	addrs, askedAt := []string{*l.cl.newestAddr.Load()}, time.Time{}
 	for n := 0; ; n++ {
 		select {
 		case <-l.stop:
 			return
 		default:
 		}
-		if time.Since(asked) > addressTTL {
-			if fresh := l.addresses(known); len(fresh) > 0 {
-				known, asked = fresh, time.Now()
+		if time.Since(askedAt) > addressTTL {
+			if newAddrs := l.addresses(addrs); len(newAddrs) > 0 {
+				addrs, askedAt = newAddrs, time.Now()
 			}
 		}
-		addr := known[rand.IntN(len(known))]
-		began := time.Now()
-		if l.one(addr, fmt.Sprintf("%d-%d", id, n), n%4) {
-			// The address no longer answers: ask for others.
-			known = slices.DeleteFunc(slices.Clone(known), func(a string) bool { return a == addr })
-			known, asked = append(known, *l.w.newest.Load()), time.Time{}
+		addr := addrs[rand.IntN(len(addrs))]
+		startedAt := time.Now()
+		if l.send(addr, fmt.Sprintf("%d-%d", id, n), n%4) {
+			// The address is unreachable: drop it and request others.
+			addrs = slices.DeleteFunc(slices.Clone(addrs), func(a string) bool { return a == addr })
+			addrs, askedAt = append(addrs, *l.cl.newestAddr.Load()), time.Time{}
 		}
 		l.mu.Lock()
-		l.slowest = max(l.slowest, time.Since(began))
+		l.slowest = max(l.slowest, time.Since(startedAt))
 		l.mu.Unlock()
 	}
 }
 
-func (l *load) addresses(known []string) []string {
-	for _, k := range known {
-		resp, err := l.w.client.Get("http://" + k + "/v1/addresses")
+func (l *load) addresses(addrs []string) []string {
+	for _, k := range addrs {
+		resp, err := l.cl.client.Get("http://" + k + "/v1/addresses")
 		if err != nil {
 			continue
 		}
@@ -91,18 +91,18 @@
 	return nil
 }
 
-// one sends one request and tells whether the address was unreachable.
-func (l *load) one(addr, id string, kind int) (unreachable bool) {
+// send sends one request and reports whether the address was unreachable.
+func (l *load) send(addr, id string, kind int) (unreachable bool) {
 	var a *answer
 	var err error
 	want := ""
 	switch kind {
 	case 0:
-		a, err = l.w.topup(addr, "key-"+id, `{}`, false, time.Now())
+		a, err = l.cl.topup(addr, "key-"+id, `{}`, false, time.Now())
 	case 1:
-		a, err = l.w.post(l.w.ctx, addr, "/v1/services/lantern/balance", `{}`, nil)
+		a, err = l.cl.post(l.cl.ctx, addr, "/v1/services/lantern/balance", `{}`, nil)
 	default:
-		a, err = l.w.generate(addr, id, 30)
+		a, err = l.cl.generate(addr, id, 30)
 		want = wantText(id, 30)
 	}
 	var op *net.OpError
@@ -113,71 +113,71 @@
 	defer l.mu.Unlock()
 	switch {
 	case err != nil:
-		l.bad = append(l.bad, fmt.Sprintf("%s %s: %v", addr, id, err))
+		l.failures = append(l.failures, fmt.Sprintf("%s %s: %v", addr, id, err))
 	case a.refusal.Code != 0 && a.refusal.Run == "not-run":
 		l.refused.Add(1)
-	case kind > 1 && (!a.ended || a.text != want), a.refusal.Code != 0:
-		l.bad = append(l.bad, fmt.Sprintf("%s %s: %+v", addr, id, a))
+	case kind > 1 && (!a.complete || a.text != want), a.refusal.Code != 0:
+		l.failures = append(l.failures, fmt.Sprintf("%s %s: %+v", addr, id, a))
 	default:
-		l.whole.Add(1)
+		l.completed.Add(1)
 	}
 	return false
 }
 
-// rate returns the whole answers a second during f.
+// rate returns the number of complete answers per second while f runs.
 func (l *load) rate(f func()) float64 {
-	before, began := l.whole.Load(), time.Now()
+	before, startedAt := l.completed.Load(), time.Now()
 	f()
-	return float64(l.whole.Load()-before) / time.Since(began).Seconds()
+	return float64(l.completed.Load()-before) / time.Since(startedAt).Seconds()
 }
 
-// replace starts a VM in place of entry i and stops the old one.
-func (w *world) replace(i, generation int) {
+// replaceVM starts a new VM for entry i and then stops the old one.
+func (cl *cluster) replaceVM(i, generation int) {
 	vm := httpapi.VM{
 		Name: fmt.Sprintf("vm%d-%d", i, generation), Zone: "z",
 		Caller: loopback.FreeAddress(), Peer: loopback.FreeAddress(), Status: loopback.FreeAddress(),
 	}
-	old := w.entries[i]
-	w.vms[i].Leaving = true
-	w.putVMs(append(slices.Clone(w.vms), vm))
-	fresh := w.startEntry(vm)
-	w.awaitReady(fresh)
-	w.newest.Store(&fresh.addr)
+	old := cl.entries[i]
+	cl.vms[i].Leaving = true
+	cl.putVMs(append(slices.Clone(cl.vms), vm))
+	replacement := cl.startEntry(vm)
+	cl.awaitReady(replacement)
+	cl.newestAddr.Store(&replacement.addr)
 	old.terminate()
-	assert.NilError(w.t, <-old.done)
-	w.vms[i] = vm
-	w.putVMs(w.vms)
-	w.entries[i] = fresh
+	assert.NilError(cl.t, <-old.done)
+	cl.vms[i] = vm
+	cl.putVMs(cl.vms)
+	cl.entries[i] = replacement
 }
 
-func (w *world) putVMs(vms []httpapi.VM) {
+func (cl *cluster) putVMs(vms []httpapi.VM) {
 	b, err := json.Marshal(httpapi.VMs{VMs: vms})
-	assert.NilError(w.t, err)
-	req, err := http.NewRequest(http.MethodPut, "http://"+w.vmAddr+httpapi.PathVMs, bytes.NewReader(b))
-	assert.NilError(w.t, err)
+	assert.NilError(cl.t, err)
+	req, err := http.NewRequest(http.MethodPut, "http://"+cl.vmListAddr+httpapi.PathVMs, bytes.NewReader(b))
+	assert.NilError(cl.t, err)
 	resp, err := http.DefaultClient.Do(req)
-	assert.NilError(w.t, err)
-	assert.NilError(w.t, resp.Body.Close())
-	assert.Assert(w.t, resp.StatusCode < 300, resp.Status)
+	assert.NilError(cl.t, err)
+	assert.NilError(cl.t, resp.Body.Close())
+	assert.Assert(cl.t, resp.StatusCode < 300, resp.Status)
 }
 
-// Every entry VM is replaced in turn while callers draft, look up and top up.
-// No caller may see a broken stream or an answer of unknown fate.
-func TestRollingReplacementCutsNothing(t *testing.T) {
+// All entry VMs are replaced one by one while callers send completions, lookups and commits. No
+// caller may receive an interrupted stream or an answer with an unknown outcome.
+func TestRollingReplacementInterruptsNoRequest(t *testing.T) {
 	if testing.Short() {
 		t.Skip("replaces three VMs, about 12 s")
 	}
-	w := newWorld(t, worldConfig{entries: 3, engines: []engine.Config{quick(), quick(), quick()}, services: []service.Config{{}, {}}})
-	l := w.startLoad(8)
+	cl := newCluster(t, clusterConfig{entries: 3, engines: []engine.Config{fastEngine(), fastEngine(), fastEngine()}, services: []service.Config{{}, {}}})
+	l := cl.startLoad(8)
 	steady := l.rate(func() { time.Sleep(3 * time.Second) })
 	rolling := l.rate(func() {
 		for i := range 3 {
-			w.replace(i, 1)
+			cl.replaceVM(i, 1)
 		}
 	})
 	close(l.stop)
 	l.wg.Wait()
 	t.Logf("steady %.0f/s, during the replacement %.0f/s, refused %d, slowest %v", steady, rolling, l.refused.Load(), l.slowest)
-	assert.Equal(t, len(l.bad), 0, "%v", l.bad)
+	assert.Equal(t, len(l.failures), 0, "%v", l.failures)
 	assert.Assert(t, rolling > 0.5*steady)
 }
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -9,23 +9,23 @@
 	"fescuestand/internal/settings"
 )
 
-// Settings of fescue-entry.
+// Settings are the settings of fescue-entry.
 type Settings struct {
 	node.Settings
 	Commits CommitSettings `json:"commits"`
 }
 
-// CommitSettings says what the platform's log service grants.
+// CommitSettings describe the guarantees of the platform's log service and bound the dispatch of
+// commits.
 type CommitSettings struct {
-	// Retention is how long the log keeps records. It bounds the commit window
-	// of the sheet: see commit.WindowFor.
+	// Retention is how long the log keeps records. It bounds the commit window of the sheet, see
+	// commit.WindowFor.
 	Retention settings.Duration `json:"retention"`
 	// DispatchWithin is how long after its intent a commit may be dispatched.
 	DispatchWithin settings.Duration `json:"dispatch_within"`
 }
 
-// defaultRetention is a day, the least that a log service for a daily sheet can
-// keep.
+// defaultRetention is a day, the minimum for a log service that stores a sheet published daily.
 const defaultRetention = 24 * time.Hour
 
 // Defaults returns settings with every optional key set.
@@ -39,7 +39,7 @@
 	}
 }
 
-// Load reads and checks the settings file.
+// Load reads and validates the settings file.
 func Load(file string) (*Settings, error) {
 	s := Defaults()
 	return s, settings.Load(file, s)
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -15,12 +15,12 @@
 	}
 )
 
-// Status returns the state of this process for operators.
+// Status returns the state of this process as shown to operators.
 func (u *Unit) Status() status.Report {
-	v, s := u.o.Replica.View(), u.o.Settings
+	v, s := u.opts.Replica.View(), u.opts.Settings
 	r := status.Report{
-		VM: s.VM, Zone: s.Zone, Process: processName, Incarnation: u.o.Incarnation,
-		Ready: v.Ready, Commits: u.table.Ready(), Leaving: u.leaving.Load(), SheetVersion: v.Version,
+		VM: s.VM, Zone: s.Zone, Process: processName, Incarnation: u.opts.Incarnation,
+		Ready: v.Ready, Commits: u.commitTable.Ready(), Leaving: u.leaving.Load(), SheetVersion: v.Version,
 		Log:      status.Log{Healthy: v.Log.Healthy, LastError: v.Log.LastError, Offset: v.Offset},
 		Requests: int(u.active.Load()), Endpoints: u.endpoints(),
 	}
@@ -31,21 +31,21 @@
 }
 
 func (u *Unit) endpoints() []status.Endpoint {
-	figures := map[string]route.EndpointStats{}
-	for _, e := range u.fleet.Router().Snapshot(u.o.Clock.Now()).Endpoints {
-		figures[e.Name] = e
+	stats := map[string]route.EndpointStats{}
+	for _, e := range u.fleet.Router().Snapshot(u.opts.Clock.Now()).Endpoints {
+		stats[e.Name] = e
 	}
 	var out []status.Endpoint
 	for _, e := range u.fleet.Router().Table().Endpoints() {
-		f := figures[e.Name]
-		one := status.Endpoint{
+		stat := stats[e.Name]
+		row := status.Endpoint{
 			Name: e.Name, Pool: e.Pool, Zone: e.Zone, Role: roleNames[e.Role],
-			Phase: phaseNames[e.State], InFlight: int(f.InFlight),
+			Phase: phaseNames[e.State], InFlight: int(stat.InFlight),
 		}
-		if f.Out {
-			one.Reason = "ejected"
+		if stat.Out {
+			row.Reason = "ejected"
 		}
-		out = append(out, one)
+		out = append(out, row)
 	}
 	slices.SortFunc(out, func(a, b status.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 	return out
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -30,20 +30,20 @@
 )
 
 const (
-	// drainLinger is how long a leaving VM keeps its addresses open after it
-	// said so: callers keep an address answer for addressTTL, and their peers
-	// must have heard of the leaving to leave the VM out of newer ones.
+	// drainLinger is how long a VM keeps its addresses open after it has announced that it leaves.
+	// Callers cache an address answer for addressTTL, and the peers must have received the
+	// announcement before they omit the VM from newer answers.
 	drainLinger = addressTTL + time.Second
-	// drainStep is the pause between two looks for work that still runs.
-	drainStep = 50 * time.Millisecond
-	// recordWait bounds the wait for the last outcomes to reach the log.
-	recordWait = 5 * time.Second
+	// drainPollInterval is the interval of the checks whether work is still in progress.
+	drainPollInterval = 50 * time.Millisecond
+	// commitCloseTimeout bounds the wait until the last outcomes are written to the log.
+	commitCloseTimeout = 5 * time.Second
 )
 
-// processName is what peers know this process by.
+// processName is the name of this process in messages between peers.
 const processName = "entry"
 
-// Options of the Unit.
+// Options are the settings and dependencies of a Unit.
 type Options struct {
 	Settings    *Settings
 	Incarnation string
@@ -53,87 +53,87 @@
 	Clock       clock.Clock
 }
 
-// Unit is the kernel unit of fescue-entry.
+// Unit is the kernel.Unit that runs fescue-entry.
 type Unit struct {
-	o        Options
-	fleet    *fleet.Fleet
-	dispatch *dispatch.Dispatcher
-	suspects *suspect.Register
-	table    *commit.Table
-	commits  *commit.Committer
-	journal  *journal
-	backend  *backend
-	account  *account
-	front    *forward.Handler
-	server   *http.Server
-	peers    *peer.Server
+	opts         Options
+	fleet        *fleet.Fleet
+	dispatch     *dispatch.Dispatcher
+	suspects     *suspect.Register
+	commitTable  *commit.Table
+	commits      *commit.Committer
+	journal      *journal
+	backend      *backend
+	instrumented *instrumentedBackend
+	forwarder    *forward.Handler
+	server       *http.Server
+	peers        *peer.Server
 
 	callerLn, peerLn net.Listener
 	leaving          atomic.Bool
-	active           atomic.Int64 // requests in hand
+	active           atomic.Int64 // requests in progress
 }
 
-// New wires the unit's parts. It connects nowhere.
-func New(o Options) *Unit {
-	u := &Unit{o: o}
-	s := o.Settings
-	u.fleet = fleet.New(route.Config{Zone: s.Zone, Cells: s.Cells}, o.Clock, seedOf(o.Incarnation))
+// New assembles the unit. It opens no connection.
+func New(opts Options) *Unit {
+	u := &Unit{opts: opts}
+	s := opts.Settings
+	u.fleet = fleet.New(route.Config{Zone: s.Zone, Cells: s.Cells}, opts.Clock, seedOf(opts.Incarnation))
 	u.suspects = suspect.NewRegister()
 	u.dispatch = dispatch.New(dispatch.Options{
-		Fleet: u.fleet, Clock: o.Clock, Writer: o.Incarnation,
-		Retries: retry.New(retry.Config{}, seedOf(o.Incarnation)), Suspects: u.suspects, Exchange: u.exchangeEvidence,
+		Fleet: u.fleet, Clock: opts.Clock, Writer: opts.Incarnation,
+		Retries: retry.New(retry.Config{}, seedOf(opts.Incarnation)), Suspects: u.suspects, Exchange: u.exchangeCrashEvidence,
 	})
 	maxWindow := commit.WindowFor(s.Commits.Retention.D())
-	u.table = commit.NewTable(o.Clock, maxWindow+commit.MaxAhead)
-	u.journal = &journal{log: o.Log, stream: s.Streams.Commits}
+	u.commitTable = commit.NewTable(opts.Clock, maxWindow+commit.MaxAhead)
+	u.journal = &journal{log: opts.Log, stream: s.Streams.Commits}
 	u.commits = commit.New(commit.Options{
-		Clock: o.Clock, Writer: o.Incarnation, DispatchWithin: s.Commits.DispatchWithin.D(),
+		Clock: opts.Clock, Writer: opts.Incarnation, DispatchWithin: s.Commits.DispatchWithin.D(),
 		Window: u.window, MaxWindow: maxWindow,
-	}, u.table, u.journal, u.dispatch)
-	u.backend = &backend{own: s, views: o.Replica.View, dispatch: u.dispatch, commits: u.commits}
-	u.account = newAccount(u.backend, o.Clock)
-	handler := callerapi.NewHandler(u.account)
-	u.front = &forward.Handler{
-		Next: handler, Peers: pool{o.Peers}, Leaving: u.away,
-		PeerAddresses: u.backend.peers, Refuse: handler.Refuse,
+	}, u.commitTable, u.journal, u.dispatch)
+	u.backend = &backend{settings: s, view: opts.Replica.View, dispatch: u.dispatch, commits: u.commits}
+	u.instrumented = newInstrumentedBackend(u.backend, opts.Clock)
+	handler := callerapi.NewHandler(u.instrumented)
+	u.forwarder = &forward.Handler{
+		Next: handler, Peers: peerPool{opts.Peers}, Leaving: u.isLeaving,
+		PeerAddresses: u.backend.peerAddresses, Refuse: handler.Refuse,
 	}
-	u.server = callerapi.NewServer(u.counted(u.front))
+	u.server = callerapi.NewServer(u.trackActive(u.forwarder))
 	u.peers = peer.NewServer(u.hello(), u)
-	o.Replica.Contribute(u.contribute)
-	o.Replica.OnGossip(u.hear)
+	opts.Replica.Contribute(u.addMeasurements)
+	opts.Replica.OnGossip(u.receiveGossip)
 	return u
 }
 
 func (u *Unit) hello() *wire.Hello {
-	return process.Hello(&u.o.Settings.Settings, processName, u.o.Incarnation)
+	return process.Hello(&u.opts.Settings.Settings, processName, u.opts.Incarnation)
 }
 
-// window returns the sheet's commit window; none before the first sheet.
+// window returns the sheet's commit window, or 0 before the first sheet.
 func (u *Unit) window() time.Duration {
-	if s := u.o.Replica.View().Sheet; s != nil {
+	if s := u.opts.Replica.View().Sheet; s != nil {
 		return s.Limits.CommitWindow.D()
 	}
 	return 0
 }
 
-// away tells whether this VM takes no new work: it was told to stop, or the VM
-// list says that it leaves.
-func (u *Unit) away() bool {
+// isLeaving reports whether this VM accepts no new work: it is draining, or the VM list marks it as
+// leaving.
+func (u *Unit) isLeaving() bool {
 	if u.leaving.Load() {
 		return true
 	}
-	m := u.o.Replica.View().Member(u.o.Settings.VM)
+	m := u.opts.Replica.View().Member(u.opts.Settings.VM)
 	return m != nil && m.Leaving
 }
 
-// counted keeps the number of requests in hand, which a drain waits for.
-func (u *Unit) counted(next http.Handler) http.Handler {
+// trackActive counts the requests in progress, for which a drain waits.
+func (u *Unit) trackActive(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		u.active.Add(1)
 		defer u.active.Add(-1)
-		if u.away() {
-			// The caller's next request goes elsewhere. Closing idle
-			// connections instead would cut a request that is on its way.
+		if u.isLeaving() {
+			// The caller has to open a new connection for its next request, to another VM.
+			// Closing idle connections instead would break a request that is being sent.
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
@@ -150,10 +150,10 @@
 func (u *Unit) Provision(ctx context.Context) error {
 	var lc net.ListenConfig
 	var err error
-	if u.callerLn, err = lc.Listen(ctx, "tcp", u.o.Settings.Addresses.Caller); err != nil {
+	if u.callerLn, err = lc.Listen(ctx, "tcp", u.opts.Settings.Addresses.Caller); err != nil {
 		return err
 	}
-	if u.peerLn, err = lc.Listen(ctx, "tcp", u.o.Settings.Addresses.Peer); err != nil {
+	if u.peerLn, err = lc.Listen(ctx, "tcp", u.opts.Settings.Addresses.Peer); err != nil {
 		_ = u.callerLn.Close()
 	}
 	return err
@@ -164,9 +164,9 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return u.fleet.Run(ctx) })
 	group.Go(func() error { return u.dispatch.Run(ctx) })
-	group.Go(func() error { return u.journal.follow(ctx, u.table) })
-	group.Go(func() error { return u.journal.awaitEnd(ctx, u.table) })
-	group.Go(func() error { return u.followView(ctx) })
+	group.Go(func() error { return u.journal.tailInto(ctx, u.commitTable) })
+	group.Go(func() error { return u.journal.awaitCaughtUp(ctx, u.commitTable) })
+	group.Go(func() error { return u.watchView(ctx) })
 	group.Go(func() error { return u.peers.Serve(ctx, u.peerLn) })
 	group.Go(func() error {
 		stop := context.AfterFunc(ctx, func() { _ = u.server.Close() })
@@ -179,34 +179,35 @@
 	return group.Wait()
 }
 
-// followView hands each sheet in force to the fleet, and how many entries share
-// the endpoints: the usable VMs, this one among them.
-func (u *Unit) followView(ctx context.Context) error {
-	version, entries := uint64(0), 0
+// watchView applies each new sheet to the fleet, and the number of entries that share the endpoints:
+// the usable VMs including this one.
+func (u *Unit) watchView(ctx context.Context) error {
+	version, entryCount := uint64(0), 0
 	for {
-		changed := u.o.Replica.Updated()
-		if n := len(u.backend.usable()); n > 0 && n != entries {
-			entries = n
+		updated := u.opts.Replica.Updated()
+		if n := len(u.backend.usableMembers()); n > 0 && n != entryCount {
+			entryCount = n
 			u.fleet.SetEntries(ctx, n)
 		}
-		if v := u.o.Replica.View(); v.Sheet != nil && v.Version > version {
+		if v := u.opts.Replica.View(); v.Sheet != nil && v.Version > version {
 			version = v.Version
-			u.account.follow(v.Sheet)
+			u.instrumented.setObjectives(v.Sheet)
 			u.fleet.SetSheet(ctx, v.Sheet, v.Version)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-changed:
+		case <-updated:
 		}
 	}
 }
 
-// Drain implements kernel.Drainer: the VM says that it leaves, passes late
-// arrivals on, lets streams and commits end, and returns.
+// Drain implements kernel.Drainer. It announces that the VM leaves, keeps the addresses open for
+// drainLinger while new requests are forwarded to peers, and returns when all streams and commits
+// have ended.
 func (u *Unit) Drain(ctx context.Context) error {
 	u.leaving.Store(true)
-	u.o.Replica.SetLeaving()
+	u.opts.Replica.SetLeaving()
 	linger := time.NewTimer(drainLinger)
 	defer linger.Stop()
 	select {
@@ -214,22 +215,22 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	step := time.NewTicker(drainStep)
-	defer step.Stop()
+	poll := time.NewTicker(drainPollInterval)
+	defer poll.Stop()
 	for u.Left() > 0 {
 		select {
-		case <-step.C:
+		case <-poll.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	log.Info("no request in hand")
+	log.Info("drain finished: no requests in progress")
 	return nil
 }
 
 // Close implements kernel.Closer.
 func (u *Unit) Close() error {
-	ctx, cancel := context.WithTimeout(context.Background(), recordWait)
+	ctx, cancel := context.WithTimeout(context.Background(), commitCloseTimeout)
 	defer cancel()
 	u.commits.Close(ctx)
 	return errors.Join(ignoreClosed(u.callerLn.Close()), ignoreClosed(u.peerLn.Close()))
@@ -250,7 +251,7 @@
 			DirectiveAck: &wire.DirectiveAck{Engine: d.GetEngine(), InFlight: uint32(n)},
 		}}
 	}
-	if resp := u.o.Replica.Handle(req); resp != nil {
+	if resp := u.opts.Replica.Handle(req); resp != nil {
 		return resp
 	}
 	return &wire.PeerResponse{Code: uint32(code.PeerVersion), Detail: "request of an unknown kind"}
@@ -260,14 +261,14 @@
 func (u *Unit) Forward(ctx context.Context, _ *wire.Hello, fwd *wire.Forward, send func(*wire.ForwardFrame) error) error {
 	u.active.Add(1)
 	defer u.active.Add(-1)
-	return u.front.Serve(ctx, fwd, send)
+	return u.forwarder.Serve(ctx, fwd, send)
 }
 
-// pool adapts peer.Pool to the forwarding front.
-type pool struct{ *peer.Pool }
+// peerPool adapts peer.Pool to forward.Peers.
+type peerPool struct{ *peer.Pool }
 
 // Forward implements forward.Peers.
-func (p pool) Forward(ctx context.Context, addr string, fwd *wire.Forward) (forward.Frames, error) {
+func (p peerPool) Forward(ctx context.Context, addr string, fwd *wire.Forward) (forward.Frames, error) {
 	frames, err := p.Pool.Forward(ctx, addr, fwd)
 	if err != nil {
 		return nil, err
@@ -275,5 +276,5 @@
 	return frames, nil
 }
 
-// Members returns the VMs as this process sees them.
-func (u *Unit) Members() []membership.Member { return u.o.Replica.View().Members }
+// Members returns the VMs in this process's view of the membership.
+func (u *Unit) Members() []membership.Member { return u.opts.Replica.View().Members }
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -45,24 +45,24 @@
 	goleak.VerifyTestMain(m)
 }
 
-// world is a whole deployment in one process, on loopback.
-type world struct {
-	t        testing.TB
-	ctx      context.Context // of the stand-ins, which outlive the entries
-	wg       sync.WaitGroup
-	running  context.Context // of the entries
-	entryWG  sync.WaitGroup
-	logAddr  string
-	vmAddr   string
-	engines  []string
-	services []string
-	entries  []*entryNode
-	vms      []httpapi.VM
-	newest   atomic.Pointer[string] // address of the entry started last
-	client   *http.Client
+// cluster is a whole deployment in one process, on loopback.
+type cluster struct {
+	t          testing.TB
+	ctx        context.Context // of the stand-ins, which run longer than the entries
+	wg         sync.WaitGroup
+	entryCtx   context.Context // of the entries
+	entryWG    sync.WaitGroup
+	logAddr    string
+	vmListAddr string
+	engines    []string
+	services   []string
+	entries    []*entryNode
+	vms        []httpapi.VM
+	newestAddr atomic.Pointer[string] // address of the entry started last
+	client     *http.Client
 }
 
-// entryNode is one fescue-entry.
+// entryNode is one running fescue-entry.
 type entryNode struct {
 	unit    *Unit
 	addr    string
@@ -70,37 +70,37 @@
 	done    chan error
 }
 
-type worldConfig struct {
+type clusterConfig struct {
 	entries  int
 	engines  []engine.Config
 	services []service.Config
 }
 
-func newWorld(t testing.TB, cfg worldConfig) *world {
+func newCluster(t testing.TB, cfg clusterConfig) *cluster {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	running, stop := context.WithCancel(ctx)
-	w := &world{t: t, ctx: ctx, running: running, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	entryCtx, stop := context.WithCancel(ctx)
+	cl := &cluster{t: t, ctx: ctx, entryCtx: entryCtx, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	t.Cleanup(func() {
-		w.client.CloseIdleConnections()
+		cl.client.CloseIdleConnections()
 		http.DefaultClient.CloseIdleConnections()
 		stop()
-		w.entryWG.Wait()
+		cl.entryWG.Wait()
 		cancel()
-		w.wg.Wait()
+		cl.wg.Wait()
 	})
-	w.logAddr = w.serve(logservice.New(logservice.Config{}).Handler())
+	cl.logAddr = cl.startServer(logservice.New(logservice.Config{}).Handler())
 	for _, e := range cfg.engines {
 		e.Address = loopback.FreeAddress()
-		w.engines = append(w.engines, e.Address)
+		cl.engines = append(cl.engines, e.Address)
 		one := engine.New(e)
-		w.wg.Go(func() { _ = one.Serve(ctx) })
+		cl.wg.Go(func() { _ = one.Serve(ctx) })
 	}
 	if len(cfg.services) == 0 {
 		cfg.services = []service.Config{{}}
 	}
 	for _, s := range cfg.services {
-		w.services = append(w.services, w.serve(service.New(s).Handler()))
+		cl.services = append(cl.services, cl.startServer(service.New(s).Handler()))
 	}
 	var vms []httpapi.VM
 	for i := range cfg.entries {
@@ -108,23 +108,23 @@
 			Name: fmt.Sprintf("vm%d", i), Zone: "z", Caller: loopback.FreeAddress(), Peer: loopback.FreeAddress(), Status: loopback.FreeAddress(),
 		})
 	}
-	w.vms = vms
-	w.vmAddr = w.serve(vmlist.New(vms, 0).Handler())
-	w.publish()
+	cl.vms = vms
+	cl.vmListAddr = cl.startServer(vmlist.New(vms, 0).Handler())
+	cl.publish()
 	for _, vm := range vms {
-		w.entries = append(w.entries, w.startEntry(vm))
+		cl.entries = append(cl.entries, cl.startEntry(vm))
 	}
-	for _, e := range w.entries {
-		w.awaitReady(e)
-		w.newest.Store(&e.addr)
+	for _, e := range cl.entries {
+		cl.awaitReady(e)
+		cl.newestAddr.Store(&e.addr)
 	}
-	return w
+	return cl
 }
 
-func (w *world) serve(h http.Handler) string {
+func (cl *cluster) startServer(h http.Handler) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(w.t, err)
-	w.wg.Go(func() { _ = httpjson.ServeOn(w.ctx, l, h) })
+	assert.NilError(cl.t, err)
+	cl.wg.Go(func() { _ = httpjson.ServeOn(cl.ctx, l, h) })
 	return l.Addr().String()
 }
 
@@ -132,21 +132,21 @@
 	return driver.Target{Driver: httpdriver.Name, Address: addr}
 }
 
-func (w *world) logClient(writer string) *logclient.Client {
-	s := node.Settings{Log: target(w.logAddr)}
+func (cl *cluster) logClient(writer string) *logclient.Client {
+	s := node.Settings{Log: target(cl.logAddr)}
 	l, err := s.OpenLog()
-	assert.NilError(w.t, err)
+	assert.NilError(cl.t, err)
 	return logclient.New(logclient.Options{Log: l, Writer: writer, VM: writer, Rate: 200, Burst: 50})
 }
 
-// publish puts a sheet in force that names all engines and services.
-func (w *world) publish() {
+// publish publishes a sheet that lists all engines and services.
+func (cl *cluster) publish() {
 	var engines, names, endpoints []string
-	for i, a := range w.engines {
+	for i, a := range cl.engines {
 		engines = append(engines, fmt.Sprintf(`{"name":"e%d","zone":"z","driver":"http","address":%q,"checks_fence":true}`, i, a))
 		names = append(names, fmt.Sprintf("%q", fmt.Sprintf("e%d", i)))
 	}
-	for i, a := range w.services {
+	for i, a := range cl.services {
 		endpoints = append(endpoints, fmt.Sprintf(`{"name":"s%d","zone":"z","address":%q}`, i, a))
 	}
 	body := fmt.Sprintf(`{"deployment":"d","engines":[%s],
@@ -156,24 +156,24 @@
 		"classes":[{"name":"question","priority":1,"deadline":"30s","first_token":"10s","between_tokens":"1s","objective":0.9}],
 		"limits":{"max_body":100000,"max_tokens":2000,"workspace_share":1,"commit_window":"1h","queue_per_engine":64}}`,
 		strings.Join(engines, ","), strings.Join(names, ","), strings.Join(endpoints, ","))
-	c := w.logClient("publisher")
-	defer func() { assert.NilError(w.t, c.Close()) }()
+	c := cl.logClient("publisher")
+	defer func() { assert.NilError(cl.t, c.Close()) }()
 	entry := &wire.Entry{Kind: &wire.Entry_Sheet{Sheet: &wire.Sheet{Body: []byte(body), PublishId: "p1"}}}
-	v, err := replica.Publish(w.ctx, c, "config", "p1", entry)
-	assert.NilError(w.t, err)
-	assert.Assert(w.t, v.GetAccepted(), v.GetDetail())
+	v, err := replica.Publish(cl.ctx, c, "config", "p1", entry)
+	assert.NilError(cl.t, err)
+	assert.Assert(cl.t, v.GetAccepted(), v.GetDetail())
 }
 
-func (w *world) startEntry(vm httpapi.VM) *entryNode {
+func (cl *cluster) startEntry(vm httpapi.VM) *entryNode {
 	s := Defaults()
 	s.Deployment, s.VM, s.Zone = "d", vm.Name, vm.Zone
 	s.Addresses = node.Addresses{Caller: vm.Caller, Peer: vm.Peer, Status: vm.Status}
-	s.Log, s.VMList, s.WeightStore = target(w.logAddr), target(w.vmAddr), target(w.logAddr)
+	s.Log, s.VMList, s.WeightStore = target(cl.logAddr), target(cl.vmListAddr), target(cl.logAddr)
 	s.LongestDrain = settings.Duration(30 * time.Second)
 	incarnation := node.NewIncarnation()
-	client := w.logClient(incarnation)
+	client := cl.logClient(incarnation)
 	vms, err := s.OpenVMList()
-	assert.NilError(w.t, err)
+	assert.NilError(cl.t, err)
 	peers := peer.NewPool(process.Hello(&s.Settings, processName, incarnation))
 	r := replica.New(replica.Options{
 		Log: client, VMs: vms, Peers: peers, Stream: "config", VM: vm.Name, Process: "entry",
@@ -182,15 +182,15 @@
 	n := &entryNode{addr: vm.Caller, signals: make(chan os.Signal, 2), done: make(chan error, 1)}
 	n.unit = New(Options{Settings: s, Incarnation: incarnation, Replica: r, Log: client, Peers: peers, Clock: clock.Boot{}})
 	opt := kernel.Options{LongestDrain: s.LongestDrain.D(), Signals: n.signals}
-	w.entryWG.Go(func() {
-		n.done <- kernel.Run(w.running, opt, r, n.unit)
+	cl.entryWG.Go(func() {
+		n.done <- kernel.Run(cl.entryCtx, opt, r, n.unit)
 		_ = peers.Close()
 		_ = client.Close()
 	})
 	return n
 }
 
-func (w *world) awaitReady(n *entryNode) {
+func (cl *cluster) awaitReady(n *entryNode) {
 	for range 500 {
 		s := n.unit.Status()
 		open := 0
@@ -199,16 +199,16 @@
 				open++
 			}
 		}
-		if s.Ready && open == len(w.engines)+len(w.services) && len(n.unit.backend.usable()) >= len(w.vms) {
+		if s.Ready && open == len(cl.engines)+len(cl.services) && len(n.unit.backend.usableMembers()) >= len(cl.vms) {
 			return
 		}
 		select {
 		case err := <-n.done:
-			w.t.Fatalf("entry ended: %v", err)
+			cl.t.Fatalf("entry ended: %v", err)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	w.t.Fatalf("entry does not get ready: %+v", n.unit.Status())
+	cl.t.Fatalf("entry did not become ready: %+v", n.unit.Status())
 }
 
 func (n *entryNode) terminate() { n.signals <- syscall.SIGTERM }
