--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -250,7 +250,7 @@
 		Writer: "w", Window: func() time.Duration { return time.Hour }, MaxWindow: time.Hour,
 	}, t, j, instantDispatcher{})
 	var mu sync.Mutex
-	var took []time.Duration
+	var latencies []time.Duration
 	n := rate * int(span/time.Second)
 	var calls sync.WaitGroup
 	for i := range n {
@@ -261,15 +261,15 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			took = append(took, time.Since(startedAt))
+			latencies = append(latencies, time.Since(startedAt))
 		})
 		time.Sleep(time.Second / time.Duration(rate))
 	}
 	calls.Wait()
 	c.Close(ctx)
-	slices.Sort(took)
-	b.ReportMetric(float64(took[n/2].Microseconds())/1000, "p50-ms")
-	b.ReportMetric(float64(took[n*99/100].Microseconds())/1000, "p99-ms")
+	slices.Sort(latencies)
+	b.ReportMetric(float64(latencies[n/2].Microseconds())/1000, "p50-ms")
+	b.ReportMetric(float64(latencies[n*99/100].Microseconds())/1000, "p99-ms")
 	b.ReportMetric(float64(lg.Appends())/float64(n), "appends/commit")
 	cancel()
 	wg.Wait()
--- a/internal/entry/commits_test.go
+++ b/internal/entry/commits_test.go
@@ -34,8 +34,8 @@
 		var e service.Executions
 		assert.NilError(cl.t, json.NewDecoder(resp.Body).Decode(&e))
 		assert.NilError(cl.t, resp.Body.Close())
-		for key, one := range e.Keys {
-			runs[key] += one.Count
+		for key, execution := range e.Keys {
+			runs[key] += execution.Count
 		}
 	}
 	return runs
--- a/internal/entry/overload_test.go
+++ b/internal/entry/overload_test.go
@@ -54,16 +54,16 @@
 			startedAt := time.Now()
 			a, err := cl.post(context.Background(), cl.entries[0].addr, "/v1/generate", body,
 				map[string]string{"Deadline-Ms": fmt.Sprint(deadline.Milliseconds()), "Caller": fmt.Sprint("caller-", i%10)})
-			took := time.Since(startedAt)
+			elapsed := time.Since(startedAt)
 			assert.Check(t, err)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
-			case a.complete && took <= deadline:
+			case a.complete && elapsed <= deadline:
 				res.onTime++
 			case a.refusal.Run == "not-run":
 				res.refused++
-				res.slowest = max(res.slowest, took)
+				res.slowest = max(res.slowest, elapsed)
 				assert.Check(t, a.header.Get("Retry-After") != "", "%+v", a)
 			default:
 				res.late++
--- a/internal/entry/rolling_test.go
+++ b/internal/entry/rolling_test.go
@@ -83,8 +83,8 @@
 			continue
 		}
 		var out []string
-		for _, one := range a.Addresses {
-			out = append(out, one.Address)
+		for _, address := range a.Addresses {
+			out = append(out, address.Address)
 		}
 		return out
 	}
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -93,8 +93,8 @@
 	for _, e := range cfg.engines {
 		e.Address = loopback.FreeAddress()
 		cl.engines = append(cl.engines, e.Address)
-		one := engine.New(e)
-		cl.wg.Go(func() { _ = one.Serve(ctx) })
+		server := engine.New(e)
+		cl.wg.Go(func() { _ = server.Serve(ctx) })
 	}
 	if len(cfg.services) == 0 {
 		cfg.services = []service.Config{{}}
