--- a/internal/entry/dispatch/attempt.go
+++ b/internal/entry/dispatch/attempt.go
@@ -96,14 +96,14 @@
 	if decision.Prefill.Endpoint != nil && req.KV == nil {
 		req.KV = s.prefill(ctx, &decision.Prefill, req)
 	}
-	s.assembler.Begin(req.Attempt)
+	s.assembler.BeginAttempt(req.Attempt)
 	ts, err := engine.Generate(ctx, req)
 	if err != nil {
 		s.maybeExecuted = s.maybeExecuted || !notExecuted(err)
 		return err
 	}
 	s.maybeExecuted = true
-	pump := stream.Start(ts)
+	pump := stream.StartPump(ts)
 	defer pump.Close()
 	return s.forwardStream(ctx, &openAttempt{
 		decision: decision, engine: engine, pump: pump, attemptID: req.Attempt, moved: moved, crashExposure: exposure,
@@ -189,7 +189,7 @@
 
 // forward sends t to the caller unless the assembler drops it.
 func (s *session) forward(t driver.Token) error {
-	accepted, err := s.assembler.Take(t)
+	accepted, err := s.assembler.Accept(t)
 	if err != nil || !accepted {
 		return err
 	}
