--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -12,96 +12,97 @@
 	"fescuestand/internal/code"
 )
 
-// The test pool: 8 slots; a question takes 0.11 s and a manifest 4.1 s.
+// The test pool has 8 slots; a question takes 0.11 s and a manifest 4.1 s.
 const (
-	slots    = 8
-	question = 100
-	manifest = 40_000
+	slots          = 8
+	questionTokens = 100
+	manifestTokens = 40_000
 )
 
-func testConfig(off Guards) Config {
+func testConfig(disabled Guards) Config {
 	return Config{
 		Classes: []Class{
 			{Name: "commit", Priority: 0, OutputTokens: 1},
 			{Name: "question", Priority: 1, Weight: 2, OutputTokens: 10},
 			{Name: "manifest", Priority: 1, Weight: 1, OutputTokens: 10},
 		},
-		Rates: Rates{PrefillPerToken: 100 * time.Microsecond, DecodePerToken: 10 * time.Millisecond, Batch: 1},
-		Disabled:   off,
+		Rates:    Rates{PrefillPerToken: 100 * time.Microsecond, DecodePerToken: 10 * time.Millisecond, Batch: 1},
+		Disabled: disabled,
 	}
 }
 
-// others are twenty callers that ask for 40% of the pool.
+// others returns the streams of twenty callers that together offer 40% of the pool's capacity.
 func others() []stream {
 	var all []stream
 	for i := range 20 {
-		all = append(all, stream{name: "others", class: "question", caller: fmt.Sprint("caller-", i), prompt: question, every: 690 * time.Millisecond, budget: 2 * time.Second})
+		all = append(all, stream{name: "others", class: "question", caller: fmt.Sprint("caller-", i), prompt: questionTokens, meanInterval: 690 * time.Millisecond, budget: 2 * time.Second})
 	}
 	return all
 }
 
-// Each case is one load pattern from the package's description: what the named
-// victims receive with the guard on, and that they lose it with the guard off.
+// Each case is one load pattern from the package comment. It checks that the victims' requests are on
+// time with the guard, and that they are not when the guard is disabled.
 func TestGuards(t *testing.T) {
-	hot := stream{name: "hot", class: "question", caller: "hot", prompt: question, every: 4 * time.Millisecond, budget: 2 * time.Second}
+	hot := stream{name: "hot", class: "question", caller: "hot", prompt: questionTokens, meanInterval: 4 * time.Millisecond, budget: 2 * time.Second}
 	hotKey := hot
 	hotKey.key = "lot-7"
-	manifests := stream{name: "manifests", class: "manifest", caller: "planner", prompt: manifest, every: 300 * time.Millisecond, budget: 20 * time.Second}
-	commits := stream{name: "commits", class: "commit", caller: "clerk", prompt: 100, every: 200 * time.Millisecond, budget: time.Second}
-	questions := stream{name: "questions", class: "question", caller: "lead", prompt: question, every: 100 * time.Millisecond, budget: time.Second}
+	manifests := stream{name: "manifests", class: "manifest", caller: "planner", prompt: manifestTokens, meanInterval: 300 * time.Millisecond, budget: 20 * time.Second}
+	commits := stream{name: "commits", class: "commit", caller: "clerk", prompt: 100, meanInterval: 200 * time.Millisecond, budget: time.Second}
+	questions := stream{name: "questions", class: "question", caller: "lead", prompt: questionTokens, meanInterval: 100 * time.Millisecond, budget: time.Second}
 	for _, x := range []struct {
-		name    string
-		streams []stream
-		victim  string
-		off     Guards
-		on      float64 // least on-time share with the guard
-		without float64 // most on-time share without it
+		name               string
+		streams            []stream
+		victim             string
+		disabled           Guards
+		minOnTime          float64 // minimum share of requests on time with the guard
+		maxOnTimeUnguarded float64 // maximum share of requests on time without the guard
 	}{
-		{"a hot caller asks for 3.4 times the pool", append(others(), hot), "others", Guards{NoFairness: true}, 0.98, 0.6},
-		{"long manifests hold every slot", []stream{manifests, questions}, "questions", Guards{NoLongShare: true, NoPriority: true}, 0.96, 0.85},
-		{"commits among questions at twice the pool", append(others(), commits, hot), "commits", Guards{NoPriority: true, NoFairness: true}, 0.99, 0.6},
+		{"a hot caller offers 3.4 times the capacity", append(others(), hot), "others", Guards{NoFairness: true}, 0.98, 0.6},
+		{"long manifests occupy every slot", []stream{manifests, questions}, "questions", Guards{NoLongShare: true, NoPriority: true}, 0.96, 0.85},
+		{"commits among questions at twice the capacity", append(others(), commits, hot), "commits", Guards{NoPriority: true, NoFairness: true}, 0.99, 0.6},
 	} {
-		on := run(testConfig(Guards{}), 30*time.Second, x.streams)
-		off := run(testConfig(x.off), 30*time.Second, x.streams)
-		t.Logf("%s: %s on time %.3f, without the guard %.3f", x.name, x.victim, on[x.victim].share(), off[x.victim].share())
-		assert.Check(t, on[x.victim].share() >= x.on, x.name)
-		assert.Check(t, off[x.victim].share() <= x.without, x.name)
+		guarded := run(testConfig(Guards{}), 30*time.Second, x.streams)
+		unguarded := run(testConfig(x.disabled), 30*time.Second, x.streams)
+		t.Logf("%s: %s on time %.3f, without the guard %.3f", x.name, x.victim, guarded[x.victim].share(), unguarded[x.victim].share())
+		assert.Check(t, guarded[x.victim].share() >= x.minOnTime, x.name)
+		assert.Check(t, unguarded[x.victim].share() <= x.maxOnTimeUnguarded, x.name)
 	}
-	on := run(testConfig(Guards{}), 10*time.Second, append(others(), hotKey))
-	assert.Assert(t, on["hot"].codes[code.HotKey] > on["hot"].offered/2)
-	off := run(testConfig(Guards{NoKeyLimit: true}), 10*time.Second, append(others(), hotKey))
-	t.Logf("hot key: at most %d at once; its share of the answers %d, without the limit %d", defaultKeyLimit, on["hot"].onTime, off["hot"].onTime)
-	assert.Equal(t, off["hot"].codes[code.HotKey], 0)
+	guarded := run(testConfig(Guards{}), 10*time.Second, append(others(), hotKey))
+	assert.Assert(t, guarded["hot"].codes[code.HotKey] > guarded["hot"].offered/2)
+	unguarded := run(testConfig(Guards{NoKeyLimit: true}), 10*time.Second, append(others(), hotKey))
+	t.Logf("hot key: limit %d; %d requests on time with the limit, %d without it", defaultKeyLimit, guarded["hot"].onTime, unguarded["hot"].onTime)
+	assert.Equal(t, unguarded["hot"].codes[code.HotKey], 0)
 }
 
-// The pool is asked for more than it can do. A queue without deadlines in mind
-// answers everyone late; this one answers as many as at its peak.
+// Guards against late answers under overload: a queue that ignores deadlines answers every request
+// late. With the feasibility check and shedding, goodput stays close to its peak.
 func TestOverload(t *testing.T) {
 	peak := 0
 	for _, load := range []float64{1, 1.5, 2, 3} {
-		every := time.Duration(float64(110*time.Millisecond) / slots / load * 10)
+		meanInterval := time.Duration(float64(110*time.Millisecond) / slots / load * 10)
 		var streams []stream
 		for i := range 10 {
-			streams = append(streams, stream{name: "all", class: "question", caller: fmt.Sprint(i), prompt: question, every: every, budget: time.Second})
+			streams = append(streams, stream{name: "all", class: "question", caller: fmt.Sprint(i), prompt: questionTokens, meanInterval: meanInterval, budget: time.Second})
 		}
-		on := run(testConfig(Guards{}), 20*time.Second, streams)["all"]
-		off := run(testConfig(Guards{NoFeasibility: true, NoShedding: true}), 20*time.Second, streams)["all"]
-		t.Logf("load %.1f: on time %d, late %d of %d; without feasibility and shedding %d, %d", load, on.onTime, on.late, on.offered, off.onTime, off.late)
-		peak = max(peak, on.onTime)
-		assert.Assert(t, float64(on.onTime) >= 0.9*float64(peak))
-		assert.Assert(t, on.late*50 <= on.onTime)
-		assert.Assert(t, load < 1.5 || off.onTime*3 < on.onTime)
+		guarded := run(testConfig(Guards{}), 20*time.Second, streams)["all"]
+		unguarded := run(testConfig(Guards{NoFeasibility: true, NoShedding: true}), 20*time.Second, streams)["all"]
+		t.Logf("load %.1f: on time %d, late %d of %d; without feasibility and shedding %d, %d", load, guarded.onTime, guarded.late, guarded.offered, unguarded.onTime, unguarded.late)
+		peak = max(peak, guarded.onTime)
+		assert.Assert(t, float64(guarded.onTime) >= 0.9*float64(peak))
+		assert.Assert(t, guarded.late*50 <= guarded.onTime)
+		assert.Assert(t, load < 1.5 || unguarded.onTime*3 < guarded.onTime)
 	}
 }
 
-// A third of the slots is lost while the queue is long. Who can't be served in
-// time any more hears it at once rather than at the deadline.
-func TestLossIsToldAtOnce(t *testing.T) {
+// Guards against late refusals after a loss of capacity: only a third of the slots is left while the
+// queue is long. Requests that can't meet their deadline any more must be refused at once rather than
+// at the deadline.
+func TestCapacityLossRefusesAtOnce(t *testing.T) {
 	q := NewQueue(testConfig(Guards{}))
 	q.SetCapacity(0, slots)
 	var all []*Request
 	for i := range 60 {
-		r := &Request{Class: "question", Caller: fmt.Sprint(i), Workspace: "w", PromptTokens: question, Deadline: clock.Time(1200 * time.Millisecond)}
+		r := &Request{Class: "question", Caller: fmt.Sprint(i), Workspace: "w", PromptTokens: questionTokens, Deadline: clock.Time(1200 * time.Millisecond)}
 		if q.Offer(0, r).Err == nil {
 			all = append(all, r)
 		}
@@ -122,7 +123,7 @@
 	cfg.MaxQueued = 4
 	q := NewQueue(cfg)
 	offer := func(class, caller string, budget time.Duration) OfferResult {
-		return q.Offer(0, &Request{Class: class, Caller: caller, Workspace: caller, PromptTokens: question, Deadline: clock.Time(budget)})
+		return q.Offer(0, &Request{Class: class, Caller: caller, Workspace: caller, PromptTokens: questionTokens, Deadline: clock.Time(budget)})
 	}
 	assert.Equal(t, offer("question", "a", -1).Err.Code, code.DeadlinePassed)
 	never := offer("question", "a", time.Millisecond).Err
@@ -143,9 +144,9 @@
 	assert.Equal(t, r.Class, "commit")
 }
 
-// The books balance whatever happens: each request gets exactly one end, and
-// an empty queue holds no cost, no keys and no flows.
-func TestBooksBalance(t *testing.T) {
+// Checks the accounting under random operations: each request ends exactly once, and an empty queue
+// holds no cost, no keys and no flows.
+func TestAccountingBalances(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := testConfig(Guards{})
 		cfg.MaxQueued = 10
@@ -206,7 +207,7 @@
 			assert.Equal(rt, l.root.cost, time.Duration(0))
 			assert.Equal(rt, len(l.root.active), 0)
 		}
-		assert.Equal(rt, len(q.keys), 0)
+		assert.Equal(rt, len(q.requestsByKey), 0)
 		assert.Equal(rt, q.runningCost, time.Duration(0))
 	})
 }
--- a/internal/policy/admit/config.go
+++ b/internal/policy/admit/config.go
@@ -2,78 +2,75 @@
 
 import "time"
 
-// The defaults and their grounds.
 const (
-	// defaultMaxQueued bounds memory: a queued request holds its prompt, and
-	// 512 prompts of 16 kB take a quarter of an entry's 32 MB. Feasibility
-	// keeps the queue far shorter unless deadlines are very long.
+	// defaultMaxQueued bounds memory: a queued request holds its prompt, and 512 prompts of 16 kB
+	// take a quarter of an entry's 32 MB. The feasibility check keeps the queue far shorter unless
+	// deadlines are very long.
 	defaultMaxQueued = 512
-	// defaultMargin is by how much the forecast wait is stretched: arrivals
-	// of higher priority and output lengths are not known in advance.
+	// defaultMargin multiplies the forecast wait, since arrivals of higher priority and output
+	// lengths are not known in advance.
 	defaultMargin = 1.2
-	// defaultKeyLimit is how many requests for one key may be queued or
-	// running: more are resends of the same question.
+	// defaultKeyLimit is the number of requests for one key that may be queued or running. More
+	// are resends of the same question.
 	defaultKeyLimit = 8
-	// defaultLongFactor makes a request long when it costs this many times
-	// the geometric mean of the requests offered. In a mix of manifests only,
-	// none is long.
+	// defaultLongFactor makes a request long if it costs this many times the geometric mean of the
+	// offered requests. In a mix that consists of manifests only, none is long.
 	defaultLongFactor = 4.0
-	// defaultLongShare is the share of the slots that long requests may hold.
-	// The rest turns over quickly for commits and short questions.
+	// defaultLongShare is the share of the slots that long requests may occupy. The other slots are
+	// freed quickly, for commits and short questions.
 	defaultLongShare = 0.75
-	// defaultCrowd is by how much a caller's part of the backlog may exceed
-	// an equal one before its refusals are called its own doing.
-	defaultCrowd = 1.5
-	// rateWeight lets about ten requests decide a measured rate: fast enough
-	// for a mix that swings within minutes.
-	rateWeight = 0.1
-	// mixWeight lets about fifty requests decide what is usual: a run of
-	// manifests must not make them so.
-	mixWeight = 0.02
-	// shrink is the loss of capacity that makes the queue forecast again
-	// what it holds.
-	shrink = 0.9
+	// defaultOverShareFactor is the factor by which a caller's part of the backlog may exceed its
+	// fair share before its refusals are attributed to the caller itself.
+	defaultOverShareFactor = 1.5
+	// rateEWMAWeight averages a measured rate over about ten requests: fast enough for a mix that
+	// shifts within minutes.
+	rateEWMAWeight = 0.1
+	// costEWMAWeight averages the usual cost over about fifty requests, so that a run of manifests
+	// doesn't make manifests usual.
+	costEWMAWeight = 0.02
+	// reassessCapacityRatio is the ratio of new to old capacity below which the wait of all queued
+	// requests is forecast again.
+	reassessCapacityRatio = 0.9
 )
 
-// Class is a kind of request in the sheet.
+// Class is a kind of request, as defined in the sheet.
 type Class struct {
-	Name     string
-	Priority int     // 0 is served first; a lower class waits while a higher one has work
-	Weight   float64 // share among the classes of one priority
-	OutputTokens   int     // expected output tokens, until measured
-	Urgent   bool    // sent with the engine's higher priority
+	Name         string
+	Priority     int     // 0 is served first; lower classes wait while a higher one has requests
+	Weight       float64 // share among the classes of one priority
+	OutputTokens int     // expected per request, until measured
+	Urgent       bool    // sent with the engine's higher priority
 }
 
-// Rates are the times that an engine takes, as measured.
+// Rates are the measured times of an engine.
 type Rates struct {
-	Base            time.Duration
+	Base            time.Duration // per request
 	PrefillPerToken time.Duration
 	DecodePerToken  time.Duration
-	Batch           int // answers that an engine decodes at once, sharing each step
+	Batch           int // sequences decoded at once, which share each step
 }
 
-// Guards switches single protections off, so that tests and measurements can
-// show what each is for.
+// Guards disables single protections, so that tests and measurements can show the effect of each.
 type Guards struct {
-	NoFeasibility bool // admit what can't be on time
-	NoShedding    bool // keep what has become infeasible
+	NoFeasibility bool // admit requests that can't meet their deadline
+	NoShedding    bool // keep queued requests that have become infeasible
 	NoFairness    bool // one flow for all callers
-	NoPriority    bool // one class
+	NoPriority    bool // one class for all requests
 	NoKeyLimit    bool
 	NoLongShare   bool
-	NoSpread      bool // tell all refused callers the same time to come back
+	NoSpread      bool // the same Retry-After delay for all refused callers
 }
 
-// Config sets a Queue. Zero fields take the defaults.
+// Config configures a Queue. Zero fields take the defaults.
 type Config struct {
 	Classes    []Class
-	Rates      Rates // until measured
+	Rates      Rates // initial values, until measured
 	MaxQueued  int
 	Margin     float64
 	KeyLimit   int
 	LongFactor float64
 	LongShare  float64
-	Disabled        Guards
+	Disabled   Guards
 }
 
 func (c Config) withDefaults() Config {
--- a/internal/policy/admit/drain.go
+++ b/internal/policy/admit/drain.go
@@ -7,68 +7,68 @@
 )
 
 const (
-	// drainWindow is the time over which the drain of the queue is measured:
-	// long against one request's start, short against a swing of the mix.
+	// drainWindow is the time over which the drain rate is measured: long compared with the start
+	// of one request, short compared with a shift of the mix.
 	drainWindow = time.Second
-	// drainWeight lets three windows decide.
-	drainWeight = 0.3
-	// drainKept is how long a measured drain is believed without a backlog.
-	drainKept = 30 * time.Second
+	// drainEWMAWeight averages the rate over about three windows.
+	drainEWMAWeight = 0.3
+	// drainTTL is how long a measured rate is used when there is no backlog to measure it again.
+	drainTTL = 30 * time.Second
 )
 
-// drain measures how much work a second leaves the queue while it has a
-// backlog. The estimate from the slots alone is wrong whenever another
-// resource than slots is short, such as prefill in a pool with split roles.
-type drain struct {
-	since    clock.Time
-	backlog  bool // the queue has been backlogged since then
-	work     time.Duration
-	measured float64
-	at       clock.Time
-	seen     clock.Time
+// drainMeter measures the drain rate, which is the work that leaves the queue per second while it has a
+// backlog. An estimate from the number of slots alone is wrong whenever another resource is the
+// bottleneck, such as prefill in a pool with split roles.
+type drainMeter struct {
+	windowStart  clock.Time
+	backlogged   bool          // the queue has had a backlog since windowStart
+	work         time.Duration // started since windowStart
+	measuredRate float64       // seconds of engine time per second; zero if not measured
+	measuredAt   clock.Time
+	updatedAt    clock.Time
 }
 
-// rate returns the seconds of an engine's time that are started in a second.
-func (d *drain) rate(slots, batch int) float64 {
-	if d.measured > 0 && d.seen.Sub(d.at) < drainKept {
-		return d.measured
+// rate returns the engine time that is started per second, in seconds: the measured rate, or an
+// estimate from the slots if there is no recent measurement.
+func (d *drainMeter) rate(slots, batch int) float64 {
+	if d.measuredRate > 0 && d.updatedAt.Sub(d.measuredAt) < drainTTL {
+		return d.measuredRate
 	}
 	return float64(max(slots, 1)) / float64(max(batch, 1))
 }
 
-func (d *drain) started(cost time.Duration) { d.work += cost }
+func (d *drainMeter) addWork(cost time.Duration) { d.work += cost }
 
-// look closes a window once it is over. backlog says whether requests wait, busy
-// whether any run. A time in which requests wait, none runs and none starts is
-// a stop: engines change their role, were replaced or can't be reached. Taken
-// for a rate of zero, it would refuse for minutes what a handful of queued
-// requests stands before, since the rate is only measured again by requests
-// that are let in.
-func (d *drain) look(now clock.Time, backlog, busy bool) {
-	d.seen = now
+// update closes the measurement window once it is over. backlog says whether requests are queued, busy
+// whether any are running. If requests are queued while none is running and none starts, the engines
+// have stopped: they change their role, were replaced or are unreachable. Such a time is not measured
+// as a rate of zero. A rate of zero would cause refusals for minutes because of a handful of queued
+// requests, since only admitted requests can change the measured rate again.
+func (d *drainMeter) update(now clock.Time, backlog, busy bool) {
+	d.updatedAt = now
 	stopped := !busy && d.work == 0
-	if !backlog || !d.backlog || stopped {
-		d.since, d.work, d.backlog = now, 0, backlog
+	if !backlog || !d.backlogged || stopped {
+		d.windowStart, d.work, d.backlogged = now, 0, backlog
 		return
 	}
-	span := now.Sub(d.since)
+	span := now.Sub(d.windowStart)
 	if span < drainWindow || d.work == 0 {
-		return // until something starts there is nothing to measure
+		return // nothing has started that could be measured
 	}
-	x := max(d.work.Seconds()/span.Seconds(), minDrain)
-	if d.measured == 0 || now.Sub(d.at) >= drainKept {
-		d.measured = x
+	x := max(d.work.Seconds()/span.Seconds(), minDrainRate)
+	if d.measuredRate == 0 || now.Sub(d.measuredAt) >= drainTTL {
+		d.measuredRate = x
 	}
-	d.measured += drainWeight * (x - d.measured)
-	d.at, d.since, d.work = now, now, 0
+	d.measuredRate += drainEWMAWeight * (x - d.measuredRate)
+	d.measuredAt, d.windowStart, d.work = now, now, 0
 }
 
-// minDrain keeps forecasts finite where what starts is tiny.
-const minDrain = 0.01
+// minDrainRate keeps forecasts finite when hardly any work starts.
+const minDrainRate = 0.01
 
-// scale carries a measured drain over to another number of slots.
-func (d *drain) scale(old, slots int) {
+// scale adapts the measured rate to a changed number of slots.
+func (d *drainMeter) scale(old, slots int) {
 	if old > 0 {
-		d.measured *= float64(slots) / float64(old)
+		d.measuredRate *= float64(slots) / float64(old)
 	}
 }
--- a/internal/policy/admit/fair.go
+++ b/internal/policy/admit/fair.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// flow is a node of the fair-queueing tree: the root, a class, a workspace, or
-// a caller's short or long requests. Start-time fair queueing serves the child
-// with the earliest start tag; a child's tag advances by the estimated cost of
-// what it was served over its weight. So each backlogged child gets its share
-// of the slots' time, however many requests it sends.
+// flow is a node of the fair-queueing tree: the root, a class, a workspace, or the short or long
+// requests of a caller. Start-time fair queueing serves the child with the lowest start tag. The tag
+// of a child advances by the estimated cost of its served requests divided by its weight, so that each
+// backlogged child gets its share of the slots' time regardless of how many requests it sends.
 type flow struct {
-	parent *flow
-	key    flowKey
-	weight float64
-	urgent bool    // of a class
-	start  float64 // tag among its siblings
-	now    float64 // virtual time of its children
-	queue  []*Request
-	cost   time.Duration // queued below
-	count  int
-	active []*flow
-	kids   map[flowKey]*flow
+	parent      *flow
+	key         flowKey
+	weight      float64
+	urgent      bool    // set for a class
+	startTag    float64 // compared with its siblings
+	virtualTime float64 // of its children
+	queue       []*Request
+	cost        time.Duration // of the requests queued in its subtree
+	count       int           // of the requests queued in its subtree
+	active      []*flow       // children with queued requests
+	children    map[flowKey]*flow
 }
 
 type flowKey struct {
@@ -30,48 +29,48 @@
 }
 
 func newFlow(parent *flow, k flowKey, weight float64) *flow {
-	return &flow{parent: parent, key: k, weight: weight, kids: map[flowKey]*flow{}}
+	return &flow{parent: parent, key: k, weight: weight, children: map[flowKey]*flow{}}
 }
 
-// child returns the named child and makes it when absent.
+// child returns the child with key k, and creates it if there is none.
 func (f *flow) child(k flowKey, weight float64) *flow {
-	c := f.kids[k]
+	c := f.children[k]
 	if c == nil {
 		c = newFlow(f, k, weight)
-		c.start = f.now
-		f.kids[k] = c
+		c.startTag = f.virtualTime
+		f.children[k] = c
 	}
 	return c
 }
 
-// push queues r in the leaf f and activates the way to the root. A child that
-// was idle starts at the present: it has saved up no claim.
+// push queues r in the leaf f and activates the path to the root. A child that was idle starts at the
+// current virtual time: idle time earns no credit.
 func (f *flow) push(r *Request) {
 	f.queue = append(f.queue, r)
-	f.account(r)
+	f.addCost(r)
 }
 
-// unshift puts r, which was served but not run, back in front.
-func (f *flow) unshift(r *Request) {
+// pushFront puts r, which was dispatched but has not run, back at the front and refunds its cost.
+func (f *flow) pushFront(r *Request) {
 	f.queue = slices.Insert(f.queue, 0, r)
-	f.account(r)
+	f.addCost(r)
 	for n := f; n.parent != nil; n = n.parent {
-		n.start -= float64(r.cost) / n.weight
+		n.startTag -= float64(r.cost) / n.weight
 	}
 }
 
-func (f *flow) account(r *Request) {
+func (f *flow) addCost(r *Request) {
 	for n := f; n != nil; n = n.parent {
 		n.cost += r.cost
 		n.count++
 		if p := n.parent; p != nil && n.count == 1 {
-			n.start = max(n.start, p.now)
+			n.startTag = max(n.startTag, p.virtualTime)
 			p.active = append(p.active, n)
 		}
 	}
 }
 
-// remove takes r out of the leaf f. served charges its cost.
+// remove removes r from the leaf f. If r was served, its cost is charged to the flows up to the root.
 func (f *flow) remove(r *Request, served bool) {
 	if f.queue[0] == r {
 		f.queue[0] = nil
@@ -88,8 +87,8 @@
 			continue
 		}
 		if served {
-			p.now = max(p.now, n.start)
-			n.start += float64(r.cost) / n.weight
+			p.virtualTime = max(p.virtualTime, n.startTag)
+			n.startTag += float64(r.cost) / n.weight
 		}
 		if n.count == 0 {
 			p.deactivate(n)
@@ -97,10 +96,10 @@
 	}
 }
 
-// maxIdleKids bounds the idle children that a node remembers. They are kept
-// for their start tags, so that a flow which empties its queue for a moment
-// doesn't begin anew; those behind the virtual time have nothing to remember.
-const maxIdleKids = 1024
+// maxIdleChildren bounds the idle children that a node keeps. They are kept for their start tags, so
+// that a flow doesn't start anew when its queue is empty for a moment. A child whose tag is not ahead
+// of the virtual time needs no state.
+const maxIdleChildren = 1024
 
 func (f *flow) deactivate(n *flow) {
 	i := slices.Index(f.active, n)
@@ -109,61 +108,61 @@
 	f.active[last] = nil
 	f.active = f.active[:last]
 	if len(f.active) == 0 {
-		// Nobody is left to be fair to: all start anew together.
-		for _, k := range f.kids {
-			f.now = max(f.now, k.start)
+		// No child is backlogged, so all of them may start again with the same tag.
+		for _, k := range f.children {
+			f.virtualTime = max(f.virtualTime, k.startTag)
 		}
-		clear(f.kids)
+		clear(f.children)
 		return
 	}
-	if n.start <= f.now || len(f.kids) > maxIdleKids {
-		delete(f.kids, n.key)
+	if n.startTag <= f.virtualTime || len(f.children) > maxIdleChildren {
+		delete(f.children, n.key)
 	}
 }
 
-// prune forgets the leaf f and its parents as far as nothing was ever queued
-// there, or refused requests of many names would fill the memory.
+// prune deletes the leaf f and its parents up to the first one that has state. Otherwise refused
+// requests with many different names would fill the memory.
 func (f *flow) prune() {
-	for n := f; n.parent != nil && n.count == 0 && n.start <= n.parent.now; n = n.parent {
-		delete(n.parent.kids, n.key)
+	for n := f; n.parent != nil && n.count == 0 && n.startTag <= n.parent.virtualTime; n = n.parent {
+		delete(n.parent.children, n.key)
 	}
 }
 
-// closed says what may not be served now.
-type closed struct{ normal, urgent, long bool }
+// blocked says which requests may not be dispatched now.
+type blocked struct{ normal, urgent, long bool }
 
-func (c closed) bars(r *Request) bool {
-	if c.long && r.long {
+func (b blocked) blocks(r *Request) bool {
+	if b.long && r.long {
 		return true
 	}
 	if r.class.Urgent {
-		return c.urgent
+		return b.urgent
 	}
-	return c.normal
+	return b.normal
 }
 
-// first returns the leaf to be served next, nil if none may be.
-func (f *flow) first(bar closed) *flow {
+// nextLeaf returns the leaf to be served next, or nil if none may be served.
+func (f *flow) nextLeaf(skip blocked) *flow {
 	if len(f.queue) > 0 {
-		if bar.bars(f.queue[0]) {
+		if skip.blocks(f.queue[0]) {
 			return nil
 		}
 		return f
 	}
 	var best, leaf *flow
 	for _, n := range f.active {
-		if best != nil && n.start >= best.start {
+		if best != nil && n.startTag >= best.startTag {
 			continue
 		}
-		if l := n.first(bar); l != nil {
+		if l := n.nextLeaf(skip); l != nil {
 			best, leaf = n, l
 		}
 	}
 	return leaf
 }
 
-// share is the part of the slots' time that the leaf f gets among the flows
-// that are backlogged now, f included, up to the root.
+// share returns the share of the slots' time that the leaf f gets among the flows that are backlogged
+// now, including f: the product of its shares at each node up to the root.
 func (f *flow) share() float64 {
 	s := 1.0
 	for n := f; n.parent != nil; n = n.parent {
@@ -178,16 +177,16 @@
 	return s
 }
 
-// largest returns the leaf with the most queued cost.
-func (f *flow) largest() *flow {
+// largestLeaf returns the leaf that is reached by following the child with the highest queued cost.
+func (f *flow) largestLeaf() *flow {
 	if len(f.active) == 0 {
 		return f
 	}
-	top := f.active[0]
+	largest := f.active[0]
 	for _, n := range f.active[1:] {
-		if n.cost > top.cost {
-			top = n
+		if n.cost > largest.cost {
+			largest = n
 		}
 	}
-	return top.largest()
+	return largest.largestLeaf()
 }
--- a/internal/policy/admit/pool_test.go
+++ b/internal/policy/admit/pool_test.go
@@ -14,27 +14,27 @@
 
 // stream is one source of requests.
 type stream struct {
-	name   string
-	class  string
-	caller string
-	key    string
-	prompt int
-	every  time.Duration
-	budget time.Duration
-	from   time.Duration
-	until  time.Duration
+	name         string
+	class        string
+	caller       string
+	key          string
+	prompt       int
+	meanInterval time.Duration // between arrivals, which are a Poisson process
+	budget       time.Duration // from arrival to deadline
+	from         time.Duration
+	until        time.Duration
 }
 
-// tally is what the callers of one stream received.
+// tally counts the results of one stream.
 type tally struct {
 	offered, onTime, late int
 	codes                 map[code.Code]int
-	waited                time.Duration // the longest of those served
+	waited                time.Duration // longest wait of a served request
 }
 
 func (t tally) share() float64 { return float64(t.onTime) / float64(t.offered) }
 
-// pool runs requests for their estimated time, a fifth more or less.
+// pool simulates engines that run requests for their estimated time, plus or minus a fifth.
 type pool struct {
 	loop    loadtest.Loop
 	q       *Queue
@@ -65,7 +65,7 @@
 	if s.until == 0 {
 		end = length
 	}
-	for at := s.from; at < end; at += time.Duration(p.rng.ExpFloat64() * float64(s.every)) {
+	for at := s.from; at < end; at += time.Duration(p.rng.ExpFloat64() * float64(s.meanInterval)) {
 		p.loop.At(clock.Time(at), func() { p.offer(s) })
 	}
 }
@@ -101,7 +101,7 @@
 		}
 		p.running++
 		t := p.tallies[p.origin[r]]
-		t.waited = max(t.waited, now.Sub(r.arrived))
+		t.waited = max(t.waited, now.Sub(r.arrivedAt))
 		took := time.Duration(float64(r.Cost()) * (0.8 + 0.4*p.rng.Float64()))
 		p.loop.After(took, func() { p.done(r, t) })
 	}
@@ -119,16 +119,16 @@
 	p.pump()
 }
 
-// Engines change their role: for three seconds none takes a request, and six
-// wait. A rate of almost none was learned from it and believed for half a minute
-// after the engines were back, so that all who came were told to return in three
-// and a half minutes, behind a handful of requests.
-func TestAStopOfTheEnginesIsNoRate(t *testing.T) {
+// Guards against measuring a stop of the engines as a drain rate: during a role change no engine accepts
+// requests for three seconds while six are queued. A rate of almost zero was measured and used for
+// half a minute after the engines were back, so that all new requests were refused with a Retry-After
+// delay of three and a half minutes because of a handful of queued requests.
+func TestEngineStopIsNotMeasuredAsRate(t *testing.T) {
 	q := NewQueue(testConfig(Guards{}))
 	q.SetCapacity(0, slots)
 	now := clock.Time(0)
 	offer := func() *code.Error {
-		return q.Offer(now, &Request{Class: "question", Workspace: "a", Caller: "a", PromptTokens: question, Deadline: now.Add(6 * time.Second)}).Err
+		return q.Offer(now, &Request{Class: "question", Workspace: "a", Caller: "a", PromptTokens: questionTokens, Deadline: now.Add(6 * time.Second)}).Err
 	}
 	for range 6 {
 		assert.Assert(t, offer() == nil)
--- a/internal/policy/admit/request.go
+++ b/internal/policy/admit/request.go
@@ -8,32 +8,32 @@
 	"fescuestand/internal/code"
 )
 
-// Request is one request at the door of a pool. The caller fills the exported
-// fields and leaves the rest to the queue.
+// Request is one request that is offered to the queue of a pool. The caller sets the exported fields;
+// the queue owns the others.
 type Request struct {
-	ID        string
-	Class     string
-	Workspace string
-	Caller    string
-	Key       string     // of the thing asked about, for the hot-key limit; may be empty
-	PromptTokens    int        // tokens
-	CachedTokens    int        // tokens of the prompt expected in a cache
-	MaxOutputTokens int        // tokens; zero if the caller set none
-	Deadline  clock.Time // of the whole answer
-	FirstTokenDeadline   clock.Time // of the first token; zero if it has none
-	Value     any        // the caller's own
-
-	class   *class
-	arrived clock.Time
-	started clock.Time
-	cost    time.Duration // estimated time of an engine that it takes
-	run     time.Duration // estimated time from its start to its end
-	first   time.Duration // the part of run up to the first token
-	prefill time.Duration // the part of first without the wait at the engine
-	long    bool
-	leaf    *flow
-	index   int // in the expiry heap, -1 outside
-	state   state
+	ID                 string
+	Class              string
+	Workspace          string
+	Caller             string
+	Key                string // of the requested object, for the hot-key limit; may be empty
+	PromptTokens       int
+	CachedTokens       int        // prompt tokens expected in a cache
+	MaxOutputTokens    int        // zero if the caller set none
+	Deadline           clock.Time // of the whole answer
+	FirstTokenDeadline clock.Time // zero if there is none
+	Value              any        // not used by the queue
+
+	class          *class
+	arrivedAt      clock.Time
+	startedAt      clock.Time
+	cost           time.Duration // estimated engine time
+	runTime        time.Duration // estimated time from start to end
+	firstTokenTime time.Duration // the part of runTime up to the first token
+	prefillTime    time.Duration // the part of firstTokenTime without the wait at the engine
+	long           bool
+	leaf           *flow
+	index          int // in the expiry heap; -1 if not in it
+	state          state
 }
 
 type state uint8
@@ -44,33 +44,33 @@
 	running
 )
 
-// Cost returns the estimated time of an engine that the request takes.
+// Cost returns the estimated engine time of the request.
 func (r *Request) Cost() time.Duration { return r.cost }
 
-// latestStart is the last moment at which r can begin and end in time.
+// latestStart returns the latest time at which r can start and still meet its deadlines.
 func (r *Request) latestStart() clock.Time {
-	t := r.Deadline.Add(-r.run)
+	t := r.Deadline.Add(-r.runTime)
 	if r.FirstTokenDeadline != 0 {
-		t = min(t, r.FirstTokenDeadline.Add(-r.first))
+		t = min(t, r.FirstTokenDeadline.Add(-r.firstTokenTime))
 	}
 	return t
 }
 
-// Refusal is a request's final answer: it was not run and won't be.
+// Refusal is the final answer to a request that has not run and won't run.
 type Refusal struct {
 	Request *Request
 	Err     *code.Error
 }
 
-// OfferResult answers an offer. Err is nil if the request was taken; Dropped are
-// queued requests that had to make room for it.
+// OfferResult is the result of Queue.Offer. Err is nil if the request was queued. Dropped are the
+// queued requests that were evicted for it.
 type OfferResult struct {
 	Err     *code.Error
-	Wait    time.Duration // forecast
+	Wait    time.Duration // forecast time in the queue
 	Dropped []Refusal
 }
 
-// expiry orders queued requests by their latest start.
+// expiry is a heap of the queued requests, ordered by their latest start.
 type expiry []*Request
 
 func (h expiry) Len() int           { return len(h) }
--- a/internal/policy/admit/serve.go
+++ b/internal/policy/admit/serve.go
@@ -7,9 +7,9 @@
 	"fescuestand/internal/code"
 )
 
-// SetCapacity tells how many requests of this entry the pool runs at once. When
-// the capacity has shrunk, it drops what is now too late at once, so that its
-// callers hear while they can still ask elsewhere.
+// SetCapacity sets how many requests of this entry the pool can run at once. If the capacity falls
+// below reassessCapacityRatio of its old value, it drops infeasible requests at once, so that their
+// callers get the answer while they can still try elsewhere.
 func (q *Queue) SetCapacity(now clock.Time, slots int) []Refusal {
 	old := q.slots
 	q.slots = max(slots, 0)
@@ -18,41 +18,41 @@
 			l.lanes[i].drain.scale(old, q.slots)
 		}
 	}
-	if float64(q.slots) >= shrink*float64(old) {
+	if float64(q.slots) >= reassessCapacityRatio*float64(old) {
 		return nil
 	}
 	return q.Reassess(now)
 }
 
-// Reassess forecasts the start of all queued requests anew and drops those
-// that can't be on time. Later ones of a flow are dropped before earlier ones
-// of it, as they wait for them.
+// Reassess forecasts the start of all queued requests again and drops those that can't meet their
+// deadline. A request waits for the earlier ones of its flow that are kept, so that later requests are
+// the first to be infeasible.
 func (q *Queue) Reassess(now clock.Time) []Refusal {
 	if q.cfg.Disabled.NoShedding {
 		return nil
 	}
-	var late []Refusal
+	var dropped []Refusal
 	for _, l := range q.levels {
 		for _, leaf := range l.root.leaves(nil) {
-			late = append(late, q.reassessLeaf(now, leaf)...)
+			dropped = append(dropped, q.reassessLeaf(now, leaf)...)
 		}
 	}
-	return late
+	return dropped
 }
 
 func (q *Queue) reassessLeaf(now clock.Time, leaf *flow) []Refusal {
-	var late []Refusal
+	var dropped []Refusal
 	var ahead time.Duration
 	for _, r := range append([]*Request(nil), leaf.queue...) {
-		wait := q.forecast(r, ahead)
+		wait := q.forecastWait(r, ahead)
 		slack := r.latestStart().Sub(now)
 		if wait > slack {
-			late = append(late, q.drop(r, q.tooLate(r, now, wait, slack)))
+			dropped = append(dropped, q.drop(r, q.infeasibleError(r, now, wait, slack)))
 			continue
 		}
 		ahead += r.cost
 	}
-	return late
+	return dropped
 }
 
 func (f *flow) leaves(dst []*flow) []*flow {
@@ -65,26 +65,26 @@
 	return dst
 }
 
-// FreeSlots is how many requests the endpoints take now.
+// FreeSlots are the numbers of requests that the endpoints accept now, by the engine's priority.
 type FreeSlots struct{ Normal, Urgent int }
 
-// Next returns the request to be dispatched now, nil if there is none or no
-// slot is free. Dropped are the requests that have become infeasible while
-// they were queued: the work for them would be wasted.
-func (q *Queue) Next(now clock.Time, room FreeSlots) (*Request, []Refusal) {
+// Next returns the request to dispatch now, or nil if there is none or no slot is free. It also
+// returns the queued requests that it dropped because they have become infeasible: work on them would
+// be wasted.
+func (q *Queue) Next(now clock.Time, free FreeSlots) (*Request, []Refusal) {
 	dropped := q.Expire(now)
 	for _, l := range q.levels {
 		for i := range l.lanes {
-			l.lanes[i].drain.look(now, l.lanes[i].cost > 0, q.running > 0)
+			l.lanes[i].drain.update(now, l.lanes[i].cost > 0, q.running > 0)
 		}
 	}
-	bar := closed{
-		normal: room.Normal <= 0,
-		urgent: room.Urgent <= 0,
+	skip := blocked{
+		normal: free.Normal <= 0,
+		urgent: free.Urgent <= 0,
 		long:   float64(q.longRunning+1) > max(q.cfg.LongShare*float64(q.slots), 1),
 	}
 	for _, l := range q.levels {
-		leaf := l.root.first(bar)
+		leaf := l.root.nextLeaf(skip)
 		if leaf == nil {
 			continue
 		}
@@ -96,20 +96,20 @@
 }
 
 func (q *Queue) start(now clock.Time, r *Request) {
-	q.unqueue(r, true)
-	q.lane(r).drain.started(r.cost)
+	q.dequeue(r, true)
+	q.lane(r).drain.addWork(r.cost)
 	r.state = running
-	r.started = now
+	r.startedAt = now
 	q.running++
 	q.runningCost += r.cost
 	if r.long {
 		q.longRunning++
 	}
-	r.class.stats.Waited += now.Sub(r.arrived)
+	r.class.stats.Waited += now.Sub(r.arrivedAt)
 	r.class.stats.Started++
 }
 
-// Expire drops the queued requests that can no longer end in time.
+// Expire drops the queued requests that can no longer meet their deadlines.
 func (q *Queue) Expire(now clock.Time) []Refusal {
 	if q.cfg.Disabled.NoShedding {
 		return nil
@@ -118,15 +118,14 @@
 	for len(q.expiry) > 0 && q.expiry[0].latestStart() < now {
 		r := q.expiry[0]
 		e := code.New(code.DeadlineInfeasible, "queued %s; first token needs %s, the whole %s, deadline in %s",
-			now.Sub(r.arrived), r.first, r.run, r.Deadline.Sub(now))
-		wait := q.forecast(r, r.leaf.cost)
-		dropped = append(dropped, q.drop(r, e.WithRetryAfter(q.comeBack(now, r, wait))))
+			now.Sub(r.arrivedAt), r.firstTokenTime, r.runTime, r.Deadline.Sub(now))
+		wait := q.forecastWait(r, r.leaf.cost)
+		dropped = append(dropped, q.drop(r, e.WithRetryAfter(q.retryAfter(now, r, wait))))
 	}
 	return dropped
 }
 
-// NextExpiry returns when Expire will next find something, and whether
-// anything is queued.
+// NextExpiry returns when Expire will next drop a request, and whether any request is queued.
 func (q *Queue) NextExpiry() (clock.Time, bool) {
 	if len(q.expiry) == 0 {
 		return 0, false
@@ -137,32 +136,32 @@
 // Len returns the number of queued requests.
 func (q *Queue) Len() int { return len(q.expiry) }
 
-// Cancel takes a request out whose caller has gone.
+// Cancel removes a request whose caller has disconnected.
 func (q *Queue) Cancel(r *Request) {
 	switch r.state {
 	case queued:
-		q.unqueue(r, false)
-		q.release(r)
+		q.dequeue(r, false)
+		q.releaseKey(r)
 	case running:
 		q.finish(r)
 	case idle:
 	}
 }
 
-// Requeue puts a request that Next returned back in front of its flow, because
-// no endpoint took it or its attempt may be repeated.
+// Requeue puts a request that Next returned back at the front of its flow, because no endpoint
+// accepted it or because its attempt may be retried.
 func (q *Queue) Requeue(r *Request) {
 	if r.state != running {
 		return
 	}
 	q.finish(r)
 	if r.Key != "" {
-		q.keys[r.Key]++
+		q.requestsByKey[r.Key]++
 	}
-	q.lane(r).drain.started(-r.cost)
+	q.lane(r).drain.addWork(-r.cost)
 	r.state = queued
-	r.leaf.unshift(r)
-	q.enter(r)
+	r.leaf.pushFront(r)
+	q.enqueue(r)
 }
 
 func (q *Queue) finish(r *Request) {
@@ -172,21 +171,21 @@
 	if r.long {
 		q.longRunning--
 	}
-	q.release(r)
+	q.releaseKey(r)
 }
 
-// SetRates takes newly measured rates of the engines.
+// SetRates replaces the measured rates of the engines.
 func (q *Queue) SetRates(r Rates) { q.rates = r }
 
-// Measurement is what a request showed about the rates.
+// Measurement is what was measured of a request.
 type Measurement struct {
-	OK         bool          // the answer was whole; only then do the rates learn
-	FirstToken time.Duration // from dispatch
-	Step       time.Duration // mean time between tokens
-	OutputTokens     int           // tokens
+	OK           bool          // the answer was complete; only then are the estimates updated
+	FirstToken   time.Duration // from dispatch
+	Step         time.Duration // mean time between tokens
+	OutputTokens int
 }
 
-// Done ends a request that Next returned and learns from it.
+// Done ends a request that Next returned, and updates the estimates from its measurement.
 func (q *Queue) Done(now clock.Time, r *Request, m Measurement) {
 	if r.state != running {
 		return
@@ -195,35 +194,35 @@
 	if !m.OK {
 		return
 	}
-	q.learn(r, m)
+	q.updateEstimates(r, m)
 	if now <= r.Deadline {
 		r.class.stats.OnTime++
 	}
 }
 
-func (q *Queue) learn(r *Request, m Measurement) {
+func (q *Queue) updateEstimates(r *Request, m Measurement) {
 	if m.FirstToken > 0 {
-		learn(&r.class.delay, m.FirstToken-r.prefill)
+		updateMean(&r.class.meanDispatchDelay, m.FirstToken-r.prefillTime)
 	}
 	if m.Step > 0 {
-		learn(&q.rates.DecodePerToken, m.Step)
+		updateMean(&q.rates.DecodePerToken, m.Step)
 	}
 	if m.OutputTokens > 0 {
-		r.class.output += rateWeight * (float64(m.OutputTokens) - r.class.output)
+		r.class.meanOutputTokens += rateEWMAWeight * (float64(m.OutputTokens) - r.class.meanOutputTokens)
 	}
 }
 
-func learn(mean *time.Duration, x time.Duration) {
-	*mean += time.Duration(rateWeight * float64(x-*mean))
+func updateMean(mean *time.Duration, x time.Duration) {
+	*mean += time.Duration(rateEWMAWeight * float64(x-*mean))
 }
 
-// ClassStats are one class's figures since the start.
+// ClassStats are the counters of one class since the start.
 type ClassStats struct {
 	Offered, Admitted, Refused, Started, OnTime int64
-	Waited                                      time.Duration // sum over started
+	Waited                                      time.Duration // time in the queue, summed over started requests
 }
 
-// Stats are the queue's figures for expvar.
+// Stats is the state of a Queue that is exported through expvar.
 type Stats struct {
 	Queued, Running, LongRunning, Slots int
 	Backlog                             time.Duration // time to drain the queue
@@ -232,7 +231,7 @@
 	Refused                             map[string]int64 // by result code
 }
 
-// Snapshot returns the queue's figures.
+// Snapshot returns the current Stats.
 func (q *Queue) Snapshot() Stats {
 	s := Stats{
 		Queued: len(q.expiry), Running: q.running, LongRunning: q.longRunning, Slots: q.slots,
@@ -248,7 +247,7 @@
 	for name, c := range q.classes {
 		s.Classes[name] = c.stats
 	}
-	for c, n := range q.codes {
+	for c, n := range q.refusedByCode {
 		s.Refused[c.String()] = n
 	}
 	return s
--- a/internal/policy/backpressure/notice_test.go
+++ b/internal/policy/backpressure/notice_test.go
@@ -47,8 +47,8 @@
 	f.Add("7.9", "1", "2")
 	f.Add("-0", "soon", "1e300")
 	f.Add("0x1p-2", "", "Fri, 01 Jan 2027 00:00:05 GMT")
-	f.Fuzz(func(t *testing.T, limit, leaving, again string) {
-		n := Parse(Fields{Limit: limit, Leaving: leaving, RetryAfter: again, Now: newYear})
+	f.Fuzz(func(t *testing.T, limit, leaving, retryAfter string) {
+		n := Parse(Fields{Limit: limit, Leaving: leaving, RetryAfter: retryAfter, Now: newYear})
 		assert.Assert(t, n.RetryAfter >= 0 && n.RetryAfter <= maxRetryAfter)
 		assert.Assert(t, n.Limit >= 0)
 	})
