--- a/internal/entry/dispatch/place.go
+++ b/internal/entry/dispatch/place.go
@@ -17,7 +17,7 @@
 	for {
 		now := s.d.clk.Now()
 		verdict := s.d.suspects.Judge(now, s.print)
-		if verdict == suspect.Guilty {
+		if verdict == suspect.Quarantined {
 			return nil, nil, errGuilty
 		}
 		d, err := s.pick(now, verdict, exclude)
@@ -43,7 +43,7 @@
 	req := &route.Request{
 		Pool:      s.pool.Name,
 		Artifact:  route.Artifact{Model: s.g.Model, Version: s.g.Version, Adapter: s.g.Adapter},
-		Workspace: s.g.Workspace, Pieces: s.pieces, Prompt: len(s.g.Prompt) / bytesPerToken,
+		Workspace: s.g.Workspace, Pieces: s.pieces, PromptTokens: len(s.g.Prompt) / bytesPerToken,
 		Exclude: exclude, Urgent: s.urgent, Prefilled: s.kv != nil,
 	}
 	if verdict == suspect.Suspect {
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -67,7 +67,7 @@
 
 // run makes attempts until one decides the answer.
 func (x *execution) run() {
-	x.g.o.Budget.Request(x.now(), x.service)
+	x.g.o.Budget.CountRequest(x.now(), x.service)
 	defer func() { x.queued.leave() }()
 	var last result
 	for tries := 0; ; tries++ {
@@ -79,7 +79,7 @@
 			x.failure = last.answer
 		}
 		if last.outcome == answered {
-			x.g.o.Crashes.Answered(x.now(), x.c.Fingerprint)
+			x.g.o.Crashes.RecordSuccess(x.now(), x.c.Fingerprint)
 		}
 		if last.outcome == answered || last.outcome == gone || last.outcome == refused {
 			break
@@ -146,7 +146,7 @@
 	s.Left, s.Urgency = x.left(), x.urgency()
 	req := &exchange.Request{
 		Method: x.c.Method, Target: x.c.Target, Host: x.c.Host,
-		Header: x.g.o.Codec.Header(x.c, s), Body: x.c.Body, Once: !x.route.Repeatable(),
+		Header: x.g.o.Codec.Header(x.c, s), Body: x.c.Body, NoRetry: !x.route.Repeatable(),
 	}
 	sentAt := x.now()
 	resp, err := x.g.o.Pool.Do(ctx, s.Endpoint.Address, req)
@@ -166,7 +166,7 @@
 	case ans.NotRun:
 		resp.Close()
 		if ans.Gone {
-			x.g.o.Planner.Gone(x.now(), s.Endpoint)
+			x.g.o.Planner.MarkStale(x.now(), s.Endpoint)
 		}
 		return nil, ans, result{outcome: notRun, code: code.EndpointRefused, err: errRefused}
 	}
@@ -256,17 +256,17 @@
 // judgement is what r says of its endpoint.
 func judgement(r *result) place.Outcome {
 	if r.outcome == notSent && r.code != code.EndpointCut {
-		return place.Unjudged // it wasn't asked
+		return place.Ignored // it wasn't asked
 	}
 	switch r.outcome {
 	case answered:
-		return place.Good
+		return place.Success
 	case notRun:
-		return place.Full
+		return place.Rejected
 	case failed:
-		return place.Erred
+		return place.ErrorAnswer
 	case notSent, lost:
-		return place.Bad
+		return place.ExchangeFailed
 	}
-	return place.Unjudged
+	return place.Ignored
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,7 +56,7 @@
 	o       Options
 	started clock.Time
 	metrics *Metrics
-	held    ontime.Held
+	held    ontime.HeldWork
 	rate    serving.Meter
 	queues  sync.Map // of *queue, by service
 }
@@ -83,7 +83,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	arrived := g.o.Clock.Now()
-	g.rate.Note(arrived)
+	g.rate.Count(arrived)
 	view := g.o.Catalog.View()
 	c, route, refused := g.accept(w, r, view)
 	if refused != nil {
@@ -127,7 +127,7 @@
 	for {
 		changed := g.o.Catalog.Changed()
 		v := g.o.Catalog.View()
-		g.o.Planner.Follow(v)
+		g.o.Planner.SetView(v)
 		g.o.Pressure.ObserveCatalog(g.o.Clock.Now(), v)
 		keep := map[string]bool{}
 		for _, e := range v.All() {
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -54,7 +54,7 @@
 	if x.predicted > 0 {
 		return
 	}
-	x.predicted, x.cachedTokens = plan.First, plan.Cached
+	x.predicted, x.cachedTokens = plan.FirstEvent, plan.CachedTokens
 	x.sharedTokens = pr.SharedTokens()
 }
 
@@ -66,11 +66,11 @@
 	}
 	ahead := time.Duration(0)
 	if !x.held {
-		ahead = x.g.held.Ahead(x.g.o.VMs(), plan.Engines)
+		ahead = x.g.held.Backlog(x.g.o.VMs(), plan.Candidates)
 	}
 	return ontime.Decide(ontime.Request{
-		Elapsed: x.now().Sub(x.c.Arrived), Target: x.route.Target, Patience: x.firstPatience(),
-		First: plan.First, Wait: plan.Wait, Ahead: ahead, Draw: x.c.Fingerprint ^ uint64(x.now()),
+		Elapsed: x.now().Sub(x.c.Arrived), Target: x.route.Target, CallerTimeout: x.firstPatience(),
+		FirstEvent: plan.FirstEvent, Wait: plan.Wait, Backlog: ahead, Random: x.c.Fingerprint ^ uint64(x.now()),
 	})
 }
 
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -46,14 +46,14 @@
 // callAttempt sends a call to one endpoint of its service and passes a whole
 // answer on.
 func (x *execution) callAttempt() result {
-	ep := x.g.o.Planner.Endpoint(x.now(), x.open(), x.tried)
+	ep := x.g.o.Planner.ChooseEndpoint(x.now(), x.open(), x.tried)
 	for ep == nil {
 		if r, again := x.awaitRoom(); !again {
 			return r
 		}
-		ep = x.g.o.Planner.Endpoint(x.now(), x.open(), x.tried)
+		ep = x.g.o.Planner.ChooseEndpoint(x.now(), x.open(), x.tried)
 	}
-	t := x.g.o.Planner.Send(x.now(), ep, place.Job{})
+	t := x.g.o.Planner.Begin(x.now(), ep, place.Job{})
 	ctx, cancel := x.callContext()
 	defer cancel()
 	resp, ans, r := x.send(ctx, &Send{Endpoint: ep})
@@ -61,7 +61,7 @@
 		r = x.readAnswer(resp, ans)
 	}
 	if ans.Requests > 0 {
-		x.g.o.Planner.Load(x.now(), t, ans.Requests-1)
+		x.g.o.Planner.RecordLoad(x.now(), t, ans.Requests-1)
 	}
 	x.note(ep, t, r)
 	return r
@@ -94,9 +94,9 @@
 // its route's priority if callers hope for no certain time.
 func (x *execution) urgency() int {
 	if x.route.Target == 0 {
-		return min(max(x.priority(), 0), ontime.LeastUrgent)
+		return min(max(x.priority(), 0), ontime.MaxUrgencyRank)
 	}
-	return ontime.Urgency(x.route.Target-x.now().Sub(x.c.Arrived), x.work)
+	return ontime.UrgencyRank(x.route.Target-x.now().Sub(x.c.Arrived), x.work)
 }
 
 // priority is that of the call's workspace, or of its route.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -56,7 +56,7 @@
 // target is the decode engine that takes the KV cache at holder over, nil if there is none.
 func (x *execution) target(holder *catalog.Endpoint) *catalog.Endpoint {
 	for {
-		if e := x.g.o.Planner.Target(x.now(), x.open(), holder, x.tried); e != nil {
+		if e := x.g.o.Planner.ChooseDecodeEngine(x.now(), x.open(), holder, x.tried); e != nil {
 			return e
 		}
 		if _, again := x.awaitRoom(); !again {
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(x.ctx, silentFirst+firstFactor*(plan.Wait+plan.Fetch+plan.Work))
 	defer cancel()
 	s := &Send{Endpoint: e, Prefill: true, Fetch: sourceOf(plan)}
-	t := x.g.o.Planner.Send(x.now(), e, plan.Job())
+	t := x.g.o.Planner.Begin(x.now(), e, plan.Job())
 	x.g.o.Sent(plan.Work)
 	resp, _, r := x.send(ctx, s)
 	var h *HandOver
@@ -117,7 +117,7 @@
 
 // cached notes that e has the prompt cached: it has read it, or taken it over.
 func (x *execution) cached(t *place.Ticket, e *catalog.Endpoint, pr *place.Prompt) {
-	x.g.o.Planner.Prefilled(x.now(), t, pr.Parts)
+	x.g.o.Planner.PrefillDone(x.now(), t, pr.Parts)
 	if pr.SharedTokens() >= toldShared {
 		x.g.o.Cached(e, pr.Parts)
 	}
@@ -132,9 +132,9 @@
 	s.LastEvent = x.lastEvent
 	job := plan.Job()
 	if s.KV != nil {
-		job = place.Job{Taken: pr.Tokens}
+		job = place.Job{HandoffTokens: pr.Tokens}
 	}
-	t := x.g.o.Planner.Send(x.now(), s.Endpoint, job)
+	t := x.g.o.Planner.Begin(x.now(), s.Endpoint, job)
 	ctx, cancel := context.WithCancel(x.ctx)
 	defer cancel()
 	watch := x.watch(cancel, t, s, plan)
