--- a/internal/policy/backpressure/limit.go
+++ b/internal/policy/backpressure/limit.go
@@ -17,8 +17,8 @@
 	// at the same time.
 	burstSpan          = time.Second
 	burstExtraRequests = 2
-	// tokenLifetime is how long a VM may keep a token of its share unused before it expires. This
-	// bounds how many of many VMs hold a token at the same time.
+	// tokenLifetime is how long a VM may keep a token of its share unused before it expires. If
+	// there are many VMs, this bounds how many of them have a token at the same time.
 	tokenLifetime = 1500 * time.Millisecond
 	// maxOverdraftRequests is by how many requests a VM may exceed its share while the shared
 	// bucket has a token for each VM.
