--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -131,7 +131,7 @@
 		changed := g.o.Catalog.Changed()
 		v := g.o.Catalog.View()
 		g.o.Planner.SetView(v)
-		g.o.Pressure.ObserveCatalog(g.o.Clock.Now(), v)
+		g.o.Pressure.SetView(g.o.Clock.Now(), v)
 		inUse := map[string]bool{}
 		for _, e := range v.All() {
 			inUse[e.Address] = true
--- a/internal/policy/backpressure/register.go
+++ b/internal/policy/backpressure/register.go
@@ -202,9 +202,9 @@
 // reappear after an outage of the store that holds them.
 const recordTTL = time.Minute
 
-// ObserveCatalog records which endpoints the catalog lists, and deletes the records of those that it
+// SetView records which endpoints the catalog lists, and deletes the records of those that it
 // hasn't listed for recordTTL.
-func (r *Tracker) ObserveCatalog(now clock.Time, v *catalog.View) {
+func (r *Tracker) SetView(now clock.Time, v *catalog.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.records) == 0 {
--- a/internal/policy/backpressure/register_test.go
+++ b/internal/policy/backpressure/register_test.go
@@ -60,8 +60,8 @@
 	restarted.Born++
 	store := catalog.NewStore(&clock.Manual{})
 	store.SetEndpoint(&restarted)
-	r.ObserveCatalog(at(recordTTL), store.View())
+	r.SetView(at(recordTTL), store.View())
 	assert.Equal(t, r.LimitedCount(), 1, "an entry may reappear")
-	r.ObserveCatalog(at(recordTTL+time.Second), store.View())
+	r.SetView(at(recordTTL+time.Second), store.View())
 	assert.Equal(t, r.LimitedCount(), 0)
 }
