--- a/internal/gossip/informed.go
+++ b/internal/gossip/informed.go
@@ -13,7 +13,7 @@
 	now := m.clock.Now()
 	var list []Node
 	for _, e := range m.list.Entries() {
-		if e.Informed && e.Alive(now) {
+		if e.TracksCaches && e.Alive(now) {
 			list = append(list, e.Node)
 		}
 	}
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -90,7 +90,7 @@
 
 // SetInformed tells whether this VM knows what engines have cached.
 func (m *Members) SetInformed(informed bool) {
-	m.change(func(r *swim.Record) { r.Informed = informed })
+	m.change(func(r *swim.Record) { r.TracksCaches = informed })
 }
 
 // Leave marks this VM as one that stops.
--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -36,7 +36,7 @@
 	Silent   bool
 	Ready    bool   // it takes callers
 	Leaving  bool   // it was told to stop
-	Informed bool   // it knows what engines have cached
+	TracksCaches bool   // it knows what engines have cached
 	Duty     bool   // it has been dealt the duty of giving orders
 	Requests uint32 // a second that it gets, zero if not known
 }
