--- a/internal/gossip/active.go
+++ b/internal/gossip/active.go
@@ -64,11 +64,11 @@
 		c.active[v.Peer] = struct{}{}
 	}
 	for peer, e := range m.list.Entries() {
-		if e.Duty && e.Alive(now) {
+		if e.Leader && e.Alive(now) {
 			c.active[peer] = struct{}{}
 		}
 	}
-	if own := m.list.Own(); own.Duty {
+	if own := m.list.Own(); own.Leader {
 		c.active[own.Peer] = struct{}{}
 	}
 	c.at, c.stale = now, false
--- a/internal/gossip/collectors.go
+++ b/internal/gossip/collectors.go
@@ -17,7 +17,7 @@
 	for peer := range m.choose(now).active {
 		if e := m.list.Entries()[peer]; e != nil && e.Alive(now) && !e.Leaving {
 			alive = append(alive, e.Node)
-			duty[peer] = e.Duty
+			duty[peer] = e.Leader
 		}
 	}
 	slices.SortFunc(alive, func(a, b Node) int {
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -86,7 +86,7 @@
 func (m *Members) SetReady(ready bool) { m.change(func(r *swim.Record) { r.Ready = ready }) }
 
 // SetDuty tells whether this VM has been dealt the duty of giving orders.
-func (m *Members) SetDuty(duty bool) { m.change(func(r *swim.Record) { r.Duty = duty }) }
+func (m *Members) SetDuty(duty bool) { m.change(func(r *swim.Record) { r.Leader = duty }) }
 
 // SetInformed tells whether this VM knows what engines have cached.
 func (m *Members) SetInformed(informed bool) {
@@ -142,7 +142,7 @@
 func (m *Members) Leaving() bool { return m.ownRecord().Leaving }
 
 // Duty tells whether this VM has been dealt the duty of giving orders.
-func (m *Members) Duty() bool { return m.ownRecord().Duty }
+func (m *Members) Duty() bool { return m.ownRecord().Leader }
 
 // List takes the group's members.
 func (m *Members) List(nodes []Node) {
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -9,7 +9,7 @@
 func beatOf(r *swim.Record) *wire.Beat {
 	return &wire.Beat{
 		Incarnation: r.Incarnation, Zone: r.Zone, Caller: r.Caller, Peer: r.Peer, Capacity: r.Capacity,
-		Version: r.Version, Ready: r.Ready, Leaving: r.Leaving, Informed: r.TracksCaches, Duty: r.Duty, Requests: r.Requests,
+		Version: r.Version, Ready: r.Ready, Leaving: r.Leaving, Informed: r.TracksCaches, Duty: r.Leader, Requests: r.Requests,
 	}
 }
 
@@ -19,7 +19,7 @@
 		Node: Node{
 			Incarnation: b.GetIncarnation(), Zone: b.GetZone(), Caller: b.GetCaller(), Peer: b.GetPeer(), Capacity: b.GetCapacity(),
 		},
-		Version: b.GetVersion(), Ready: b.GetReady(), Leaving: b.GetLeaving(), TracksCaches: b.GetInformed(), Duty: b.GetDuty(),
+		Version: b.GetVersion(), Ready: b.GetReady(), Leaving: b.GetLeaving(), TracksCaches: b.GetInformed(), Leader: b.GetDuty(),
 		Requests: b.GetRequests(),
 	}
 }
@@ -32,7 +32,7 @@
 		r := &m.Updates[i]
 		b.Members = append(b.Members, &wire.Member{
 			Incarnation: r.Incarnation, Zone: r.Zone, Caller: r.Caller, Peer: r.Peer, Capacity: r.Capacity,
-			Version: r.Version, Silent: r.Silent, Ready: r.Ready, Leaving: r.Leaving, Informed: r.TracksCaches, Duty: r.Duty,
+			Version: r.Version, Silent: r.Silent, Ready: r.Ready, Leaving: r.Leaving, Informed: r.TracksCaches, Duty: r.Leader,
 			Requests: r.Requests,
 		})
 	}
@@ -54,7 +54,7 @@
 				Incarnation: r.GetIncarnation(), Zone: r.GetZone(), Caller: r.GetCaller(), Peer: r.GetPeer(), Capacity: r.GetCapacity(),
 			},
 			Version: r.GetVersion(), Silent: r.GetSilent(), Ready: r.GetReady(), Leaving: r.GetLeaving(),
-			TracksCaches: r.GetInformed(), Duty: r.GetDuty(), Requests: r.GetRequests(),
+			TracksCaches: r.GetInformed(), Leader: r.GetDuty(), Requests: r.GetRequests(),
 		})
 	}
 	return m
--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -37,7 +37,7 @@
 	Ready    bool   // it takes callers
 	Leaving  bool   // it was told to stop
 	TracksCaches bool   // it knows what engines have cached
-	Duty     bool   // it has been dealt the duty of giving orders
+	Leader     bool   // it has been dealt the duty of giving orders
 	Requests uint32 // a second that it gets, zero if not known
 }
 
@@ -52,7 +52,7 @@
 // urgent tells whether others must know at once that r has replaced old: callers
 // are sent elsewhere by it.
 func (r *Record) urgent(old *Record) bool {
-	return r.Silent != old.Silent || r.Ready != old.Ready || r.Leaving != old.Leaving || r.Duty != old.Duty ||
+	return r.Silent != old.Silent || r.Ready != old.Ready || r.Leaving != old.Leaving || r.Leader != old.Leader ||
 		r.Incarnation != old.Incarnation
 }
 
--- a/internal/swim/table.go
+++ b/internal/swim/table.go
@@ -94,7 +94,7 @@
 
 func digestOf(r *Record) uint64 {
 	h := xxhash.Sum64String(r.Peer) ^ splitmix.Mix(xxhash.Sum64String(r.Incarnation))
-	for _, flag := range []bool{r.Silent, r.Ready, r.Leaving, r.Duty} {
+	for _, flag := range []bool{r.Silent, r.Ready, r.Leaving, r.Leader} {
 		h = splitmix.Mix(h)
 		if flag {
 			h++
