--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -224,7 +224,7 @@
 }
 
 func (d *Detector) add(now clock.Time, r Record) *Entry {
-	e := &Entry{Record: r, FirstAt: now}
+	e := &Entry{Record: r, FirstSeenAt: now}
 	if r.Silent {
 		e.silentAt = now
 	}
@@ -296,7 +296,7 @@
 // gone tells whether e has been neither listed nor heard for so long that it is
 // not probed any more.
 func (e *Entry) gone(now clock.Time) bool {
-	unlisted := now.Sub(max(e.listedAt, e.FirstAt)) > forgetListed
+	unlisted := now.Sub(max(e.listedAt, e.FirstSeenAt)) > forgetListed
 	switch {
 	case e.Version == 0:
 		return unlisted && now.Sub(e.HeardAt) > forgetListed
--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -59,7 +59,7 @@
 // Entry is a VM as this one sees it.
 type Entry struct {
 	Record
-	FirstAt clock.Time // when it was first listed or told of
+	FirstSeenAt clock.Time // when it was first listed or told of
 	HeardAt clock.Time // of its last datagram to this VM, zero if none
 
 	listedAt clock.Time // newest list of the platform that names it
@@ -75,7 +75,7 @@
 	case e.Heard(now):
 		return true
 	case e.Version == 0:
-		return e.HeardAt == 0 && now.Sub(e.FirstAt) < unheard
+		return e.HeardAt == 0 && now.Sub(e.FirstSeenAt) < unheard
 	}
 	return !e.Silent && !e.doubted
 }
@@ -96,5 +96,5 @@
 // Absent tells whether e has given no sign of life, directly or by others, for
 // longer than d.
 func (e *Entry) Absent(now clock.Time, d time.Duration) bool {
-	return !e.Alive(now) && now.Sub(max(e.HeardAt, e.silentAt, e.FirstAt)) > d
+	return !e.Alive(now) && now.Sub(max(e.HeardAt, e.silentAt, e.FirstSeenAt)) > d
 }
--- a/internal/swim/step.go
+++ b/internal/swim/step.go
@@ -214,7 +214,7 @@
 // ack answers a ping. A newcomer is told of others with it.
 func (d *Detector) ack(now clock.Time, m *Message) Message {
 	out := d.message(Ack, m.Seq, "")
-	if e := d.entries[m.From.Peer]; now.Sub(e.FirstAt) < newFor {
+	if e := d.entries[m.From.Peer]; now.Sub(e.FirstSeenAt) < newFor {
 		for _, peer := range d.pick(now, maxUpdates-len(out.Updates), m.From.Peer) {
 			out.Updates = append(out.Updates, d.entries[peer].Record)
 		}
