--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -151,7 +151,7 @@
 		if e == nil {
 			e = d.add(now, Record{Node: n, Ready: true})
 		}
-		if e.Version == 0 && e.HeardAt == 0 {
+		if e.Version == 0 && e.ReceivedAt == 0 {
 			e.Node = n
 		}
 		e.listedAt = now
@@ -179,7 +179,7 @@
 	default:
 		d.merge(now, r)
 	}
-	e.HeardAt, e.doubted = now, false
+	e.ReceivedAt, e.doubted = now, false
 }
 
 // listen notes that this VM hears others. What it believed of them while it heard
@@ -212,7 +212,7 @@
 	d.noteAlarm(now)
 	d.spread(now, peer, true)
 	if d.Accused != nil {
-		d.Accused(peer, now.Sub(e.HeardAt))
+		d.Accused(peer, now.Sub(e.ReceivedAt))
 	}
 }
 
@@ -299,7 +299,7 @@
 	unlisted := now.Sub(max(e.listedAt, e.FirstSeenAt)) > forgetListed
 	switch {
 	case e.Version == 0:
-		return unlisted && now.Sub(e.HeardAt) > forgetListed
+		return unlisted && now.Sub(e.ReceivedAt) > forgetListed
 	case e.Silent || e.doubted:
 		return unlisted && !e.Heard(now) && now.Sub(e.silentAt) > forgetSilent
 	}
--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -60,7 +60,7 @@
 type Entry struct {
 	Record
 	FirstSeenAt clock.Time // when it was first listed or told of
-	HeardAt clock.Time // of its last datagram to this VM, zero if none
+	ReceivedAt clock.Time // of its last datagram to this VM, zero if none
 
 	listedAt clock.Time // newest list of the platform that names it
 	silentAt clock.Time // since when it counts as silent
@@ -75,14 +75,14 @@
 	case e.Heard(now):
 		return true
 	case e.Version == 0:
-		return e.HeardAt == 0 && now.Sub(e.FirstSeenAt) < unheard
+		return e.ReceivedAt == 0 && now.Sub(e.FirstSeenAt) < unheard
 	}
 	return !e.Silent && !e.doubted
 }
 
 // Heard tells whether e has sent a datagram to this VM lately.
 func (e *Entry) Heard(now clock.Time) bool {
-	return e.HeardAt != 0 && now.Sub(e.HeardAt) < Silence
+	return e.ReceivedAt != 0 && now.Sub(e.ReceivedAt) < Silence
 }
 
 // LastHeard is when the VM's last datagram came, zero if never.
@@ -90,11 +90,11 @@
 	if e == nil {
 		return 0
 	}
-	return e.HeardAt
+	return e.ReceivedAt
 }
 
 // Absent tells whether e has given no sign of life, directly or by others, for
 // longer than d.
 func (e *Entry) Absent(now clock.Time, d time.Duration) bool {
-	return !e.Alive(now) && now.Sub(max(e.HeardAt, e.silentAt, e.FirstSeenAt)) > d
+	return !e.Alive(now) && now.Sub(max(e.ReceivedAt, e.silentAt, e.FirstSeenAt)) > d
 }
