--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -301,7 +301,7 @@
 	case e.Version == 0:
 		return unlisted && now.Sub(e.ReceivedAt) > forgetListed
 	case e.Silent || e.doubted:
-		return unlisted && !e.Heard(now) && now.Sub(e.silentAt) > forgetSilent
+		return unlisted && !e.ReceivedRecently(now) && now.Sub(e.silentAt) > forgetSilent
 	}
 	return false
 }
--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -72,7 +72,7 @@
 	switch {
 	case e == nil:
 		return false
-	case e.Heard(now):
+	case e.ReceivedRecently(now):
 		return true
 	case e.Version == 0:
 		return e.ReceivedAt == 0 && now.Sub(e.FirstSeenAt) < unheard
@@ -80,8 +80,8 @@
 	return !e.Silent && !e.doubted
 }
 
-// Heard tells whether e has sent a datagram to this VM lately.
-func (e *Entry) Heard(now clock.Time) bool {
+// ReceivedRecently tells whether e has sent a datagram to this VM lately.
+func (e *Entry) ReceivedRecently(now clock.Time) bool {
 	return e.ReceivedAt != 0 && now.Sub(e.ReceivedAt) < Silence
 }
 
