--- a/internal/gossip/active.go
+++ b/internal/gossip/active.go
@@ -156,7 +156,7 @@
 			l.wantedAt = now
 		}
 		e := m.list.Entries()[peer]
-		since := now.Sub(max(l.heardAt, l.wantedAt, e.LastHeard()))
+		since := now.Sub(max(l.heardAt, l.wantedAt, e.LastReceived()))
 		switch {
 		case wanted && since >= m.silenceNow() && e.Alive(now):
 			m.list.Accuse(now, peer)
--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -85,8 +85,8 @@
 	return e.ReceivedAt != 0 && now.Sub(e.ReceivedAt) < Silence
 }
 
-// LastHeard is when the VM's last datagram came, zero if never.
-func (e *Entry) LastHeard() clock.Time {
+// LastReceived is when the VM's last datagram came, zero if never.
+func (e *Entry) LastReceived() clock.Time {
 	if e == nil {
 		return 0
 	}
