--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -234,7 +234,7 @@
 func (m *Members) count(now clock.Time) int {
 	n := 1
 	for _, e := range m.list.Entries() {
-		if !e.Absent(now, countedFor) {
+		if !e.UnresponsiveFor(now, countedFor) {
 			n++
 		}
 	}
--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -93,8 +93,8 @@
 	return e.ReceivedAt
 }
 
-// Absent tells whether e has given no sign of life, directly or by others, for
+// UnresponsiveFor tells whether e has given no sign of life, directly or by others, for
 // longer than d.
-func (e *Entry) Absent(now clock.Time, d time.Duration) bool {
+func (e *Entry) UnresponsiveFor(now clock.Time, d time.Duration) bool {
 	return !e.Alive(now) && now.Sub(max(e.ReceivedAt, e.silentAt, e.FirstSeenAt)) > d
 }
