--- a/internal/swim/message.go
+++ b/internal/swim/message.go
@@ -5,7 +5,7 @@
 
 // The kinds of messages.
 const (
-	News       Kind = iota // nothing is asked
+	UpdatesOnly       Kind = iota // nothing is asked
 	Ping                   // asks for an Ack
 	Ack                    // answers a Ping or a PingOther
 	PingOther              // asks to ping Target
--- a/internal/swim/step.go
+++ b/internal/swim/step.go
@@ -129,7 +129,7 @@
 func (d *Detector) push(now clock.Time) []Send {
 	d.pushAt = 0
 	peers := d.pick(now, pushFanout, "")
-	m := Message{From: d.own, Kind: News, Updates: d.records(d.rumors.urgent())}
+	m := Message{From: d.own, Kind: UpdatesOnly, Updates: d.records(d.rumors.urgent())}
 	d.pushes = max(d.pushes-1, 0)
 	if d.rumors.pressing() || d.pushes > 0 {
 		d.pushSoon(now, pushGap)
@@ -183,7 +183,7 @@
 	}
 	out := d.answer(now, m)
 	if e := d.entries[m.From.Peer]; e.supersedesSender(&m.From) {
-		out = append(out, Send{m.From.Peer, Message{From: d.own, Kind: News, Updates: []Record{e.Record}}})
+		out = append(out, Send{m.From.Peer, Message{From: d.own, Kind: UpdatesOnly, Updates: []Record{e.Record}}})
 	}
 	return out
 }
@@ -206,7 +206,7 @@
 		return d.table(now, m)
 	case TableChunk:
 		d.tableAnswered(now, m)
-	case News:
+	case UpdatesOnly:
 	}
 	return nil
 }
