--- a/internal/swim/message.go
+++ b/internal/swim/message.go
@@ -8,7 +8,7 @@
 	UpdatesOnly       Kind = iota // nothing is asked
 	Ping                   // asks for an Ack
 	Ack                    // answers a Ping or a PingOther
-	PingOther              // asks to ping Target
+	PingReq              // asks to ping Target
 	AskTable               // asks for all records, unless the Digest is the same
 	TableChunk             // some of them
 )
--- a/internal/swim/step.go
+++ b/internal/swim/step.go
@@ -63,7 +63,7 @@
 		default:
 			p.helped = true
 			for _, helper := range d.pick(now, helpers, p.peer) {
-				out = append(out, Send{helper, d.message(PingOther, seq, p.peer)})
+				out = append(out, Send{helper, d.message(PingReq, seq, p.peer)})
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 		return []Send{{m.From.Peer, d.ack(now, m)}}
 	case Ack:
 		return d.acked(now, m)
-	case PingOther:
+	case PingReq:
 		return d.pingFor(now, m)
 	case AskTable:
 		return d.table(now, m)
