--- a/internal/swim/message.go
+++ b/internal/swim/message.go
@@ -9,7 +9,7 @@
 	Ping                   // asks for an Ack
 	Ack                    // answers a Ping or a PingOther
 	PingReq              // asks to ping Target
-	AskTable               // asks for all records, unless the Digest is the same
+	TableRequest               // asks for all records, unless the Digest is the same
 	TableChunk             // some of them
 )
 
--- a/internal/swim/step.go
+++ b/internal/swim/step.go
@@ -202,7 +202,7 @@
 		return d.acked(now, m)
 	case PingReq:
 		return d.pingFor(now, m)
-	case AskTable:
+	case TableRequest:
 		return d.table(now, m)
 	case TableChunk:
 		d.tableAnswered(now, m)
--- a/internal/swim/table.go
+++ b/internal/swim/table.go
@@ -19,7 +19,7 @@
 	if len(peers) == 0 {
 		return nil
 	}
-	m := d.message(AskTable, 0, "")
+	m := d.message(TableRequest, 0, "")
 	m.Digest = d.digest()
 	return []Send{{peers[0], m}}
 }
