--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -190,7 +190,7 @@
 }
 
 // receive takes a message of the list and returns the answers.
-func (m *Members) receive(msg *swim.Message) []swim.Send {
+func (m *Members) receive(msg *swim.Message) []swim.Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
@@ -209,7 +209,7 @@
 }
 
 // step does what the list has due, and returns when it is due again.
-func (m *Members) step() ([]swim.Send, clock.Time) {
+func (m *Members) step() ([]swim.Outgoing, clock.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := m.list.Step(m.clock.Now())
--- a/internal/gossip/probes.go
+++ b/internal/gossip/probes.go
@@ -35,7 +35,7 @@
 }
 
 // sendAll sends messages of the list, with the news that all must know.
-func (u *Unit) sendAll(out []swim.Send) {
+func (u *Unit) sendAll(out []swim.Outgoing) {
 	for i := range out {
 		b := probeBeat(&out[i].Message)
 		_, b.NewestReadMs = u.members.told()
--- a/internal/swim/message.go
+++ b/internal/swim/message.go
@@ -23,8 +23,8 @@
 	Updates []Record
 }
 
-// Send is a message on its way.
-type Send struct {
+// Outgoing is a message on its way.
+type Outgoing struct {
 	To string // address for datagrams
 	Message
 }
--- a/internal/swim/sim_test.go
+++ b/internal/swim/sim_test.go
@@ -116,7 +116,7 @@
 	s.push(event{at: next, step: v, life: v.life})
 }
 
-func (s *sim) send(v *simVM, out []Send) {
+func (s *sim) send(v *simVM, out []Outgoing) {
 	for i := range out {
 		v.sent++
 		to := s.by[out[i].To]
--- a/internal/swim/step.go
+++ b/internal/swim/step.go
@@ -31,7 +31,7 @@
 }
 
 // Step does what is due.
-func (d *Detector) Step(now clock.Time) []Send {
+func (d *Detector) Step(now clock.Time) []Outgoing {
 	if now.Sub(d.steppedAt) > probePeriod+lateTick {
 		clear(d.probes)
 		clear(d.relays)
@@ -51,8 +51,8 @@
 }
 
 // judge looks at the probes that weren't answered.
-func (d *Detector) judge(now clock.Time) []Send {
-	var out []Send
+func (d *Detector) judge(now clock.Time) []Outgoing {
+	var out []Outgoing
 	for _, seq := range slices.Sorted(maps.Keys(d.probes)) {
 		p := d.probes[seq]
 		switch {
@@ -63,7 +63,7 @@
 		default:
 			p.helped = true
 			for _, helper := range d.pick(now, helpers, p.peer) {
-				out = append(out, Send{helper, d.message(PingReq, seq, p.peer)})
+				out = append(out, Outgoing{helper, d.message(PingReq, seq, p.peer)})
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 
 // probe asks the next VM for a sign of life. Silent ones are asked in their turn
 // too: they may be back.
-func (d *Detector) probe(now clock.Time) []Send {
+func (d *Detector) probe(now clock.Time) []Outgoing {
 	d.probeAt = now.Add(probePeriod)
 	if d.alarm.raised(now) {
 		d.probeAt = now.Add(alarmPeriod)
@@ -91,7 +91,7 @@
 	if e := d.entries[peer]; !e.Silent {
 		d.probes[d.seq] = &probe{peer: peer, sentAt: now}
 	}
-	return []Send{{peer, d.message(Ping, d.seq, "")}}
+	return []Outgoing{{peer, d.message(Ping, d.seq, "")}}
 }
 
 // nextPeer walks through all VMs in a shuffled order, which is shuffled anew after
@@ -126,7 +126,7 @@
 }
 
 // push tells a few VMs what is urgent.
-func (d *Detector) push(now clock.Time) []Send {
+func (d *Detector) push(now clock.Time) []Outgoing {
 	d.pushAt = 0
 	peers := d.pick(now, pushFanout, "")
 	m := Message{From: d.own, Kind: UpdatesOnly, Updates: d.records(d.rumors.urgent())}
@@ -134,9 +134,9 @@
 	if d.rumors.pressing() || d.pushes > 0 {
 		d.pushSoon(now, pushGap)
 	}
-	out := make([]Send, len(peers))
+	out := make([]Outgoing, len(peers))
 	for i, peer := range peers {
-		out[i] = Send{peer, m}
+		out[i] = Outgoing{peer, m}
 	}
 	return out
 }
@@ -173,7 +173,7 @@
 }
 
 // Receive takes a message and returns the answers to it.
-func (d *Detector) Receive(now clock.Time, m *Message) []Send {
+func (d *Detector) Receive(now clock.Time, m *Message) []Outgoing {
 	if m.From.Peer == d.own.Peer {
 		return nil
 	}
@@ -183,7 +183,7 @@
 	}
 	out := d.answer(now, m)
 	if e := d.entries[m.From.Peer]; e.supersedesSender(&m.From) {
-		out = append(out, Send{m.From.Peer, Message{From: d.own, Kind: UpdatesOnly, Updates: []Record{e.Record}}})
+		out = append(out, Outgoing{m.From.Peer, Message{From: d.own, Kind: UpdatesOnly, Updates: []Record{e.Record}}})
 	}
 	return out
 }
@@ -194,10 +194,10 @@
 	return e.Silent && e.Version >= r.Version || e.Version > r.Version
 }
 
-func (d *Detector) answer(now clock.Time, m *Message) []Send {
+func (d *Detector) answer(now clock.Time, m *Message) []Outgoing {
 	switch m.Kind {
 	case Ping:
-		return []Send{{m.From.Peer, d.ack(now, m)}}
+		return []Outgoing{{m.From.Peer, d.ack(now, m)}}
 	case Ack:
 		return d.acked(now, m)
 	case PingReq:
@@ -223,20 +223,20 @@
 }
 
 // acked takes the answer to a probe. One on behalf of another VM is passed on.
-func (d *Detector) acked(_ clock.Time, m *Message) []Send {
+func (d *Detector) acked(_ clock.Time, m *Message) []Outgoing {
 	delete(d.probes, m.Seq)
 	r, ok := d.relays[m.Seq]
 	if !ok {
 		return nil
 	}
 	delete(d.relays, m.Seq)
-	return []Send{{r.asker, d.message(Ack, r.seq, "")}}
+	return []Outgoing{{r.asker, d.message(Ack, r.seq, "")}}
 }
 
 // pingFor probes a VM for another one. It answers that one at once too, which shows
 // it that it isn't itself cut off.
-func (d *Detector) pingFor(now clock.Time, m *Message) []Send {
+func (d *Detector) pingFor(now clock.Time, m *Message) []Outgoing {
 	d.seq++
 	d.relays[d.seq] = relay{asker: m.From.Peer, seq: m.Seq, sentAt: now}
-	return []Send{{m.Target, d.message(Ping, d.seq, "")}, {m.From.Peer, Message{From: d.own}}}
+	return []Outgoing{{m.Target, d.message(Ping, d.seq, "")}, {m.From.Peer, Message{From: d.own}}}
 }
--- a/internal/swim/table.go
+++ b/internal/swim/table.go
@@ -13,7 +13,7 @@
 
 // askTable asks a VM for the whole list. Until an answer comes another one is asked.
 // What no probe has carried here is learned by it.
-func (d *Detector) askTable(now clock.Time) []Send {
+func (d *Detector) askTable(now clock.Time) []Outgoing {
 	d.tableAt, d.asking = now.Add(tableRetry), true
 	peers := d.pick(now, 1, "")
 	if len(peers) == 0 {
@@ -21,19 +21,19 @@
 	}
 	m := d.message(TableRequest, 0, "")
 	m.Digest = d.digest()
-	return []Send{{peers[0], m}}
+	return []Outgoing{{peers[0], m}}
 }
 
 // table returns the whole list in as many messages as it needs, or an empty message
 // if the VM that asks believes the same.
-func (d *Detector) table(now clock.Time, asked *Message) []Send {
+func (d *Detector) table(now clock.Time, asked *Message) []Outgoing {
 	m := Message{From: d.own, Kind: TableChunk}
 	if asked.Digest == d.digest() {
 		d.settle(now)
 		m.Digest = asked.Digest
-		return []Send{{asked.From.Peer, m}}
+		return []Outgoing{{asked.From.Peer, m}}
 	}
-	var out []Send
+	var out []Outgoing
 	for _, peer := range slices.Sorted(maps.Keys(d.entries)) {
 		e := d.entries[peer]
 		if e.Version == 0 {
@@ -41,11 +41,11 @@
 		}
 		m.Updates = append(m.Updates, e.Record)
 		if len(m.Updates) == tableChunk {
-			out = append(out, Send{asked.From.Peer, m})
+			out = append(out, Outgoing{asked.From.Peer, m})
 			m.Updates = nil
 		}
 	}
-	return append(out, Send{asked.From.Peer, m})
+	return append(out, Outgoing{asked.From.Peer, m})
 }
 
 // tableAnswered puts the next question off, by chance, so that VMs which start
