--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -27,7 +27,7 @@
 const (
 	// silence is how long a VM of the active set may be unheard until callers are no
 	// longer sent to it: several beats in a row are missing.
-	silence = swim.Silence
+	silence = swim.SilenceTimeout
 	// countedFor is how long a VM that fell silent still counts as one with which
 	// the others share what they may spend.
 	countedFor = 10 * time.Second
--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// Silence is how long a VM that is expected to send all the time may be
+	// SilenceTimeout is how long a VM that is expected to send all the time may be
 	// unheard until it counts as silent.
-	Silence = 1200 * time.Millisecond
+	SilenceTimeout = 1200 * time.Millisecond
 	// unheard is how long a listed VM that was never heard counts as alive: it
 	// starts as this one does.
 	unheard = 2 * time.Second
--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -82,7 +82,7 @@
 
 // ReceivedRecently tells whether e has sent a datagram to this VM lately.
 func (e *Entry) ReceivedRecently(now clock.Time) bool {
-	return e.ReceivedAt != 0 && now.Sub(e.ReceivedAt) < Silence
+	return e.ReceivedAt != 0 && now.Sub(e.ReceivedAt) < SilenceTimeout
 }
 
 // LastReceived is when the VM's last datagram came, zero if never.
