--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -68,7 +68,7 @@
 		clock: c, own: own, started: now, links: map[string]*link{},
 		list: swim.New(r, xxhash.Sum64String(own.Incarnation+own.Peer), now),
 	}
-	m.list.Accused = func(peer string, unheard time.Duration) {
+	m.list.OnDeclaredFailed = func(peer string, unheard time.Duration) {
 		log.WithField("vm", peer).WithField("unheard_ms", unheard.Milliseconds()).Info("VM is silent")
 	}
 	return m
--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -65,9 +65,9 @@
 
 // Detector is one VM's part of the protocol. It is not safe for concurrent use.
 type Detector struct {
-	// Accused is told, if set, of each VM that this one finds silent, and for how
+	// OnDeclaredFailed is told, if set, of each VM that this one finds silent, and for how
 	// long it hadn't heard it.
-	Accused func(peer string, unheard time.Duration)
+	OnDeclaredFailed func(peer string, unheard time.Duration)
 
 	own     Record
 	rand    *rand.Rand
@@ -211,8 +211,8 @@
 	e.Silent = true
 	d.noteAlarm(now)
 	d.spread(now, peer, true)
-	if d.Accused != nil {
-		d.Accused(peer, now.Sub(e.ReceivedAt))
+	if d.OnDeclaredFailed != nil {
+		d.OnDeclaredFailed(peer, now.Sub(e.ReceivedAt))
 	}
 }
 
