--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -78,7 +78,7 @@
 func (m *Members) change(change func(r *swim.Record)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list.Change(m.clock.Now(), change)
+	m.list.UpdateOwn(m.clock.Now(), change)
 	m.chosen.stale = true
 }
 
@@ -120,7 +120,7 @@
 		return
 	}
 	if perSecond != told {
-		m.list.Change(now, func(r *swim.Record) { r.Requests = perSecond })
+		m.list.UpdateOwn(now, func(r *swim.Record) { r.Requests = perSecond })
 		m.chosen.stale = true
 	}
 }
--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -123,8 +123,8 @@
 // change them.
 func (d *Detector) Entries() map[string]*Entry { return d.entries }
 
-// Change changes what this VM tells of itself.
-func (d *Detector) Change(now clock.Time, change func(*Record)) {
+// UpdateOwn changes what this VM tells of itself.
+func (d *Detector) UpdateOwn(now clock.Time, change func(*Record)) {
 	old := d.own
 	change(&d.own)
 	if d.own == old {
