--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -220,7 +220,7 @@
 func (m *Members) push() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list.Push(m.clock.Now())
+	m.list.PushUpdates(m.clock.Now())
 }
 
 // Count returns how many VMs there are: this one and those that are believed to
--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -134,9 +134,9 @@
 	d.spread(now, d.own.Peer, d.own.urgent(&old))
 }
 
-// Push sends messages to a few VMs at once even if no record has changed: the
+// PushUpdates sends messages to a few VMs at once even if no record has changed: the
 // caller has other news to add to them.
-func (d *Detector) Push(now clock.Time) {
+func (d *Detector) PushUpdates(now clock.Time) {
 	d.pushes = pushRounds
 	d.pushSoon(now, pushDelay)
 }
