--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -148,7 +148,7 @@
 func (m *Members) List(nodes []Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list.List(m.clock.Now(), nodes)
+	m.list.MergeListed(m.clock.Now(), nodes)
 	m.chosen.stale = true
 	m.listed = m.listed || slices.ContainsFunc(nodes, func(n Node) bool { return n.Peer == m.own.Peer })
 }
--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -141,8 +141,8 @@
 	d.pushSoon(now, pushDelay)
 }
 
-// List takes VMs that the platform lists.
-func (d *Detector) List(now clock.Time, nodes []Node) {
+// MergeListed takes VMs that the platform lists.
+func (d *Detector) MergeListed(now clock.Time, nodes []Node) {
 	for _, n := range nodes {
 		if n.Peer == d.own.Peer {
 			continue
--- a/internal/swim/sim_test.go
+++ b/internal/swim/sim_test.go
@@ -89,7 +89,7 @@
 	for i, l := range listed {
 		nodes[i] = l.node
 	}
-	v.d.List(s.now, nodes)
+	v.d.MergeListed(s.now, nodes)
 	s.schedule(v)
 }
 
