--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -177,7 +177,7 @@
 	}
 	now := m.clock.Now()
 	m.noteHeard(now, &h.Record)
-	m.list.Heard(now, h.Record)
+	m.list.ReceiveRecord(now, h.Record)
 	l := m.links[h.Peer]
 	if l == nil {
 		l = &link{wantedAt: now}
--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -159,8 +159,8 @@
 	d.forget(now)
 }
 
-// Heard takes the record that a VM sent to this one.
-func (d *Detector) Heard(now clock.Time, r Record) {
+// ReceiveRecord takes the record that a VM sent to this one.
+func (d *Detector) ReceiveRecord(now clock.Time, r Record) {
 	if r.Peer == d.own.Peer {
 		return
 	}
--- a/internal/swim/step.go
+++ b/internal/swim/step.go
@@ -177,7 +177,7 @@
 	if m.From.Peer == d.own.Peer {
 		return nil
 	}
-	d.Heard(now, m.From)
+	d.ReceiveRecord(now, m.From)
 	for i := range m.Updates {
 		d.merge(now, m.Updates[i])
 	}
