--- a/internal/gossip/active.go
+++ b/internal/gossip/active.go
@@ -159,7 +159,7 @@
 		since := now.Sub(max(l.heardAt, l.wantedAt, e.LastReceived()))
 		switch {
 		case wanted && since >= m.silenceNow() && e.Alive(now):
-			m.list.Accuse(now, peer)
+			m.list.DeclareFailed(now, peer)
 			m.chosen.stale = true
 		case !wanted && now.Sub(l.heardAt) > linkFor:
 			delete(m.links, peer)
--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -197,8 +197,8 @@
 // deaf tells whether this VM hears nobody, so that it can't judge who is silent.
 func (d *Detector) deaf(now clock.Time) bool { return now.Sub(d.heardAt) > deafAfter }
 
-// Accuse notes that a VM which should have been heard was not.
-func (d *Detector) Accuse(now clock.Time, peer string) {
+// DeclareFailed notes that a VM which should have been heard was not.
+func (d *Detector) DeclareFailed(now clock.Time, peer string) {
 	e := d.entries[peer]
 	if e == nil || e.Silent || e.doubted {
 		return
--- a/internal/swim/step.go
+++ b/internal/swim/step.go
@@ -59,7 +59,7 @@
 		case now < d.dueAt(p):
 		case p.helped:
 			delete(d.probes, seq)
-			d.Accuse(now, p.peer)
+			d.DeclareFailed(now, p.peer)
 		default:
 			p.helped = true
 			for _, helper := range d.pick(now, helpers, p.peer) {
