--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -213,7 +213,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := m.list.Step(m.clock.Now())
-	return out, m.list.Next()
+	return out, m.list.NextStepAt()
 }
 
 // push has news told to a few VMs at once.
--- a/internal/swim/sim_test.go
+++ b/internal/swim/sim_test.go
@@ -108,7 +108,7 @@
 }
 
 func (s *sim) schedule(v *simVM) {
-	next := max(v.d.Next(), s.now)
+	next := max(v.d.NextStepAt(), s.now)
 	if v.stepAt != 0 && v.stepAt <= next {
 		return
 	}
--- a/internal/swim/step.go
+++ b/internal/swim/step.go
@@ -7,8 +7,8 @@
 	"fescuestand/internal/clock"
 )
 
-// Next is when Step is due.
-func (d *Detector) Next() clock.Time {
+// NextStepAt is when Step is due.
+func (d *Detector) NextStepAt() clock.Time {
 	next := min(d.probeAt, d.tableAt)
 	if d.pushAt != 0 {
 		next = min(next, d.pushAt)
