--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -90,8 +90,8 @@
 	return hold + inFlight + a.turn
 }
 
-// Renewed takes the outcome of a renewal that was sent at sentAt.
-func (a *Authority) Renewed(sentAt clock.Time, owned bool, generation int64) {
+// RecordRenewal takes the outcome of a renewal that was sent at sentAt.
+func (a *Authority) RecordRenewal(sentAt clock.Time, owned bool, generation int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	lapsed := sentAt.Sub(a.renewed) > hold
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -44,7 +44,7 @@
 	a := New(turn, false, 0)
 	for at := time.Duration(0); at <= 9*time.Second; at += renew {
 		assert.Equal(t, may(a, at), at > hold+inFlight+turn, "at %s", at)
-		a.Renewed(clock.Time(at), true, 4)
+		a.RecordRenewal(clock.Time(at), true, 4)
 	}
 	fence, ok := a.May(clock.Time(9 * time.Second))
 	assert.Assert(t, ok)
@@ -56,12 +56,12 @@
 // suspension, so that its last renewal is too old to act by.
 func TestAHolderThatWasFrozenDoesNotAct(t *testing.T) {
 	a := New(turn, true, 0)
-	a.Renewed(0, true, 1)
-	a.Renewed(clock.Time(renew), true, 1)
+	a.RecordRenewal(0, true, 1)
+	a.RecordRenewal(clock.Time(renew), true, 1)
 	assert.Assert(t, may(a, renew+hold-time.Millisecond))
 	assert.Assert(t, !may(a, renew+10*time.Second))
 	// Dealt to it again, it is a new holder.
-	a.Renewed(clock.Time(renew+10*time.Second), true, 3)
+	a.RecordRenewal(clock.Time(renew+10*time.Second), true, 3)
 	assert.Assert(t, !may(a, renew+11*time.Second))
 }
 
@@ -73,13 +73,13 @@
 	for _, cutOff := range []bool{false, true} {
 		first, second := New(turn, true, 0), New(turn, true, 0)
 		const dealt = 200 * time.Millisecond
-		first.Renewed(clock.Time(100*time.Millisecond), true, 1)
+		first.RecordRenewal(clock.Time(100*time.Millisecond), true, 1)
 		for at := time.Duration(0); at < 10*time.Second; at += 10 * time.Millisecond {
 			if at >= dealt && (at-dealt)%renew == 0 {
-				second.Renewed(clock.Time(at), true, 2)
+				second.RecordRenewal(clock.Time(at), true, 2)
 			}
 			if !cutOff && at >= renew && at%renew == 0 {
-				first.Renewed(clock.Time(at), false, 2)
+				first.RecordRenewal(clock.Time(at), false, 2)
 			}
 			assert.Assert(t, !may(first, at) || !may(second, at), "both at %s", at)
 		}
@@ -95,20 +95,20 @@
 	const dealt = time.Hour
 	a := New(turn, true, 0)
 	for at := time.Duration(0); at < dealt; at += renew {
-		a.Renewed(clock.Time(at), false, 1)
+		a.RecordRenewal(clock.Time(at), false, 1)
 	}
 	for at := dealt; at <= dealt+6*renew; at += renew {
-		a.Renewed(clock.Time(at), true, 2)
+		a.RecordRenewal(clock.Time(at), true, 2)
 		assert.Equal(t, may(a, at), at-dealt >= hold+inFlight+turn, "at %s", at-dealt)
 	}
 }
 
 func TestALostDutyEndsAtOnce(t *testing.T) {
 	a := New(turn, true, 0)
-	a.Renewed(0, true, 1)
-	a.Renewed(clock.Time(2*time.Second), true, 1)
+	a.RecordRenewal(0, true, 1)
+	a.RecordRenewal(clock.Time(2*time.Second), true, 1)
 	assert.Assert(t, may(a, 2600*time.Millisecond))
-	a.Renewed(clock.Time(2700*time.Millisecond), false, 2)
+	a.RecordRenewal(clock.Time(2700*time.Millisecond), false, 2)
 	assert.Assert(t, !may(a, 2800*time.Millisecond))
 }
 
@@ -121,7 +121,7 @@
 	a := New(turn, false, 0)
 	for at := time.Duration(0); at < 3*time.Second; at += 50 * time.Millisecond {
 		if at%renew == 0 {
-			a.Renewed(clock.Time(at), true, 4)
+			a.RecordRenewal(clock.Time(at), true, 4)
 		}
 		r.keep(a, "vm", at)
 		_, ok := a.May(clock.Time(at))
@@ -151,7 +151,7 @@
 			}
 			for i, a := range vms {
 				if at >= next[i] && rng.IntN(4) > 0 { // some renewals fail
-					a.Renewed(clock.Time(at), owner == i, generation)
+					a.RecordRenewal(clock.Time(at), owner == i, generation)
 					next[i] = at + renew
 				}
 				if rng.IntN(3) > 0 {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -64,9 +64,9 @@
 	a := authority.New(0, true, 0)
 	now := clock.Boot{}.Now()
 	if may {
-		a.Renewed(now.Add(-4*time.Second), true, 5)
-		a.Renewed(now.Add(-2*time.Second), true, 5)
-		a.Renewed(now, true, 5)
+		a.RecordRenewal(now.Add(-4*time.Second), true, 5)
+		a.RecordRenewal(now.Add(-2*time.Second), true, 5)
+		a.RecordRenewal(now, true, 5)
 		for _, want := range []authority.Step{authority.Read, authority.Write} {
 			step, holding := a.Next(now)
 			assert.Equal(t, step, want)
@@ -85,7 +85,7 @@
 	go func() {
 		for ctx.Err() == nil {
 			time.Sleep(100 * time.Millisecond)
-			a.Renewed(clock.Boot{}.Now(), may, 5)
+			a.RecordRenewal(clock.Boot{}.Now(), may, 5)
 		}
 	}()
 	t.Cleanup(func() { cancel(); <-done })
@@ -133,7 +133,7 @@
 		Demand: func() stages.Demand { return stages.Demand{} }, Ordered: func(string) {}, planners: map[string]*stages.Planner{},
 	}
 	look := func() {
-		a.Renewed(c.T, true, 5)
+		a.RecordRenewal(c.T, true, 5)
 		if step, holding := a.Next(c.T); step != authority.Nothing {
 			a.Done(holding, step == authority.Write, true)
 		}
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -295,7 +295,7 @@
 
 func (n *Node) renewed(sentAt clock.Time, h gossip.Holding) {
 	n.members.SetDuty(h.Duty)
-	n.duty.Renewed(sentAt, h.Duty && !n.members.Leaving(), h.Generation)
+	n.duty.RecordRenewal(sentAt, h.Duty && !n.members.Leaving(), h.Generation)
 }
 
 // seedOf makes the planners of different processes break ties differently.
