--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -106,10 +106,10 @@
 	a.owned, a.renewed, a.generation = owned, sentAt, generation
 }
 
-// Next returns what has to be done at the record. An earlier holder may write it
+// NextStep returns what has to be done at the record. An earlier holder may write it
 // until hold after this one was dealt the duty; only then does it say who acted
 // last.
-func (a *Authority) Next(now clock.Time) (Step, Holding) {
+func (a *Authority) NextStep(now clock.Time) (Step, Holding) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	held := now.Sub(a.since)
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -21,7 +21,7 @@
 
 // keep does the next step of a, which belongs to vm, at the record.
 func (r *record) keep(a *Authority, vm string, at time.Duration) {
-	step, h := a.Next(clock.Time(at))
+	step, h := a.NextStep(clock.Time(at))
 	if step == Write {
 		r.last = vm
 	}
--- a/internal/authority/keeper.go
+++ b/internal/authority/keeper.go
@@ -39,7 +39,7 @@
 }
 
 func (k *Keeper) look(ctx context.Context) {
-	step, holding := k.Authority.Next(k.Clock.Now())
+	step, holding := k.Authority.NextStep(k.Clock.Now())
 	switch step {
 	case Nothing:
 	case Read:
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -68,7 +68,7 @@
 		a.RecordRenewal(now.Add(-2*time.Second), true, 5)
 		a.RecordRenewal(now, true, 5)
 		for _, want := range []authority.Step{authority.Read, authority.Write} {
-			step, holding := a.Next(now)
+			step, holding := a.NextStep(now)
 			assert.Equal(t, step, want)
 			a.Done(holding, step == authority.Write, true)
 		}
@@ -134,7 +134,7 @@
 	}
 	look := func() {
 		a.RecordRenewal(c.T, true, 5)
-		if step, holding := a.Next(c.T); step != authority.Nothing {
+		if step, holding := a.NextStep(c.T); step != authority.Nothing {
 			a.Done(holding, step == authority.Write, true)
 		}
 		u.look(t.Context())
