--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -123,9 +123,9 @@
 	return Nothing, a.holding
 }
 
-// Done takes a step's outcome: whether the record names this VM, or, with ok unset,
+// RecordStepResult takes a step's outcome: whether the record names this VM, or, with ok unset,
 // that the step failed and begins anew with a reading.
-func (a *Authority) Done(h Holding, own, ok bool) {
+func (a *Authority) RecordStepResult(h Holding, own, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if h != a.holding {
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -26,7 +26,7 @@
 		r.last = vm
 	}
 	if step != Nothing {
-		a.Done(h, r.last == vm, true)
+		a.RecordStepResult(h, r.last == vm, true)
 	}
 }
 
--- a/internal/authority/keeper.go
+++ b/internal/authority/keeper.go
@@ -45,11 +45,11 @@
 	case Read:
 		vm, version, err := k.Record.LastHolder(ctx)
 		k.version = version
-		k.Authority.Done(holding, vm == k.VM, err == nil)
+		k.Authority.RecordStepResult(holding, vm == k.VM, err == nil)
 		log.WithError(err).WithField("last_holder", vm).WithField("own", vm == k.VM).Info("duty record read")
 	case Write:
 		err := k.Record.SetLastHolder(ctx, k.VM, k.version)
-		k.Authority.Done(holding, err == nil, err == nil)
+		k.Authority.RecordStepResult(holding, err == nil, err == nil)
 		log.WithError(err).WithField("last_holder", k.VM).Info("duty record written")
 	}
 }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -70,7 +70,7 @@
 		for _, want := range []authority.Step{authority.Read, authority.Write} {
 			step, holding := a.NextStep(now)
 			assert.Equal(t, step, want)
-			a.Done(holding, step == authority.Write, true)
+			a.RecordStepResult(holding, step == authority.Write, true)
 		}
 	}
 	ordered = &[]string{}
@@ -135,7 +135,7 @@
 	look := func() {
 		a.RecordRenewal(c.T, true, 5)
 		if step, holding := a.NextStep(c.T); step != authority.Nothing {
-			a.Done(holding, step == authority.Write, true)
+			a.RecordStepResult(holding, step == authority.Write, true)
 		}
 		u.look(t.Context())
 		c.T = c.T.Add(period)
