--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -135,8 +135,8 @@
 	a.recorded = ok && own
 }
 
-// May returns the fencing token to act with, and whether the process may act.
-func (a *Authority) May(now clock.Time) (fence int64, ok bool) {
+// MayAct returns the fencing token to act with, and whether the process may act.
+func (a *Authority) MayAct(now clock.Time) (fence int64, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	ok = a.owned && a.recorded && now.Sub(a.renewed) < hold
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -36,7 +36,7 @@
 	r := record{"another"}
 	r.keep(a, "vm", at)
 	r.keep(a, "vm", at)
-	_, ok := a.May(clock.Time(at))
+	_, ok := a.MayAct(clock.Time(at))
 	return ok
 }
 
@@ -46,7 +46,7 @@
 		assert.Equal(t, may(a, at), at > hold+inFlight+turn, "at %s", at)
 		a.RecordRenewal(clock.Time(at), true, 4)
 	}
-	fence, ok := a.May(clock.Time(9 * time.Second))
+	fence, ok := a.MayAct(clock.Time(9 * time.Second))
 	assert.Assert(t, ok)
 	assert.Equal(t, fence, int64(4))
 }
@@ -124,7 +124,7 @@
 			a.RecordRenewal(clock.Time(at), true, 4)
 		}
 		r.keep(a, "vm", at)
-		_, ok := a.May(clock.Time(at))
+		_, ok := a.MayAct(clock.Time(at))
 		assert.Equal(t, ok, at >= hold, "at %s", at)
 	}
 }
@@ -157,7 +157,7 @@
 				if rng.IntN(3) > 0 {
 					r.keep(a, fmt.Sprint(i), at)
 				}
-				if _, ok := a.May(clock.Time(at)); !ok {
+				if _, ok := a.MayAct(clock.Time(at)); !ok {
 					continue
 				}
 				assert.Assert(t, last == i || at-lastAt >= turn, "seed %d: %d at %s, %d at %s", seed, last, lastAt, i, at)
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -137,7 +137,7 @@
 	u.takeHeard(p, open)
 	for range ordersAtOnce {
 		c, wanted := p.Plan(u.Clock.Now(), slices.Clone(engines), d)
-		if _, may := u.Authority.May(u.Clock.Now()); !wanted || !may {
+		if _, may := u.Authority.MayAct(u.Clock.Now()); !wanted || !may {
 			return
 		}
 		for _, e := range open {
@@ -164,7 +164,7 @@
 		entry.WithError(err).WithField("busy", r.Busy).WithField("leaving", r.Leaving).WithField("stage", r.Stage).Info("engine not ordered")
 		return
 	}
-	fence, ok := u.Authority.May(u.Clock.Now())
+	fence, ok := u.Authority.MayAct(u.Clock.Now())
 	if !ok {
 		return
 	}
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -32,7 +32,7 @@
 // process names this process among those that count requests.
 func (n *Node) process() string { return gateway.ProcessName(n.o.Self.Peer, n.o.Self.Incarnation) }
 
-func (n *Node) may() (fence int64, ok bool) { return n.duty.May(n.clock.Now()) }
+func (n *Node) may() (fence int64, ok bool) { return n.duty.MayAct(n.clock.Now()) }
 
 // need is how many endpoints of a service the load keeps well busy, zero if it isn't
 // known.
