--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -51,8 +51,8 @@
 	Write        // put this VM there
 )
 
-// Holding tells a step's outcome from that of an earlier holding.
-type Holding uint64
+// Term tells a step's outcome from that of an earlier holding.
+type Term uint64
 
 // Authority is one process's. It is safe for concurrent use.
 type Authority struct {
@@ -64,7 +64,7 @@
 	since      clock.Time
 	renewed    clock.Time // when the last confirmed renewal was sent
 	generation int64
-	holding    Holding
+	holding    Term
 	read       bool // the record has been read in this holding
 	recorded   bool // it names this VM
 }
@@ -109,7 +109,7 @@
 // NextStep returns what has to be done at the record. An earlier holder may write it
 // until hold after this one was dealt the duty; only then does it say who acted
 // last.
-func (a *Authority) NextStep(now clock.Time) (Step, Holding) {
+func (a *Authority) NextStep(now clock.Time) (Step, Term) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	held := now.Sub(a.since)
@@ -125,7 +125,7 @@
 
 // RecordStepResult takes a step's outcome: whether the record names this VM, or, with ok unset,
 // that the step failed and begins anew with a reading.
-func (a *Authority) RecordStepResult(h Holding, own, ok bool) {
+func (a *Authority) RecordStepResult(h Term, own, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if h != a.holding {
