--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -46,7 +46,7 @@
 
 // The steps.
 const (
-	Nothing Step = iota
+	NoStep Step = iota
 	Read         // see who acted last
 	Write        // put this VM there
 )
@@ -120,7 +120,7 @@
 	case a.read && held >= a.settle(a.since):
 		return Write, a.holding
 	}
-	return Nothing, a.holding
+	return NoStep, a.holding
 }
 
 // RecordStepResult takes a step's outcome: whether the record names this VM, or, with ok unset,
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -25,7 +25,7 @@
 	if step == Write {
 		r.last = vm
 	}
-	if step != Nothing {
+	if step != NoStep {
 		a.RecordStepResult(h, r.last == vm, true)
 	}
 }
--- a/internal/authority/keeper.go
+++ b/internal/authority/keeper.go
@@ -41,7 +41,7 @@
 func (k *Keeper) look(ctx context.Context) {
 	step, holding := k.Authority.NextStep(k.Clock.Now())
 	switch step {
-	case Nothing:
+	case NoStep:
 	case Read:
 		vm, version, err := k.Record.LastHolder(ctx)
 		k.version = version
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -134,7 +134,7 @@
 	}
 	look := func() {
 		a.RecordRenewal(c.T, true, 5)
-		if step, holding := a.NextStep(c.T); step != authority.Nothing {
+		if step, holding := a.NextStep(c.T); step != authority.NoStep {
 			a.RecordStepResult(holding, step == authority.Write, true)
 		}
 		u.look(t.Context())
