--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -47,7 +47,7 @@
 // The steps.
 const (
 	NoStep Step = iota
-	Read         // see who acted last
+	ReadRecord         // see who acted last
 	Write        // put this VM there
 )
 
@@ -116,7 +116,7 @@
 	switch {
 	case !a.owned || a.recorded || now.Sub(a.renewed) >= hold:
 	case !a.read && held >= hold:
-		return Read, a.holding
+		return ReadRecord, a.holding
 	case a.read && held >= a.settle(a.since):
 		return Write, a.holding
 	}
--- a/internal/authority/keeper.go
+++ b/internal/authority/keeper.go
@@ -42,7 +42,7 @@
 	step, holding := k.Authority.NextStep(k.Clock.Now())
 	switch step {
 	case NoStep:
-	case Read:
+	case ReadRecord:
 		vm, version, err := k.Record.LastHolder(ctx)
 		k.version = version
 		k.Authority.RecordStepResult(holding, vm == k.VM, err == nil)
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -67,7 +67,7 @@
 		a.RecordRenewal(now.Add(-4*time.Second), true, 5)
 		a.RecordRenewal(now.Add(-2*time.Second), true, 5)
 		a.RecordRenewal(now, true, 5)
-		for _, want := range []authority.Step{authority.Read, authority.Write} {
+		for _, want := range []authority.Step{authority.ReadRecord, authority.Write} {
 			step, holding := a.NextStep(now)
 			assert.Equal(t, step, want)
 			a.RecordStepResult(holding, step == authority.Write, true)
