--- a/internal/authority/keeper.go
+++ b/internal/authority/keeper.go
@@ -9,8 +9,8 @@
 	"fescuestand/internal/clock"
 )
 
-// Record is kept by the platform's store: the VM that acted last.
-type Record interface {
+// LeaderRecord is kept by the platform's store: the VM that acted last.
+type LeaderRecord interface {
 	// LastHolder returns the VM, empty if there is none, and the record's version.
 	LastHolder(ctx context.Context) (vm string, version int64, err error)
 	// SetLastHolder replaces the record if it still has that version.
@@ -20,7 +20,7 @@
 // Keeper does the steps at the record. It is a kernel unit.
 type Keeper struct {
 	Authority *Authority
-	Record    Record
+	Record    LeaderRecord
 	Clock     clock.Clock
 	VM        string // this one's name in the record: the same after a restart
 
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -48,7 +48,7 @@
 	// DecodeEndpoint reads a record of Endpoints.
 	DecodeEndpoint(id string, data []byte) (*catalog.Endpoint, error)
 	// Duty keeps the VM that gave orders last.
-	Duty() authority.Record
+	Duty() authority.LeaderRecord
 	// Engine gives orders over connections of pool.
 	Engine(pool *exchange.Pool) orders.Engine
 	// Caches asks engines what they have cached, over connections of pool.
