--- a/internal/authority/keeper.go
+++ b/internal/authority/keeper.go
@@ -11,8 +11,8 @@
 
 // LeaderRecord is kept by the platform's store: the VM that acted last.
 type LeaderRecord interface {
-	// LastHolder returns the VM, empty if there is none, and the record's version.
-	LastHolder(ctx context.Context) (vm string, version int64, err error)
+	// LastLeader returns the VM, empty if there is none, and the record's version.
+	LastLeader(ctx context.Context) (vm string, version int64, err error)
 	// SetLastHolder replaces the record if it still has that version.
 	SetLastHolder(ctx context.Context, vm string, version int64) error
 }
@@ -43,7 +43,7 @@
 	switch step {
 	case NoStep:
 	case ReadRecord:
-		vm, version, err := k.Record.LastHolder(ctx)
+		vm, version, err := k.Record.LastLeader(ctx)
 		k.version = version
 		k.Authority.RecordStepResult(holding, vm == k.VM, err == nil)
 		log.WithError(err).WithField("last_holder", vm).WithField("own", vm == k.VM).Info("duty record read")
