--- a/internal/authority/keeper.go
+++ b/internal/authority/keeper.go
@@ -13,8 +13,8 @@
 type LeaderRecord interface {
 	// LastLeader returns the VM, empty if there is none, and the record's version.
 	LastLeader(ctx context.Context) (vm string, version int64, err error)
-	// SetLastHolder replaces the record if it still has that version.
-	SetLastHolder(ctx context.Context, vm string, version int64) error
+	// SetLastLeader replaces the record if it still has that version.
+	SetLastLeader(ctx context.Context, vm string, version int64) error
 }
 
 // Keeper does the steps at the record. It is a kernel unit.
@@ -48,7 +48,7 @@
 		k.Authority.RecordStepResult(holding, vm == k.VM, err == nil)
 		log.WithError(err).WithField("last_holder", vm).WithField("own", vm == k.VM).Info("duty record read")
 	case Write:
-		err := k.Record.SetLastHolder(ctx, k.VM, k.version)
+		err := k.Record.SetLastLeader(ctx, k.VM, k.version)
 		k.Authority.RecordStepResult(holding, err == nil, err == nil)
 		log.WithError(err).WithField("last_holder", k.VM).Info("duty record written")
 	}
