--- a/internal/capacity/control_test.go
+++ b/internal/capacity/control_test.go
@@ -20,7 +20,7 @@
 	beat := &wire.Entry{Kind: &wire.Entry_Heartbeat{Heartbeat: &wire.Heartbeat{}}}
 	for i := range nodes {
 		it := fold.Item{Offset: uint64(i) + 1, Writer: writerOf(i), VM: vmName(i), Seq: 1, Entry: beat}
-		t.Read(1, &it)
+		t.Observe(1, &it)
 	}
 	return t
 }
--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -26,7 +26,7 @@
 	for i := range e.items {
 		it := &e.items[i]
 		s.authority.Apply(*it)
-		s.tracker.Read(e.readAt, it)
+		s.tracker.Observe(e.readAt, it)
 		established = established && !it.Gap
 		s.addAffectedScopes(affected, it)
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// Read takes in an item that the fold was given too.
-func (t *Tracker) Read(now clock.Time, it *fold.Item) {
+// Observe takes in an item that the fold was given too.
+func (t *Tracker) Observe(now clock.Time, it *fold.Item) {
 	if it.Gap {
 		t.began = now
 		return
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -124,7 +124,7 @@
 	for ; p.next < len(p.s.log); p.next++ {
 		it := p.s.log[p.next]
 		p.fold.Apply(it)
-		p.tr.Read(p.clock(), &it)
+		p.tr.Observe(p.clock(), &it)
 	}
 }
 
