--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -136,7 +136,7 @@
 		}
 	}
 	if e.seq > 0 {
-		s.tracker.Sent(e.seq, e.startedAt)
+		s.tracker.RecordSent(e.seq, e.startedAt)
 		for _, name := range s.authority.HeldBy(s.opt.Incarnation) {
 			s.updateLease(name)
 		}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -125,9 +125,9 @@
 	t.count(r)
 }
 
-// Sent tells that the append with number seq was begun at the given time. It
+// RecordSent tells that the append with number seq was begun at the given time. It
 // may be told before or after the record is read.
-func (t *Tracker) Sent(seq uint64, at clock.Time) {
+func (t *Tracker) RecordSent(seq uint64, at clock.Time) {
 	if r, ok := t.read[seq]; ok && seq > t.own.seq {
 		r.sent = at
 		t.count(r)
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -150,7 +150,7 @@
 	if p.s.chance(5) {
 		p.s.after(latency+p.s.upTo(time.Second), func() { p.s.appendItems(p, seq, entries) })
 	}
-	p.s.after(p.s.upTo(2*latency+1), func() { p.awake(func() { p.tr.Sent(seq, at) }) })
+	p.s.after(p.s.upTo(2*latency+1), func() { p.awake(func() { p.tr.RecordSent(seq, at) }) })
 }
 
 // order decides, may be frozen, asks the permit and lets the order fly.
