--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -161,7 +161,7 @@
 		return
 	}
 	h, _ := s.authority.Get(name)
-	until := s.tracker.Until(h)
+	until := s.tracker.LeaseEnd(h)
 	if h.Writer != s.opt.Incarnation || h.Released || !s.authority.Established() {
 		until, h.Token = 0, 0
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -152,12 +152,12 @@
 	}
 }
 
-// Until returns when this process's lease of a holding ends, 0 if it has none.
+// LeaseEnd returns when this process's lease of a holding ends, 0 if it has none.
 //
 // Failure: a holder renews, is paused, and reads its renewal in the log long
 // after others did. Counted from that reading the lease would outlast the time
 // after which the others claim. It is counted from before the sending.
-func (t *Tracker) Until(h fold.Holding) clock.Time {
+func (t *Tracker) LeaseEnd(h fold.Holding) clock.Time {
 	if h.Writer != t.self || h.Released || h.Token == 0 || t.own.offset < h.Token {
 		return 0
 	}
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -156,7 +156,7 @@
 // order decides, may be frozen, asks the permit and lets the order fly.
 func (p *simProc) order() {
 	h, _ := p.fold.Get(scope)
-	until := p.tr.Until(h)
+	until := p.tr.LeaseEnd(h)
 	if p.clock() >= until {
 		return
 	}
