--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -181,7 +181,7 @@
 // that the release can't take effect any more.
 func (s *state) setLease(e *engine, token uint64, until clock.Time) {
 	if e.releasingToken != 0 && token == e.releasingToken {
-		if e.releaseSeq != nil && s.tracker.Overtaken(*e.releaseSeq) {
+		if e.releaseSeq != nil && s.tracker.Superseded(*e.releaseSeq) {
 			e.releasingToken = 0
 		} else {
 			token, until = 0, 0
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -164,10 +164,10 @@
 	return t.own.sent.Add(t.opt.TTL)
 }
 
-// Overtaken reports whether a record of this process with number seq can't
+// Superseded reports whether a record of this process with number seq can't
 // count any more unless it was read before: a later renewal of this process
 // stands in the log.
-func (t *Tracker) Overtaken(seq uint64) bool { return t.own.seq > seq }
+func (t *Tracker) Superseded(seq uint64) bool { return t.own.seq > seq }
 
 // Claimable reports whether a scope can be claimed: nobody holds it, it was
 // given up, or the lease has lapsed for certain.
