--- a/internal/capacity/control_test.go
+++ b/internal/capacity/control_test.go
@@ -34,7 +34,7 @@
 			kept := retained(func() any { return trackerOf(nodes) })
 			t := trackerOf(nodes)
 			for b.Loop() {
-				t.Live(2, func(string) bool { return true })
+				t.LiveProcesses(2, func(string) bool { return true })
 			}
 			b.ReportMetric(kept/float64(nodes), "kept-B/node")
 		})
--- a/internal/control/preference.go
+++ b/internal/control/preference.go
@@ -24,7 +24,7 @@
 // liveVMs returns the VMs whose control processes can take over engines.
 func (s *state) liveVMs(now clock.Time) []string {
 	var out []string
-	for vm := range s.tracker.Live(now, s.authority.Holds) {
+	for vm := range s.tracker.LiveProcesses(now, s.authority.Holds) {
 		out = append(out, vm)
 	}
 	return out
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -194,9 +194,9 @@
 	return from.Add(wait)
 }
 
-// Live returns the newest process of every VM that runs one, by VM. A process
+// LiveProcesses returns the newest process of every VM that runs one, by VM. A process
 // that says it leaves isn't counted. holds tells whether one holds a scope.
-func (t *Tracker) Live(now clock.Time, holds func(writer string) bool) map[string]string {
+func (t *Tracker) LiveProcesses(now clock.Time, holds func(writer string) bool) map[string]string {
 	out, newest := map[string]string{}, map[string]uint64{}
 	for id, w := range t.writers {
 		window := t.opt.IdleWindow
