--- a/internal/control/preference.go
+++ b/internal/control/preference.go
@@ -18,7 +18,7 @@
 		s.renewal.preferences[pool] = p
 	}
 	stable := now.Sub(p.since) >= minPreferenceAge
-	return best != "" && best != s.opt.VM && stable && s.tracker.Recent(now, best)
+	return best != "" && best != s.opt.VM && stable && s.tracker.VMSeenRecently(now, best)
 }
 
 // liveVMs returns the VMs whose control processes can take over engines.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -220,9 +220,9 @@
 	return out
 }
 
-// Recent reports whether anything of a VM's control process was read within
+// VMSeenRecently reports whether anything of a VM's control process was read within
 // the last TTL and margin.
-func (t *Tracker) Recent(now clock.Time, vm string) bool {
+func (t *Tracker) VMSeenRecently(now clock.Time, vm string) bool {
 	for _, w := range t.writers {
 		if w.vm == vm && now.Sub(w.read) <= t.opt.TTL+t.opt.Margin {
 			return true
