--- a/internal/control/checkpoint.go
+++ b/internal/control/checkpoint.go
@@ -64,7 +64,7 @@
 	if s.ckpt.unknownSince == 0 {
 		s.ckpt.unknownSince = now.Add(rand.N(checkpointJitter))
 	}
-	if now.Sub(s.ckpt.unknownSince) < resetAfter || s.tracker.AnyRecent(now) {
+	if now.Sub(s.ckpt.unknownSince) < resetAfter || s.tracker.AnyPeerSeenRecently(now) {
 		return
 	}
 	log.WithField("stream", s.opt.Stream).WithField("code", int(code.LogExpired)).Warn("no process has the authority state, resetting it")
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -231,9 +231,9 @@
 	return false
 }
 
-// AnyRecent reports whether any other process was read within the last TTL and
+// AnyPeerSeenRecently reports whether any other process was read within the last TTL and
 // margin.
-func (t *Tracker) AnyRecent(now clock.Time) bool {
+func (t *Tracker) AnyPeerSeenRecently(now clock.Time) bool {
 	for id, w := range t.writers {
 		if id != t.self && now.Sub(w.read) <= t.opt.TTL+t.opt.Margin {
 			return true
