--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -97,7 +97,7 @@
 	s.renewal.liveVMs = s.liveVMs(now)
 	interval := s.opt.RenewInterval
 	if !s.authority.Holds(s.opt.Incarnation) {
-		interval = s.opt.Lease.IdleRenew(interval)
+		interval = s.opt.Lease.IdleRenewInterval(interval)
 	}
 	due := s.renewal.lastAppend == 0 || now.Sub(s.renewal.lastAppend) >= interval
 	claims, releases := s.scopesToClaim(now), s.scopesToRelease(now)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -242,8 +242,8 @@
 	return false
 }
 
-// IdleRenew returns how often a process that holds nothing needs to be heard.
-func (o *Options) IdleRenew(renew time.Duration) time.Duration {
+// IdleRenewInterval returns how often a process that holds nothing needs to be heard.
+func (o *Options) IdleRenewInterval(renew time.Duration) time.Duration {
 	const perWindow = 4 // so that three may be lost
 	return min(max(renew, o.IdleWindow/perWindow), max(renew, o.TTL-o.Margin))
 }
