--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -76,9 +76,9 @@
 // New returns an empty table.
 func New(opt Options) *Table { return &Table{opt: opt, vms: map[string]*entry{}} }
 
-// SetSilence changes the times of silence; they grow with the number of VMs
+// SetTimeouts changes the times of silence; they grow with the number of VMs
 // that take turns in the gossip.
-func (t *Table) SetSilence(suspect, gone time.Duration) {
+func (t *Table) SetTimeouts(suspect, gone time.Duration) {
 	t.opt = Options{Suspect: suspect, Gone: gone}
 }
 
