--- a/internal/capacity/control_test.go
+++ b/internal/capacity/control_test.go
@@ -43,7 +43,7 @@
 
 func memberTable(nodes int) *membership.Table {
 	t := membership.New(membership.Options{Suspect: time.Hour, Gone: 2 * time.Hour})
-	t.List(1, vmsOf(nodes))
+	t.MergeListed(1, vmsOf(nodes))
 	for i := range nodes {
 		t.Heard(1, membership.Heartbeat{VM: vmName(i), Incarnation: writerOf(i), Ready: true, SheetVersion: 1})
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -91,13 +91,13 @@
 	return e
 }
 
-// List takes in an answer of the VM list.
+// MergeListed takes in an answer of the VM list.
 //
 // Failure: a VM is replaced and its successor gets the same address. Requests
 // meant for the old one would reach the new. The member is known by name and
 // incarnation; a name whose address now belongs to another is gone at once,
 // whatever was heard of it.
-func (t *Table) List(now clock.Time, vms []driver.VM) {
+func (t *Table) MergeListed(now clock.Time, vms []driver.VM) {
 	listed, owner := map[string]bool{}, map[string]string{}
 	for _, vm := range vms {
 		e := t.get(vm.Name, now)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -28,7 +28,7 @@
 
 func TestSilenceMakesSuspectThenGone(t *testing.T) {
 	tb := table()
-	tb.List(0, []driver.VM{vm("a", "p1")})
+	tb.MergeListed(0, []driver.VM{vm("a", "p1")})
 	assert.Equal(t, state(t, tb, 0, "a"), Suspect)
 	tb.Heard(second, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
 	assert.Equal(t, state(t, tb, 2*second, "a"), Live)
@@ -40,9 +40,9 @@
 // Callers must not be sent there for that minute.
 func TestLeavingHeardCountsBeforeTheList(t *testing.T) {
 	tb := table()
-	tb.List(0, []driver.VM{vm("a", "p1")})
+	tb.MergeListed(0, []driver.VM{vm("a", "p1")})
 	tb.Heard(0, Heartbeat{VM: "a", Incarnation: "1", Ready: true, Leaving: true})
-	tb.List(second, []driver.VM{vm("a", "p1")})
+	tb.MergeListed(second, []driver.VM{vm("a", "p1")})
 	assert.Equal(t, state(t, tb, second, "a"), Leaving)
 	tb.Heard(second, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
 	assert.Equal(t, state(t, tb, second, "a"), Leaving, "a crossed heartbeat doesn't bring it back")
@@ -52,7 +52,7 @@
 // held up and arrives last; the new process must not be taken for leaving.
 func TestOldIncarnationIsNotBelieved(t *testing.T) {
 	tb := table()
-	tb.List(0, []driver.VM{vm("a", "p1")})
+	tb.MergeListed(0, []driver.VM{vm("a", "p1")})
 	tb.Heard(0, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
 	tb.Heard(second, Heartbeat{VM: "a", Incarnation: "2", Ready: true})
 	tb.Heard(second, Heartbeat{VM: "a", Incarnation: "1", Leaving: true})
@@ -65,9 +65,9 @@
 // address. The old name must not stay usable for as long as silence takes.
 func TestReplacedUnderTheSameAddress(t *testing.T) {
 	tb := table()
-	tb.List(0, []driver.VM{vm("old", "p1")})
+	tb.MergeListed(0, []driver.VM{vm("old", "p1")})
 	tb.Heard(0, Heartbeat{VM: "old", Incarnation: "1", Ready: true})
-	tb.List(second, []driver.VM{vm("new", "p1")})
+	tb.MergeListed(second, []driver.VM{vm("new", "p1")})
 	assert.Equal(t, state(t, tb, second, "old"), Gone)
 	assert.Equal(t, state(t, tb, second, "new"), Suspect)
 	tb.Heard(second, Heartbeat{VM: "new", Incarnation: "2", Ready: true})
@@ -77,10 +77,10 @@
 
 func TestTakenOffTheListTakesNoNewWork(t *testing.T) {
 	tb := table()
-	tb.List(0, []driver.VM{vm("a", "p1"), vm("b", "p2")})
+	tb.MergeListed(0, []driver.VM{vm("a", "p1"), vm("b", "p2")})
 	tb.Heard(0, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
-	tb.List(second, []driver.VM{vm("b", "p2")})
+	tb.MergeListed(second, []driver.VM{vm("b", "p2")})
 	assert.Equal(t, state(t, tb, second, "a"), Leaving)
-	tb.List(30*second, []driver.VM{vm("b", "p2")})
+	tb.MergeListed(30*second, []driver.VM{vm("b", "p2")})
 	assert.Equal(t, len(tb.Members(30*second)), 1)
 }
--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -32,7 +32,7 @@
 type listed struct{ vms []driver.VM }
 
 func (e listed) apply(s *state) {
-	s.table.List(s.now(), e.vms)
+	s.table.MergeListed(s.now(), e.vms)
 	rounds := max(1, (len(e.vms)+s.r.opt.Fanout-1)/s.r.opt.Fanout)
 	cover := time.Duration(rounds) * s.r.opt.Every
 	// A VM is suspect after two missed turns, if that is longer than set.
