--- a/internal/capacity/control_test.go
+++ b/internal/capacity/control_test.go
@@ -45,7 +45,7 @@
 	t := membership.New(membership.Options{Suspect: time.Hour, Gone: 2 * time.Hour})
 	t.MergeListed(1, vmsOf(nodes))
 	for i := range nodes {
-		t.Heard(1, membership.Heartbeat{VM: vmName(i), Incarnation: writerOf(i), Ready: true, SheetVersion: 1})
+		t.ReceiveHeartbeat(1, membership.Heartbeat{VM: vmName(i), Incarnation: writerOf(i), Ready: true, SheetVersion: 1})
 	}
 	return t
 }
@@ -64,7 +64,7 @@
 			for b.Loop() {
 				now++
 				vm := int(now) % nodes
-				t.Heard(now, membership.Heartbeat{VM: vmName(vm), Incarnation: writerOf(vm), Ready: true})
+				t.ReceiveHeartbeat(now, membership.Heartbeat{VM: vmName(vm), Incarnation: writerOf(vm), Ready: true})
 				_ = t.Members(now)
 			}
 			b.ReportMetric(kept/float64(nodes), "kept-B/node")
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -124,13 +124,13 @@
 	return quiet && (!e.heard || now.Sub(e.at) > t.opt.Gone)
 }
 
-// Heard takes in a heartbeat.
+// ReceiveHeartbeat takes in a heartbeat.
 //
 // Failure: a VM's process restarts and a heartbeat of the old process, held up
 // on its way, arrives after the new one's. Believed, it would mark the new
 // process as leaving, or bring a dead one back. An incarnation that another
 // has replaced never counts again, and one that said it leaves stays so.
-func (t *Table) Heard(now clock.Time, h Heartbeat) {
+func (t *Table) ReceiveHeartbeat(now clock.Time, h Heartbeat) {
 	e := t.get(h.VM, now)
 	if e.retired[h.Incarnation] {
 		return
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -30,7 +30,7 @@
 	tb := table()
 	tb.MergeListed(0, []driver.VM{vm("a", "p1")})
 	assert.Equal(t, state(t, tb, 0, "a"), Suspect)
-	tb.Heard(second, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
+	tb.ReceiveHeartbeat(second, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
 	assert.Equal(t, state(t, tb, 2*second, "a"), Live)
 	assert.Equal(t, state(t, tb, 4*second, "a"), Suspect)
 	assert.Equal(t, state(t, tb, 12*second, "a"), Gone)
@@ -41,10 +41,10 @@
 func TestLeavingHeardCountsBeforeTheList(t *testing.T) {
 	tb := table()
 	tb.MergeListed(0, []driver.VM{vm("a", "p1")})
-	tb.Heard(0, Heartbeat{VM: "a", Incarnation: "1", Ready: true, Leaving: true})
+	tb.ReceiveHeartbeat(0, Heartbeat{VM: "a", Incarnation: "1", Ready: true, Leaving: true})
 	tb.MergeListed(second, []driver.VM{vm("a", "p1")})
 	assert.Equal(t, state(t, tb, second, "a"), Leaving)
-	tb.Heard(second, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
+	tb.ReceiveHeartbeat(second, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
 	assert.Equal(t, state(t, tb, second, "a"), Leaving, "a crossed heartbeat doesn't bring it back")
 }
 
@@ -53,9 +53,9 @@
 func TestOldIncarnationIsNotBelieved(t *testing.T) {
 	tb := table()
 	tb.MergeListed(0, []driver.VM{vm("a", "p1")})
-	tb.Heard(0, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
-	tb.Heard(second, Heartbeat{VM: "a", Incarnation: "2", Ready: true})
-	tb.Heard(second, Heartbeat{VM: "a", Incarnation: "1", Leaving: true})
+	tb.ReceiveHeartbeat(0, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
+	tb.ReceiveHeartbeat(second, Heartbeat{VM: "a", Incarnation: "2", Ready: true})
+	tb.ReceiveHeartbeat(second, Heartbeat{VM: "a", Incarnation: "1", Leaving: true})
 	members := tb.Members(second)
 	assert.Equal(t, members[0].State, Live)
 	assert.Equal(t, members[0].Incarnation, "2")
@@ -66,11 +66,11 @@
 func TestReplacedUnderTheSameAddress(t *testing.T) {
 	tb := table()
 	tb.MergeListed(0, []driver.VM{vm("old", "p1")})
-	tb.Heard(0, Heartbeat{VM: "old", Incarnation: "1", Ready: true})
+	tb.ReceiveHeartbeat(0, Heartbeat{VM: "old", Incarnation: "1", Ready: true})
 	tb.MergeListed(second, []driver.VM{vm("new", "p1")})
 	assert.Equal(t, state(t, tb, second, "old"), Gone)
 	assert.Equal(t, state(t, tb, second, "new"), Suspect)
-	tb.Heard(second, Heartbeat{VM: "new", Incarnation: "2", Ready: true})
+	tb.ReceiveHeartbeat(second, Heartbeat{VM: "new", Incarnation: "2", Ready: true})
 	members := tb.Members(second)
 	assert.Assert(t, members[0].Usable())
 }
@@ -78,7 +78,7 @@
 func TestTakenOffTheListTakesNoNewWork(t *testing.T) {
 	tb := table()
 	tb.MergeListed(0, []driver.VM{vm("a", "p1"), vm("b", "p2")})
-	tb.Heard(0, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
+	tb.ReceiveHeartbeat(0, Heartbeat{VM: "a", Incarnation: "1", Ready: true})
 	tb.MergeListed(second, []driver.VM{vm("b", "p2")})
 	assert.Equal(t, state(t, tb, second, "a"), Leaving)
 	tb.MergeListed(30*second, []driver.VM{vm("b", "p2")})
--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -45,7 +45,7 @@
 
 func (e self) apply(s *state) {
 	if s.r.opt.Process == processEntry {
-		s.table.Heard(s.now(), heartbeatOf(e.g))
+		s.table.ReceiveHeartbeat(s.now(), heartbeatOf(e.g))
 	}
 }
 
@@ -58,7 +58,7 @@
 func (e heard) apply(s *state) {
 	g := e.g
 	if g.Process == processEntry && g.Vm != "" {
-		s.table.Heard(s.now(), heartbeatOf(g))
+		s.table.ReceiveHeartbeat(s.now(), heartbeatOf(g))
 	}
 	switch {
 	case g.SheetVersion > s.best.Version:
