--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -53,7 +53,7 @@
 
 // Options of a table.
 type Options struct {
-	Suspect time.Duration // silence after which a VM is suspect
+	SuspectAfter time.Duration // silence after which a VM is suspect
 	Gone    time.Duration // silence after which a VM is gone
 }
 
@@ -79,7 +79,7 @@
 // SetTimeouts changes the times of silence; they grow with the number of VMs
 // that take turns in the gossip.
 func (t *Table) SetTimeouts(suspect, gone time.Duration) {
-	t.opt = Options{Suspect: suspect, Gone: gone}
+	t.opt = Options{SuspectAfter: suspect, Gone: gone}
 }
 
 func (t *Table) get(name string, now clock.Time) *entry {
@@ -167,7 +167,7 @@
 		return Leaving
 	case e.heard && !e.listed && e.vm.Peer != "":
 		return Leaving // was listed once: the platform has taken it off
-	case !e.heard || silence > t.opt.Suspect:
+	case !e.heard || silence > t.opt.SuspectAfter:
 		return Suspect
 	default:
 		return Live
