--- a/internal/capacity/control_test.go
+++ b/internal/capacity/control_test.go
@@ -42,7 +42,7 @@
 }
 
 func memberTable(nodes int) *membership.Table {
-	t := membership.New(membership.Options{SuspectAfter: time.Hour, Gone: 2 * time.Hour})
+	t := membership.New(membership.Options{SuspectAfter: time.Hour, GoneAfter: 2 * time.Hour})
 	t.MergeListed(1, vmsOf(nodes))
 	for i := range nodes {
 		t.ReceiveHeartbeat(1, membership.Heartbeat{VM: vmName(i), Incarnation: writerOf(i), Ready: true, SheetVersion: 1})
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -54,7 +54,7 @@
 // Options of a table.
 type Options struct {
 	SuspectAfter time.Duration // silence after which a VM is suspect
-	Gone    time.Duration // silence after which a VM is gone
+	GoneAfter    time.Duration // silence after which a VM is gone
 }
 
 // Table holds what is known of the VMs. It isn't safe for concurrent use.
@@ -79,7 +79,7 @@
 // SetTimeouts changes the times of silence; they grow with the number of VMs
 // that take turns in the gossip.
 func (t *Table) SetTimeouts(suspect, gone time.Duration) {
-	t.opt = Options{SuspectAfter: suspect, Gone: gone}
+	t.opt = Options{SuspectAfter: suspect, GoneAfter: gone}
 }
 
 func (t *Table) get(name string, now clock.Time) *entry {
@@ -120,8 +120,8 @@
 
 // forgotten reports whether an unlisted VM has been silent for long.
 func (t *Table) forgotten(now clock.Time, e *entry) bool {
-	quiet := now.Sub(e.unseen) > t.opt.Gone
-	return quiet && (!e.heard || now.Sub(e.at) > t.opt.Gone)
+	quiet := now.Sub(e.unseen) > t.opt.GoneAfter
+	return quiet && (!e.heard || now.Sub(e.at) > t.opt.GoneAfter)
 }
 
 // ReceiveHeartbeat takes in a heartbeat.
@@ -161,7 +161,7 @@
 func (t *Table) state(now clock.Time, e *entry) State {
 	silence := now.Sub(e.at)
 	switch {
-	case e.heard && silence > t.opt.Gone, !e.heard && !e.listed:
+	case e.heard && silence > t.opt.GoneAfter, !e.heard && !e.listed:
 		return Gone
 	case e.vm.Leaving || e.last.Leaving:
 		return Leaving
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -12,7 +12,7 @@
 
 const second = clock.Time(time.Second)
 
-func table() *Table { return New(Options{SuspectAfter: 2 * time.Second, Gone: 10 * time.Second}) }
+func table() *Table { return New(Options{SuspectAfter: 2 * time.Second, GoneAfter: 10 * time.Second}) }
 
 func vm(name, peer string) driver.VM { return driver.VM{Name: name, Peer: peer} }
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -170,7 +170,7 @@
 func (r *Replica) own(ctx context.Context) error {
 	s := &state{
 		ctx: ctx, r: r, fold: fold.NewConfig(1), behind: map[string]clock.Time{},
-		table: membership.New(membership.Options{SuspectAfter: r.opt.Suspect, Gone: r.opt.Gone}),
+		table: membership.New(membership.Options{SuspectAfter: r.opt.Suspect, GoneAfter: r.opt.Gone}),
 	}
 	tick := time.NewTicker(r.opt.Every)
 	defer tick.Stop()
