--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -68,8 +68,8 @@
 	heard map[string]clock.Time // engines that another VM has ordered to change
 }
 
-// Heard notes that another VM has ordered an engine to change.
-func (u *Unit) Heard(id string) {
+// RecordPeerOrder notes that another VM has ordered an engine to change.
+func (u *Unit) RecordPeerOrder(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.heard == nil {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -166,8 +166,8 @@
 func TestWhatAnotherVMHasOrderedIsNotOrderedAgain(t *testing.T) {
 	f := &fake{}
 	u, _ := start(t, f, true)
-	u.Heard("e0")
-	u.Heard("e1")
+	u.RecordPeerOrder("e0")
+	u.RecordPeerOrder("e1")
 	time.Sleep(4 * time.Second)
 	assert.Equal(t, len(f.given()), 0)
 }
