--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -48,7 +48,7 @@
 const (
 	NoStep Step = iota
 	ReadRecord         // see who acted last
-	Write        // put this VM there
+	WriteRecord        // put this VM there
 )
 
 // Term tells a step's outcome from that of an earlier holding.
@@ -118,7 +118,7 @@
 	case !a.read && held >= hold:
 		return ReadRecord, a.holding
 	case a.read && held >= a.settle(a.since):
-		return Write, a.holding
+		return WriteRecord, a.holding
 	}
 	return NoStep, a.holding
 }
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -22,7 +22,7 @@
 // keep does the next step of a, which belongs to vm, at the record.
 func (r *record) keep(a *Authority, vm string, at time.Duration) {
 	step, h := a.NextStep(clock.Time(at))
-	if step == Write {
+	if step == WriteRecord {
 		r.last = vm
 	}
 	if step != NoStep {
--- a/internal/authority/keeper.go
+++ b/internal/authority/keeper.go
@@ -47,7 +47,7 @@
 		k.version = version
 		k.Authority.RecordStepResult(holding, vm == k.VM, err == nil)
 		log.WithError(err).WithField("last_holder", vm).WithField("own", vm == k.VM).Info("duty record read")
-	case Write:
+	case WriteRecord:
 		err := k.Record.SetLastLeader(ctx, k.VM, k.version)
 		k.Authority.RecordStepResult(holding, err == nil, err == nil)
 		log.WithError(err).WithField("last_holder", k.VM).Info("duty record written")
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -67,10 +67,10 @@
 		a.RecordRenewal(now.Add(-4*time.Second), true, 5)
 		a.RecordRenewal(now.Add(-2*time.Second), true, 5)
 		a.RecordRenewal(now, true, 5)
-		for _, want := range []authority.Step{authority.ReadRecord, authority.Write} {
+		for _, want := range []authority.Step{authority.ReadRecord, authority.WriteRecord} {
 			step, holding := a.NextStep(now)
 			assert.Equal(t, step, want)
-			a.RecordStepResult(holding, step == authority.Write, true)
+			a.RecordStepResult(holding, step == authority.WriteRecord, true)
 		}
 	}
 	ordered = &[]string{}
@@ -135,7 +135,7 @@
 	look := func() {
 		a.RecordRenewal(c.T, true, 5)
 		if step, holding := a.NextStep(c.T); step != authority.NoStep {
-			a.RecordStepResult(holding, step == authority.Write, true)
+			a.RecordStepResult(holding, step == authority.WriteRecord, true)
 		}
 		u.look(t.Context())
 		c.T = c.T.Add(period)
