--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -57,8 +57,8 @@
 	Load func(id string) int
 	// Demand tells what the traffic needs.
 	Demand func() stages.Demand
-	// Ordered is told of each engine that was ordered to change.
-	Ordered func(id string)
+	// OnOrder is told of each engine that was ordered to change.
+	OnOrder func(id string)
 	// Leaves is told of each engine whose report says that it leaves.
 	Leaves func(e *catalog.Endpoint)
 
@@ -173,7 +173,7 @@
 	err = u.Engine.Order(ctx, e, c.To, r, fence)
 	p.RecordOrder(u.Clock.Now(), c)
 	if err == nil {
-		u.Ordered(e.ID)
+		u.OnOrder(e.ID)
 	}
 	entry.WithError(err).WithField("fence", fence).WithField("accepted", r.Accepted).Info("engine ordered")
 }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -76,7 +76,7 @@
 	ordered = &[]string{}
 	u = &Unit{
 		Catalog: store, Authority: a, Engine: f, Clock: clock.Boot{}, Load: func(string) int { return 0 },
-		Demand: func() stages.Demand { return stages.Demand{} }, Ordered: func(id string) { *ordered = append(*ordered, id) },
+		Demand: func() stages.Demand { return stages.Demand{} }, OnOrder: func(id string) { *ordered = append(*ordered, id) },
 	}
 	u.Leaves = func(e *catalog.Endpoint) { store.SetLeaving(e.ID, e.Born) }
 	ctx, cancel := context.WithCancel(t.Context())
@@ -130,7 +130,7 @@
 	a := authority.New(0, true, c.T)
 	u := &Unit{
 		Catalog: store, Authority: a, Engine: f, Clock: c, Load: func(string) int { return 0 },
-		Demand: func() stages.Demand { return stages.Demand{} }, Ordered: func(string) {}, planners: map[string]*stages.Planner{},
+		Demand: func() stages.Demand { return stages.Demand{} }, OnOrder: func(string) {}, planners: map[string]*stages.Planner{},
 	}
 	look := func() {
 		a.RecordRenewal(c.T, true, 5)
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -151,7 +151,7 @@
 	n.budget = repeat.New(o.Budget)
 	n.orders = &orders.Unit{
 		Catalog: n.catalog, Authority: n.duty, Engine: a.Engine(n.pool), Clock: c,
-		Load: n.planner.Running, Demand: n.demand, Ordered: n.ordered,
+		Load: n.planner.Running, Demand: n.demand, OnOrder: n.ordered,
 	}
 	if o.Keys != nil {
 		n.fresh = freshness.New(c, *o.Keys)
