--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -59,8 +59,8 @@
 	Demand func() stages.Demand
 	// OnOrder is told of each engine that was ordered to change.
 	OnOrder func(id string)
-	// Leaves is told of each engine whose report says that it leaves.
-	Leaves func(e *catalog.Endpoint)
+	// OnEndpointLeaving is told of each engine whose report says that it leaves.
+	OnEndpointLeaving func(e *catalog.Endpoint)
 
 	planners map[string]*stages.Planner
 
@@ -157,7 +157,7 @@
 	entry := log.WithField("endpoint", e.ID).WithField("to", c.To)
 	r, err := u.Engine.Report(ctx, e)
 	if r.Leaving {
-		u.Leaves(e)
+		u.OnEndpointLeaving(e)
 	}
 	if err != nil || r.Busy || r.Leaving || r.Stage == c.To {
 		p.RecordOrder(u.Clock.Now(), c) // left alone for a while
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -78,7 +78,7 @@
 		Catalog: store, Authority: a, Engine: f, Clock: clock.Boot{}, Load: func(string) int { return 0 },
 		Demand: func() stages.Demand { return stages.Demand{} }, OnOrder: func(id string) { *ordered = append(*ordered, id) },
 	}
-	u.Leaves = func(e *catalog.Endpoint) { store.SetLeaving(e.ID, e.Born) }
+	u.OnEndpointLeaving = func(e *catalog.Endpoint) { store.SetLeaving(e.ID, e.Born) }
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = u.Run(ctx) }()
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -167,7 +167,7 @@
 	n.planner.Admits = n.pressure.Admits
 	n.pressure.Self = o.Self.Peer
 	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.RequestRate, n.members.Serving
-	n.orders.Leaves = n.leaves
+	n.orders.OnEndpointLeaving = n.leaves
 	n.exchange = &gateway.GossipContent{
 		Clock: c, Planner: n.planner, Pressure: n.pressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.changes,
 		RequestRate: n.gateway.RequestRate, OnOrder: n.orders.RecordPeerOrder, OnPeerConfigVersion: n.puller.Heard, OnChange: n.news,
