--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -57,9 +57,9 @@
 	Catalog  *catalog.Store
 	Provider Provider
 	Clock    clock.Clock
-	// Need is how many endpoints of a service the load keeps well busy, zero if it
+	// RequiredEndpoints is how many endpoints of a service the load keeps well busy, zero if it
 	// isn't known.
-	Need func(service string) float64
+	RequiredEndpoints func(service string) float64
 	// May returns the fencing token to act with, and whether this process may act.
 	May func() (fence int64, ok bool)
 
@@ -123,7 +123,7 @@
 		return
 	}
 	l := autoscale.Limits{Min: s.Scaling.Min, Max: s.Scaling.Max, SpotPrice: s.Scaling.SpotPrice}
-	need := u.Need(s.Name)
+	need := u.RequiredEndpoints(s.Name)
 	for _, t := range known.planner.Plan(u.Clock.Now(), pools, l, need) {
 		if !may {
 			continue
