--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -60,8 +60,8 @@
 	// RequiredEndpoints is how many endpoints of a service the load keeps well busy, zero if it
 	// isn't known.
 	RequiredEndpoints func(service string) float64
-	// May returns the fencing token to act with, and whether this process may act.
-	May func() (fence int64, ok bool)
+	// MayAct returns the fencing token to act with, and whether this process may act.
+	MayAct func() (fence int64, ok bool)
 
 	services map[string]*service
 	given    map[subject]given
@@ -98,7 +98,7 @@
 	if v.Config == nil {
 		return
 	}
-	_, may := u.May()
+	_, may := u.MayAct()
 	if !may {
 		u.forget()
 	}
@@ -168,7 +168,7 @@
 	case known && last.count == o.Count && (standing >= o.Count || now.Sub(last.at) < s.Scaling.Boot+againAfter):
 		return
 	}
-	fence, ok := u.May()
+	fence, ok := u.MayAct()
 	if !ok {
 		return
 	}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -56,7 +56,7 @@
 	f.store = catalog.NewStore(f.clock)
 	f.unit = &Unit{
 		Catalog: f.store, Provider: f.provider, Clock: f.clock,
-		RequiredEndpoints: func(string) float64 { return f.need }, May: func() (int64, bool) { return 7, f.holds },
+		RequiredEndpoints: func(string) float64 { return f.need }, MayAct: func() (int64, bool) { return 7, f.holds },
 	}
 	f.unit.forget()
 	f.store.SetConfig(catalog.NewConfig(1, nil, []*catalog.Service{
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -24,7 +24,7 @@
 		})
 	}
 	if p := n.adapter.Provider(); p != nil {
-		units = append(units, &scaling.Unit{Catalog: n.catalog, Provider: p, Clock: n.clock, RequiredEndpoints: n.need, May: n.may})
+		units = append(units, &scaling.Unit{Catalog: n.catalog, Provider: p, Clock: n.clock, RequiredEndpoints: n.need, MayAct: n.may})
 	}
 	return units
 }
