--- a/internal/swim/alarm.go
+++ b/internal/swim/alarm.go
@@ -2,21 +2,21 @@
 
 import "fescuestand/internal/clock"
 
-// alarm counts the VMs that fell silent or came back lately.
-type alarm struct {
+// churnMonitor counts the VMs that were recently declared failed or came back.
+type churnMonitor struct {
 	count int
 	until clock.Time
 }
 
-// note counts one, and tells whether it raises the alarm.
-func (a *alarm) note(now clock.Time) (raised bool) {
-	if now >= a.until {
-		a.count = 0
+// record counts one such change and reports whether it reaches churnThreshold.
+func (c *churnMonitor) record(now clock.Time) (reached bool) {
+	if now >= c.until {
+		c.count = 0
 	}
-	a.count++
-	a.until = now.Add(alarmFor)
-	return a.count == alarmAfter
+	c.count++
+	c.until = now.Add(churnWindow)
+	return c.count == churnThreshold
 }
 
-// raised tells whether there were several.
-func (a *alarm) raised(now clock.Time) bool { return now < a.until && a.count >= alarmAfter }
+// active reports whether churnThreshold was reached within the last churnWindow.
+func (c *churnMonitor) active(now clock.Time) bool { return now < c.until && c.count >= churnThreshold }
--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -8,122 +8,120 @@
 )
 
 const (
-	// SilenceTimeout is how long a VM that is expected to send all the time may be
-	// unheard until it counts as silent.
+	// SilenceTimeout is the time without a datagram after which a VM that is expected to send
+	// continuously counts as unresponsive.
 	SilenceTimeout = 1200 * time.Millisecond
-	// unheard is how long a listed VM that was never heard counts as alive: it
-	// starts as this one does.
-	unheard = 2 * time.Second
-	// forgetListed is how long a VM that was listed and never heard is
-	// remembered, and forgetSilent how long a silent one is: a partition that
-	// heals within it is found by the probes alone.
-	forgetListed = 10 * time.Second
-	forgetSilent = 60 * time.Second
-	// probePeriod is the time between two probes of a VM. It is alarmPeriod for
-	// alarmFor after several VMs fell silent or came back: where one power supply or
-	// switch fails, many others are to be found.
-	probePeriod = 500 * time.Millisecond
-	alarmPeriod = 100 * time.Millisecond
-	alarmFor    = 2 * time.Second
-	// alarmAfter VMs within alarmFor raise the alarm, and alarmTable is about the
-	// time until the whole list is asked for then.
-	alarmAfter = 3
-	alarmTable = 1200 * time.Millisecond
-	// calmAfter is how long after an alarm everything is passed on to its end.
-	calmAfter = 30 * time.Second
-	// helpAfter is how long a probe waits for its answer until others are asked
-	// to try, and silentAfter until the VM counts as silent.
-	helpAfter   = 150 * time.Millisecond
-	silentAfter = 450 * time.Millisecond
-	// helpers is how many others are asked.
-	helpers = 3
-	// pushDelay lets urgent news that come together share messages, and pushGap
-	// is the time between two rounds of them.
+	// listedGrace is how long a listed VM that has sent nothing yet counts as alive; it may be
+	// starting at the same time as this one.
+	listedGrace = 2 * time.Second
+	// listedExpiry is the time after which a listed VM that never sent a datagram is evicted, and
+	// silentExpiry that for an unresponsive one. Where a partition heals within silentExpiry, the
+	// probes alone reconnect its sides.
+	listedExpiry = 10 * time.Second
+	silentExpiry = 60 * time.Second
+	// probePeriod is the interval between probes of one VM. It is shortened to churnProbePeriod for
+	// churnWindow after several VMs were declared failed or came back: a failed power supply or
+	// switch takes down many VMs at once, and the others must be found quickly.
+	probePeriod      = 500 * time.Millisecond
+	churnProbePeriod = 100 * time.Millisecond
+	churnWindow      = 2 * time.Second
+	// churnThreshold is how many changes within churnWindow count as churn; churnTableDelay is the
+	// approximate time until the full table is then requested.
+	churnThreshold  = 3
+	churnTableDelay = 1200 * time.Millisecond
+	// churnSettleDelay is how long after churn every rumor is still sent its full number of times.
+	churnSettleDelay = 30 * time.Second
+	// pingReqDelay is how long a probe waits for its answer before other VMs are asked to probe the
+	// target, and probeTimeout how long until the target is declared failed.
+	pingReqDelay = 150 * time.Millisecond
+	probeTimeout = 450 * time.Millisecond
+	// pingReqFanout is the number of other VMs that are asked to probe the target.
+	pingReqFanout = 3
+	// pushDelay lets urgent updates that arrive close together share messages, and pushGap is the
+	// interval between two push rounds.
 	pushDelay = 20 * time.Millisecond
 	pushGap   = 60 * time.Millisecond
-	// deafAfter is how long a VM may hear nothing and still accuse others.
-	deafAfter = 500 * time.Millisecond
-	// judgeAfter is how long a probe without answer waits for a sign that this VM
-	// hears anybody.
-	judgeAfter = 1500 * time.Millisecond
-	// lateTick is the delay of a step from which this VM was stopped or starved:
-	// what it waited for may have come meanwhile.
-	lateTick = 300 * time.Millisecond
-	// tableRetry is the time between two questions for the whole list after a
-	// start, when the VM that is asked may have started too. It doubles with each
-	// answer up to tablePeriod where there are tableUnit VMs or fewer, and more
-	// where the list is longer.
-	tableRetry  = 300 * time.Millisecond
-	tablePeriod = 10 * time.Second
-	tableUnit   = 200
-	// tableChunk records fit a datagram of 6 kB.
-	tableChunk = 60
-	// newFor is how long a VM is a newcomer, who is told of others with each
-	// answer.
-	newFor = 2 * time.Second
+	// isolatedAfter is the time without any received datagram after which this VM no longer
+	// declares others failed.
+	isolatedAfter = 500 * time.Millisecond
+	// isolatedProbeTimeout is how long an unanswered probe waits for any datagram that shows that
+	// this VM isn't isolated.
+	isolatedProbeTimeout = 1500 * time.Millisecond
+	// maxStepDelay is the delay of a step beyond which this process is assumed to have been
+	// suspended or starved of CPU: answers to its probes may have arrived in the meantime.
+	maxStepDelay = 300 * time.Millisecond
+	// tableRetryDelay is the interval between two table requests after the start, when the VM that
+	// is asked may be starting too. It doubles with each answer up to maxTablePeriod in clusters of
+	// up to tableUnitVMs, and further in proportion to the size of larger ones.
+	tableRetryDelay = 300 * time.Millisecond
+	maxTablePeriod  = 10 * time.Second
+	tableUnitVMs    = 200
+	// tableChunkRecords is the number of records that fit a datagram of 6 kB.
+	tableChunkRecords = 60
+	// newcomerPeriod is how long a VM counts as new; acks to new VMs carry additional records.
+	newcomerPeriod = 2 * time.Second
 )
 
-// Detector is one VM's part of the protocol. It is not safe for concurrent use.
+// Detector runs the protocol for one VM. It is not safe for concurrent use.
 type Detector struct {
-	// OnDeclaredFailed is told, if set, of each VM that this one finds silent, and for how
-	// long it hadn't heard it.
-	OnDeclaredFailed func(peer string, unheard time.Duration)
+	// OnDeclaredFailed, if set, is called for each VM that this one declares failed, with the time
+	// since its last datagram.
+	OnDeclaredFailed func(peer string, sinceReceived time.Duration)
 
-	own     Record
-	rand    *rand.Rand
-	entries map[string]*Entry
-	order   []string // of probing, shuffled
-	next    int
-	rumors  rumors
+	own       Record
+	rand      *rand.Rand
+	entries   map[string]*Entry
+	order     []string // probe order, shuffled
+	nextIndex int
+	rumors    rumors
 
 	seq    uint32
 	probes map[uint32]*probe
 	relays map[uint32]relay
 
-	probeAt   clock.Time
-	pushAt    clock.Time // zero if nothing is to be told at once
-	pushes    int        // rounds that are to go out even without a record
-	tableAt   clock.Time
-	tableWait time.Duration // after the next answer
-	asking    bool          // for the whole list
-	steppedAt clock.Time
-	heardAt   clock.Time // of the last datagram of any VM
-	alarm     alarm
+	probeAt        clock.Time
+	pushAt         clock.Time // zero if nothing urgent is pending
+	forcedPushes   int        // remaining rounds to send even without an urgent record
+	tableAt        clock.Time
+	tableWait      time.Duration // delay of the next table request after an answer
+	tableRequested bool          // a table request is unanswered
+	steppedAt      clock.Time
+	receivedAt     clock.Time // of the last datagram from any VM
+	churn          churnMonitor
 }
 
-// probe is a question that waits for its answer.
+// probe is a ping that waits for its ack.
 type probe struct {
-	peer   string
-	sentAt clock.Time
-	helped bool
+	peer        string
+	sentAt      clock.Time
+	pingReqSent bool
 }
 
 // relay is a probe on behalf of another VM.
 type relay struct {
 	asker  string
-	seq    uint32 // of the asker
+	seq    uint32 // of the asker's ping
 	sentAt clock.Time
 }
 
-// New returns the part of the VM that tells own. The version of own must be higher
-// than any that an earlier process of the VM has told, or is corrected once another
-// VM tells of that one.
+// New returns the detector of the VM that own describes. The version of own must be higher than any
+// that an earlier process of the VM announced; otherwise it is raised as soon as another VM sends
+// the earlier record.
 func New(own Record, seed uint64, now clock.Time) *Detector {
 	return &Detector{
 		own: own, rand: rand.New(rand.NewPCG(seed, seed)), entries: map[string]*Entry{},
 		rumors: rumors{all: map[string]*rumor{}}, probes: map[uint32]*probe{}, relays: map[uint32]relay{},
-		probeAt: now, tableAt: now, tableWait: tableRetry, steppedAt: now,
+		probeAt: now, tableAt: now, tableWait: tableRetryDelay, steppedAt: now,
 	}
 }
 
-// Own is what this VM tells of itself.
+// Own returns the record that this VM announces about itself.
 func (d *Detector) Own() *Record { return &d.own }
 
-// Entries are the other VMs by their address for datagrams. The caller must not
-// change them.
+// Entries returns the other VMs by their datagram address. The caller must not change them.
 func (d *Detector) Entries() map[string]*Entry { return d.entries }
 
-// UpdateOwn changes what this VM tells of itself.
+// UpdateOwn applies change to this VM's record and spreads it if it differs.
 func (d *Detector) UpdateOwn(now clock.Time, change func(*Record)) {
 	old := d.own
 	change(&d.own)
@@ -134,14 +132,14 @@
 	d.spread(now, d.own.Peer, d.own.urgent(&old))
 }
 
-// PushUpdates sends messages to a few VMs at once even if no record has changed: the
-// caller has other news to add to them.
+// PushUpdates sends messages to a few VMs at once even if no record has changed, so that the caller
+// can attach updates of its own.
 func (d *Detector) PushUpdates(now clock.Time) {
-	d.pushes = pushRounds
-	d.pushSoon(now, pushDelay)
+	d.forcedPushes = pushRounds
+	d.schedulePush(now, pushDelay)
 }
 
-// MergeListed takes VMs that the platform lists.
+// MergeListed adds the VMs of the platform's list and evicts expired ones.
 func (d *Detector) MergeListed(now clock.Time, nodes []Node) {
 	for _, n := range nodes {
 		if n.Peer == d.own.Peer {
@@ -156,18 +154,18 @@
 		}
 		e.listedAt = now
 	}
-	d.forget(now)
+	d.evictExpired(now)
 }
 
-// ReceiveRecord takes the record that a VM sent to this one.
+// ReceiveRecord merges the record that its own VM sent to this one.
 func (d *Detector) ReceiveRecord(now clock.Time, r Record) {
 	if r.Peer == d.own.Peer {
 		return
 	}
-	d.listen(now)
+	d.recordReceipt(now)
 	e := d.entries[r.Peer]
 	if e != nil && !e.Alive(now) {
-		d.noteAlarm(now)
+		d.recordChurn(now)
 	}
 	switch {
 	case e == nil:
@@ -179,54 +177,56 @@
 	default:
 		d.merge(now, r)
 	}
-	e.ReceivedAt, e.doubted = now, false
+	e.ReceivedAt, e.suspected = now, false
 }
 
-// listen notes that this VM hears others. What it believed of them while it heard
-// nobody for long is dropped.
-func (d *Detector) listen(now clock.Time) {
-	if now.Sub(d.heardAt) > judgeAfter {
+// recordReceipt records that this VM receives datagrams. After a long isolation it discards the
+// outstanding probes and the suspicions of that time.
+func (d *Detector) recordReceipt(now clock.Time) {
+	if now.Sub(d.receivedAt) > isolatedProbeTimeout {
 		clear(d.probes)
 		for _, e := range d.entries {
-			e.doubted = false
+			e.suspected = false
 		}
 	}
-	d.heardAt = now
+	d.receivedAt = now
 }
 
-// deaf tells whether this VM hears nobody, so that it can't judge who is silent.
-func (d *Detector) deaf(now clock.Time) bool { return now.Sub(d.heardAt) > deafAfter }
+// isolated reports whether this VM receives datagrams from nobody, so that it can't judge which
+// other VMs have failed.
+func (d *Detector) isolated(now clock.Time) bool { return now.Sub(d.receivedAt) > isolatedAfter }
 
-// DeclareFailed notes that a VM which should have been heard was not.
+// DeclareFailed records that a VM which was expected to send has not. While this VM is isolated the
+// VM is only suspected locally and nothing is announced.
 func (d *Detector) DeclareFailed(now clock.Time, peer string) {
 	e := d.entries[peer]
-	if e == nil || e.Silent || e.doubted {
+	if e == nil || e.Silent || e.suspected {
 		return
 	}
-	e.silentAt = now
-	if d.deaf(now) {
-		e.doubted = true
+	e.silentSince = now
+	if d.isolated(now) {
+		e.suspected = true
 		return
 	}
 	e.Silent = true
-	d.noteAlarm(now)
+	d.recordChurn(now)
 	d.spread(now, peer, true)
 	if d.OnDeclaredFailed != nil {
 		d.OnDeclaredFailed(peer, now.Sub(e.ReceivedAt))
 	}
 }
 
-// noteAlarm counts a VM that fell silent or came back.
-func (d *Detector) noteAlarm(now clock.Time) {
-	if d.alarm.note(now) {
-		d.tableSoon(now)
+// recordChurn counts a VM that was declared failed or came back.
+func (d *Detector) recordChurn(now clock.Time) {
+	if d.churn.record(now) {
+		d.expediteTable(now)
 	}
 }
 
 func (d *Detector) add(now clock.Time, r Record) *Entry {
 	e := &Entry{Record: r, FirstSeenAt: now}
 	if r.Silent {
-		e.silentAt = now
+		e.silentSince = now
 	}
 	d.entries[r.Peer] = e
 	at := d.rand.IntN(len(d.order) + 1)
@@ -235,7 +235,7 @@
 	return e
 }
 
-// merge takes a record that a VM tells of any other.
+// merge merges a record of any VM, as passed on by another one.
 func (d *Detector) merge(now clock.Time, r Record) {
 	if r.Peer == d.own.Peer {
 		d.refute(now, &r)
@@ -252,15 +252,15 @@
 	}
 	urgent := r.urgent(&e.Record)
 	if r.Silent && !e.Silent {
-		e.silentAt = now
-		d.noteAlarm(now)
+		e.silentSince = now
+		d.recordChurn(now)
 	}
-	e.Record, e.doubted = r, false
+	e.Record, e.suspected = r, false
 	d.spread(now, r.Peer, urgent)
 }
 
-// refute answers a record of this VM that isn't its own newest: an earlier process
-// told it, or another VM takes this one for silent.
+// refute raises the version of this VM's record above that of a conflicting copy: one of an earlier
+// process, or one that declares this VM failed.
 func (d *Detector) refute(now clock.Time, r *Record) {
 	if r.Version < d.own.Version || r.Version == d.own.Version && !r.Silent && r.Incarnation == d.own.Incarnation {
 		return
@@ -269,39 +269,39 @@
 	d.spread(now, d.own.Peer, true)
 }
 
-// spread begins to pass the record of peer on.
+// spread starts passing on the record of peer.
 func (d *Detector) spread(now clock.Time, peer string, urgent bool) {
 	d.rumors.add(now, peer, len(d.entries)+1, urgent)
 	if urgent {
-		d.pushSoon(now, pushDelay)
+		d.schedulePush(now, pushDelay)
 	}
 }
 
-func (d *Detector) pushSoon(now clock.Time, delay time.Duration) {
+func (d *Detector) schedulePush(now clock.Time, delay time.Duration) {
 	if at := now.Add(delay); d.pushAt == 0 || at < d.pushAt {
 		d.pushAt = at
 	}
 }
 
-// forget drops VMs that are gone.
-func (d *Detector) forget(now clock.Time) {
+// evictExpired deletes the VMs that have expired.
+func (d *Detector) evictExpired(now clock.Time) {
 	for peer, e := range d.entries {
-		if e.gone(now) {
+		if e.expired(now) {
 			delete(d.entries, peer)
 			delete(d.rumors.all, peer)
 		}
 	}
 }
 
-// gone tells whether e has been neither listed nor heard for so long that it is
-// not probed any more.
-func (e *Entry) gone(now clock.Time) bool {
-	unlisted := now.Sub(max(e.listedAt, e.FirstSeenAt)) > forgetListed
+// expired reports whether e has been neither listed nor received from for so long that it is no
+// longer probed.
+func (e *Entry) expired(now clock.Time) bool {
+	unlisted := now.Sub(max(e.listedAt, e.FirstSeenAt)) > listedExpiry
 	switch {
 	case e.Version == 0:
-		return unlisted && now.Sub(e.ReceivedAt) > forgetListed
-	case e.Silent || e.doubted:
-		return unlisted && !e.ReceivedRecently(now) && now.Sub(e.silentAt) > forgetSilent
+		return unlisted && now.Sub(e.ReceivedAt) > listedExpiry
+	case e.Silent || e.suspected:
+		return unlisted && !e.ReceivedRecently(now) && now.Sub(e.silentSince) > silentExpiry
 	}
 	return false
 }
--- a/internal/swim/message.go
+++ b/internal/swim/message.go
@@ -1,30 +1,30 @@
 package swim
 
-// Kind tells what a Message asks or answers.
+// Kind is the type of a Message.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	UpdatesOnly       Kind = iota // nothing is asked
-	Ping                   // asks for an Ack
-	Ack                    // answers a Ping or a PingOther
-	PingReq              // asks to ping Target
-	TableRequest               // asks for all records, unless the Digest is the same
-	TableChunk             // some of them
+	UpdatesOnly  Kind = iota // carries updates only
+	Ping                     // requests an Ack
+	Ack                      // answers a Ping or a PingReq
+	PingReq                  // requests a ping of Target
+	TableRequest             // requests all records, unless the Digests are equal
+	TableChunk               // carries part of the records
 )
 
-// Message is what one VM sends another.
+// Message is a datagram between two VMs.
 type Message struct {
 	From    Record
 	Kind    Kind
-	Seq     uint32 // of a question, repeated by its answer
-	Target  string // of PingOther: the address for datagrams
-	Digest  uint64 // of AskTable: of the records that the sender has; of TableChunk: the same one, if the sender has the same
+	Seq     uint32 // sequence number of a request, repeated in its answer
+	Target  string // of PingReq: the datagram address to ping
+	Digest  uint64 // of TableRequest: of the sender's records; of TableChunk: the same value, if the sender's records are equal
 	Updates []Record
 }
 
-// Outgoing is a message on its way.
+// Outgoing is a message to be sent.
 type Outgoing struct {
-	To string // address for datagrams
+	To string // datagram address
 	Message
 }
--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -1,13 +1,15 @@
-// Package swim keeps each VM's list of all VMs: who there is, who is alive and
-// what each tells of itself. It is a state machine without sockets or clocks.
+// Package swim maintains each VM's list of all VMs: which exist, which are alive and what each
+// announces about itself. It is a state machine without sockets or clocks.
 //
-// The protocol is that of SWIM: each VM probes one other at a time, in a shuffled
-// order of all; one that doesn't answer is probed by others before it counts as
-// silent; what changes is carried by the probes and their answers, a bounded
-// number of times. What a VM sends and handles doesn't grow with the number of
-// VMs, but for the news of changes. Three things are added: what is urgent is
-// passed on at once to a few VMs chosen at random; a VM that hears nobody accuses
-// nobody; and a VM that starts asks another one for the whole list.
+// The protocol is SWIM. Each VM probes one other VM at a time, in a shuffled order of all. If a VM
+// doesn't answer, other VMs probe it before it is declared failed. Changed records are piggybacked
+// on probes and their answers a bounded number of times, so that the messages a VM sends and
+// handles don't grow with the number of VMs, apart from the updates about changes.
+//
+// It differs from plain SWIM in three points:
+//   - Urgent changes are pushed at once to a few VMs chosen at random.
+//   - A VM that receives datagrams from nobody declares nobody failed.
+//   - A VM that starts requests the full table from another one.
 package swim
 
 import (
@@ -16,32 +18,32 @@
 	"fescuestand/internal/clock"
 )
 
-// Node is what a VM is, for as long as its process runs.
+// Node describes a VM for the lifetime of its process.
 type Node struct {
-	Incarnation string // of its process
+	Incarnation string // identifies the process
 	Zone        string
-	Caller      string // address for callers
-	Peer        string // address for datagrams
-	Capacity    uint32 // requests a second that the VM can take, zero if not known
+	Caller      string // address that is advertised to callers
+	Peer        string // datagram address
+	Capacity    uint32 // requests per second that the VM can handle, zero if unknown
 }
 
-// Record is what a VM tells of itself.
+// Record is what a VM announces about itself.
 type Record struct {
 	Node
-	// Version grows with each change that the VM makes to its record; zero stands
-	// for a VM that was listed and has told nothing yet.
+	// Version grows with each change that the VM makes to its record; it is zero for a VM that was
+	// listed and has announced nothing yet.
 	Version uint64
-	// Silent tells that the VM doesn't answer. The VM itself refutes it by a
-	// record with a higher version.
-	Silent   bool
-	Ready    bool   // it takes callers
-	Leaving  bool   // it was told to stop
-	TracksCaches bool   // it knows what engines have cached
-	Leader     bool   // it has been dealt the duty of giving orders
-	Requests uint32 // a second that it gets, zero if not known
+	// Silent means that the VM was declared failed. The VM itself refutes this with a record of a
+	// higher version.
+	Silent       bool
+	Ready        bool   // accepts callers
+	Leaving      bool   // is draining
+	TracksCaches bool   // tracks what engines have cached
+	Leader       bool   // has leadership: it may order engines
+	Requests     uint32 // requests per second that it receives, zero if unknown
 }
 
-// supersedes tells whether r is newer than old.
+// supersedes reports whether r is newer than old.
 func (r *Record) supersedes(old *Record) bool {
 	if r.Version != old.Version {
 		return r.Version > old.Version
@@ -49,25 +51,25 @@
 	return r.Silent && !old.Silent
 }
 
-// urgent tells whether others must know at once that r has replaced old: callers
-// are sent elsewhere by it.
+// urgent reports whether others must be sent the replacement of old by r at once, because it
+// changes where callers are directed.
 func (r *Record) urgent(old *Record) bool {
 	return r.Silent != old.Silent || r.Ready != old.Ready || r.Leaving != old.Leaving || r.Leader != old.Leader ||
 		r.Incarnation != old.Incarnation
 }
 
-// Entry is a VM as this one sees it.
+// Entry is this VM's view of another one.
 type Entry struct {
 	Record
-	FirstSeenAt clock.Time // when it was first listed or told of
-	ReceivedAt clock.Time // of its last datagram to this VM, zero if none
+	FirstSeenAt clock.Time // when it was first listed or announced
+	ReceivedAt  clock.Time // of the last datagram received from it, zero if none
 
-	listedAt clock.Time // newest list of the platform that names it
-	silentAt clock.Time // since when it counts as silent
-	doubted  bool       // this VM alone believes it silent, and has told nobody
+	listedAt    clock.Time // of the newest platform list that contains it
+	silentSince clock.Time // since when it counts as unresponsive
+	suspected   bool       // suspected by this VM alone and not announced
 }
 
-// Alive tells whether e is believed to live.
+// Alive reports whether e is assumed to be alive.
 func (e *Entry) Alive(now clock.Time) bool {
 	switch {
 	case e == nil:
@@ -75,17 +77,17 @@
 	case e.ReceivedRecently(now):
 		return true
 	case e.Version == 0:
-		return e.ReceivedAt == 0 && now.Sub(e.FirstSeenAt) < unheard
+		return e.ReceivedAt == 0 && now.Sub(e.FirstSeenAt) < listedGrace
 	}
-	return !e.Silent && !e.doubted
+	return !e.Silent && !e.suspected
 }
 
-// ReceivedRecently tells whether e has sent a datagram to this VM lately.
+// ReceivedRecently reports whether a datagram from e arrived within SilenceTimeout.
 func (e *Entry) ReceivedRecently(now clock.Time) bool {
 	return e.ReceivedAt != 0 && now.Sub(e.ReceivedAt) < SilenceTimeout
 }
 
-// LastReceived is when the VM's last datagram came, zero if never.
+// LastReceived returns when the VM's last datagram arrived, zero if none has.
 func (e *Entry) LastReceived() clock.Time {
 	if e == nil {
 		return 0
@@ -93,8 +95,8 @@
 	return e.ReceivedAt
 }
 
-// UnresponsiveFor tells whether e has given no sign of life, directly or by others, for
+// UnresponsiveFor reports whether e has given no sign of life, directly or through others, for
 // longer than d.
 func (e *Entry) UnresponsiveFor(now clock.Time, d time.Duration) bool {
-	return !e.Alive(now) && now.Sub(max(e.ReceivedAt, e.silentAt, e.FirstSeenAt)) > d
+	return !e.Alive(now) && now.Sub(max(e.ReceivedAt, e.silentSince, e.FirstSeenAt)) > d
 }
--- a/internal/swim/rumors.go
+++ b/internal/swim/rumors.go
@@ -10,77 +10,79 @@
 )
 
 const (
-	// moreTransmits beyond the binary logarithm of the number of VMs is how often a
-	// VM passes a record on with its probes and answers.
-	moreTransmits = 6
-	// pushFanout VMs are told at once of what is urgent, pushRounds times: with six
-	// messages a VM one in 400 isn't reached, and learns it by a probe.
+	// extraTransmits is added to the binary logarithm of the number of VMs to give the number of
+	// times that a VM passes a record on with its probes and answers.
+	extraTransmits = 6
+	// pushFanout is the number of VMs that an urgent record is pushed to at once, in each of
+	// pushRounds rounds. With the resulting six messages per VM one VM in 400 isn't reached, and
+	// receives the record with a probe.
 	pushFanout = 3
 	pushRounds = 2
-	// maxUpdates records fit a datagram of 2 kB.
-	maxUpdates = 20
-	// settledAfter is how long a record is passed on in any case: for a moment two
-	// VMs may know the same and the others not.
-	settledAfter = 3 * time.Second
+	// maxUpdatesPerMessage records fit a datagram of 2 kB.
+	maxUpdatesPerMessage = 20
+	// minSpreadTime is how long a record is passed on in any case: shortly after a change two VMs
+	// may hold equal records that the others don't have yet.
+	minSpreadTime = 3 * time.Second
 )
 
 // rumor is a record that is being passed on.
 type rumor struct {
-	peer  string
-	left  int // transmissions
-	push  int // rounds of the urgent ones
-	since uint64
-	at    clock.Time // when it began
+	peer           string
+	transmitsLeft  int // remaining transmissions
+	pushRoundsLeft int // remaining push rounds, if urgent
+	seq            uint64
+	startedAt      clock.Time
 }
 
-// rumors are the records that this VM passes on, by address.
+// rumors are the records that this VM passes on, by datagram address.
 type rumors struct {
-	all map[string]*rumor
-	n   uint64 // rumors so far
+	all   map[string]*rumor
+	added uint64 // number of rumors so far
 }
 
-// add begins to pass the record of peer on, among size VMs.
+// add starts passing on the record of peer in a cluster of size VMs.
 func (r *rumors) add(now clock.Time, peer string, size int, urgent bool) {
-	r.n++
-	m := &rumor{peer: peer, left: moreTransmits + bits.Len(uint(size)), since: r.n, at: now}
+	r.added++
+	m := &rumor{peer: peer, transmitsLeft: extraTransmits + bits.Len(uint(size)), seq: r.added, startedAt: now}
 	if urgent {
-		m.push = pushRounds
+		m.pushRoundsLeft = pushRounds
 	}
 	r.all[peer] = m
 }
 
-// settle ends the passing on of what another VM, chosen at random, has all come to know
-// too: the others know it, or will learn it by the whole list.
-func (r *rumors) settle(now clock.Time) {
+// dropSettled stops passing on the records whose rumors are older than minSpreadTime. It is called
+// when another VM, chosen at random, has equal records: the other VMs have them too, or will
+// receive them with the full table.
+func (r *rumors) dropSettled(now clock.Time) {
 	for peer, m := range r.all {
-		if m.push <= 0 && now.Sub(m.at) > settledAfter {
+		if m.pushRoundsLeft <= 0 && now.Sub(m.startedAt) > minSpreadTime {
 			delete(r.all, peer)
 		}
 	}
 }
 
-// next returns the addresses of the records that the next message carries: those
-// that were told least often, the newest first. Each counts as told.
-func (r *rumors) next() []string {
+// nextBatch returns the addresses of the records for the next message: those with the most
+// transmissions left, newest first. Each counts as transmitted.
+func (r *rumors) nextBatch() []string {
 	if len(r.all) == 0 {
 		return nil
 	}
-	return r.take(r.sorted(func(*rumor) bool { return true }))
+	return r.consume(r.sorted(func(*rumor) bool { return true }))
 }
 
-// urgent returns the addresses of the records that are told at once.
-func (r *rumors) urgent() []string {
-	list := r.sorted(func(m *rumor) bool { return m.push > 0 })
-	for _, m := range list[:min(len(list), maxUpdates)] {
-		m.push--
+// urgentBatch returns the addresses of the records to push now.
+func (r *rumors) urgentBatch() []string {
+	list := r.sorted(func(m *rumor) bool { return m.pushRoundsLeft > 0 })
+	for _, m := range list[:min(len(list), maxUpdatesPerMessage)] {
+		m.pushRoundsLeft--
 	}
-	return r.take(list)
+	return r.consume(list)
 }
 
-// pressing tells whether any record is to be told at once.
-func (r *rumors) pressing() bool {
+// hasUrgent reports whether any record has push rounds left.
+func (r *rumors) hasUrgent() bool {
 	for _, m := range r.all {
-		if m.push > 0 {
+		if m.pushRoundsLeft > 0 {
 			return true
 		}
 	}
@@ -95,18 +97,18 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b *rumor) int {
-		return cmp.Or(cmp.Compare(b.left, a.left), cmp.Compare(b.since, a.since))
+		return cmp.Or(cmp.Compare(b.transmitsLeft, a.transmitsLeft), cmp.Compare(b.seq, a.seq))
 	})
 	return list
 }
 
-func (r *rumors) take(list []*rumor) []string {
-	list = list[:min(len(list), maxUpdates)]
+func (r *rumors) consume(list []*rumor) []string {
+	list = list[:min(len(list), maxUpdatesPerMessage)]
 	out := make([]string, len(list))
 	for i, m := range list {
 		out[i] = m.peer
-		m.left--
-		if m.left <= 0 && m.push <= 0 {
+		m.transmitsLeft--
+		if m.transmitsLeft <= 0 && m.pushRoundsLeft <= 0 {
 			delete(r.all, m.peer)
 		}
 	}
--- a/internal/swim/sim_test.go
+++ b/internal/swim/sim_test.go
@@ -10,14 +10,14 @@
 	"fescuestand/internal/clock"
 )
 
-// event is a step of a VM, or a message that arrives.
+// event is a step of a VM or the arrival of a message.
 type event struct {
-	at   clock.Time
-	n    uint64 // breaks ties in the order of making
-	step *simVM // nil for a message
-	life int    // of the VM that steps
-	to   string
-	m    *Message
+	at          clock.Time
+	seq         uint64 // orders events of the same time by creation
+	step        *simVM // nil for a message
+	incarnation int    // of the VM that steps
+	to          string
+	m           *Message
 }
 
 type events []event
@@ -27,7 +27,7 @@
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
-	return e[i].n < e[j].n
+	return e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) } //nolint:forcetypeassert // the heap holds nothing else
@@ -40,30 +40,30 @@
 
 // simVM is a VM of the simulation.
 type simVM struct {
-	node   Node
-	d      *Detector
-	life   int // counts its processes
-	up     bool
-	frozen bool
-	stepAt clock.Time
-	sent   int
-	group  int // VMs of different groups don't reach each other
-	deafen bool
-}
-
-// sim is a network of VMs in fake time.
+	node          Node
+	d             *Detector
+	incarnation   int // counts its processes
+	up            bool
+	frozen        bool
+	stepAt        clock.Time
+	sent          int
+	group         int // VMs of different groups can't reach each other
+	dropsIncoming bool
+}
+
+// sim is a simulated network of VMs with a manual clock.
 type sim struct {
-	now   clock.Time
-	rand  *rand.Rand
-	queue events
-	n     uint64
-	vms   []*simVM
-	by    map[string]*simVM
-	loss  float64
+	now      clock.Time
+	rand     *rand.Rand
+	queue    events
+	eventSeq uint64
+	vms      []*simVM
+	byPeer   map[string]*simVM
+	loss     float64
 }
 
 func newSim(vms int, seed uint64) *sim {
-	s := &sim{now: clock.Time(time.Hour), rand: rand.New(rand.NewPCG(seed, 1)), by: map[string]*simVM{}}
+	s := &sim{now: clock.Time(time.Hour), rand: rand.New(rand.NewPCG(seed, 1)), byPeer: map[string]*simVM{}}
 	for i := range vms {
 		s.add(i)
 	}
@@ -74,16 +74,16 @@
 	peer := fmt.Sprintf("10.%d.%d.%d:7380", i%5, i/250, i%250)
 	v := &simVM{node: Node{Zone: fmt.Sprint("z", i%5), Caller: peer + "0", Peer: peer, Capacity: 100}}
 	s.vms = append(s.vms, v)
-	s.by[peer] = v
+	s.byPeer[peer] = v
 	return v
 }
 
-// start starts a process of v that reads listed from the platform.
+// start starts a process of v that reads the VMs in listed from the platform.
 func (s *sim) start(v *simVM, version uint64, listed []*simVM) {
-	v.life++
+	v.incarnation++
 	v.up, v.frozen, v.stepAt = true, false, 0
 	n := v.node
-	n.Incarnation = fmt.Sprint(v.node.Peer, "#", v.life)
+	n.Incarnation = fmt.Sprint(v.node.Peer, "#", v.incarnation)
 	v.d = New(Record{Node: n, Version: version, Ready: true}, s.rand.Uint64(), s.now)
 	nodes := make([]Node, len(listed))
 	for i, l := range listed {
@@ -102,8 +102,8 @@
 }
 
 func (s *sim) push(e event) {
-	s.n++
-	e.n = s.n
+	s.eventSeq++
+	e.seq = s.eventSeq
 	heap.Push(&s.queue, e)
 }
 
@@ -113,13 +113,13 @@
 		return
 	}
 	v.stepAt = next
-	s.push(event{at: next, step: v, life: v.life})
+	s.push(event{at: next, step: v, incarnation: v.incarnation})
 }
 
 func (s *sim) send(v *simVM, out []Outgoing) {
 	for i := range out {
 		v.sent++
-		to := s.by[out[i].To]
+		to := s.byPeer[out[i].To]
 		if to == nil || to.group != v.group || s.rand.Float64() < s.loss {
 			continue
 		}
@@ -128,7 +128,7 @@
 	}
 }
 
-// run lets d of simulated time go by.
+// run advances the simulated time by d.
 func (s *sim) run(d time.Duration) {
 	end := s.now.Add(d)
 	for len(s.queue) > 0 && s.queue[0].at <= end {
@@ -145,7 +145,7 @@
 
 func (s *sim) step(e event) {
 	v := e.step
-	if v.life != e.life || !v.up || v.frozen || e.at < v.stepAt {
+	if v.incarnation != e.incarnation || !v.up || v.frozen || e.at < v.stepAt {
 		return
 	}
 	v.stepAt = 0
@@ -154,21 +154,21 @@
 }
 
 func (s *sim) deliver(e event) {
-	v := s.by[e.to]
-	if !v.up || v.frozen || v.deafen {
+	v := s.byPeer[e.to]
+	if !v.up || v.frozen || v.dropsIncoming {
 		return
 	}
 	s.send(v, v.d.Receive(s.now, e.m))
 	s.schedule(v)
 }
 
-// thaw wakes a frozen VM.
+// thaw resumes a frozen VM.
 func (s *sim) thaw(v *simVM) {
 	v.frozen, v.stepAt = false, 0
 	s.schedule(v)
 }
 
-// live are the VMs whose processes run.
+// live returns the VMs whose processes run.
 func (s *sim) live() []*simVM {
 	var out []*simVM
 	for _, v := range s.vms {
@@ -179,44 +179,44 @@
 	return out
 }
 
-// wrong counts, over all pairs of observer and observed, those in which a VM that
-// lives isn't believed to, and those in which a dead one is.
-func (s *sim) wrong() (missed, ghosts int) {
+// wrongViews counts, over all pairs of observer and observed VM, the live VMs that are assumed dead
+// and the dead ones that are assumed alive.
+func (s *sim) wrongViews() (falseDead, falseAlive int) {
 	for _, o := range s.live() {
 		for _, v := range s.vms {
 			if v == o {
 				continue
 			}
 			e := o.d.entries[v.node.Peer]
-			believed := e != nil && e.Alive(s.now)
-			lives := v.up && !v.frozen
-			if lives && !believed {
-				missed++
+			seenAlive := e != nil && e.Alive(s.now)
+			alive := v.up && !v.frozen
+			if alive && !seenAlive {
+				falseDead++
 			}
-			if !lives && believed {
-				ghosts++
+			if !alive && seenAlive {
+				falseAlive++
 			}
 		}
 	}
-	return missed, ghosts
+	return falseDead, falseAlive
 }
 
-// until runs until wrong is zero for both, and returns how long it took; most if
-// it didn't come.
-func (s *sim) until(most time.Duration) time.Duration {
-	const look = 100 * time.Millisecond
-	for t := time.Duration(0); t < most; t += look {
-		if m, g := s.wrong(); m+g == 0 {
+// converge runs until no view is wrong and returns how long that took, or timeout if it didn't
+// happen.
+func (s *sim) converge(timeout time.Duration) time.Duration {
+	const pollInterval = 100 * time.Millisecond
+	for t := time.Duration(0); t < timeout; t += pollInterval {
+		if m, g := s.wrongViews(); m+g == 0 {
 			return t
 		}
-		s.run(look)
+		s.run(pollInterval)
 	}
-	return most
+	return timeout
 }
 
-// rate runs for d and returns the messages that a VM sends in a second: in the mean
-// and at most.
-func (s *sim) rate(d time.Duration) (mean, most float64) {
+// messageRate runs for d and returns the mean and the highest number of messages that a VM sends
+// per second.
+func (s *sim) messageRate(d time.Duration) (mean, highest float64) {
 	for _, v := range s.vms {
 		v.sent = 0
 	}
@@ -224,12 +224,12 @@
 	all := 0
 	for _, v := range s.vms {
 		all += v.sent
-		most = max(most, float64(v.sent)/d.Seconds())
+		highest = max(highest, float64(v.sent)/d.Seconds())
 	}
-	return float64(all) / d.Seconds() / float64(len(s.vms)), most
+	return float64(all) / d.Seconds() / float64(len(s.vms)), highest
 }
 
-func (s *sim) some(n int) []*simVM {
+func (s *sim) sample(n int) []*simVM {
 	out := slices.Clone(s.vms)
 	s.rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out[:n]
--- a/internal/swim/step.go
+++ b/internal/swim/step.go
@@ -7,42 +7,42 @@
 	"fescuestand/internal/clock"
 )
 
-// NextStepAt is when Step is due.
+// NextStepAt returns when Step is due.
 func (d *Detector) NextStepAt() clock.Time {
 	next := min(d.probeAt, d.tableAt)
 	if d.pushAt != 0 {
 		next = min(next, d.pushAt)
 	}
 	for _, p := range d.probes {
-		next = min(next, d.dueAt(p))
+		next = min(next, d.checkDueAt(p))
 	}
 	return next
 }
 
-// dueAt is when a probe that isn't answered is looked at again.
-func (d *Detector) dueAt(p *probe) clock.Time {
+// checkDueAt returns when an unanswered probe is to be checked next.
+func (d *Detector) checkDueAt(p *probe) clock.Time {
 	switch {
-	case !p.helped:
-		return p.sentAt.Add(helpAfter)
-	case d.heardAt < p.sentAt:
-		return p.sentAt.Add(judgeAfter)
+	case !p.pingReqSent:
+		return p.sentAt.Add(pingReqDelay)
+	case d.receivedAt < p.sentAt:
+		return p.sentAt.Add(isolatedProbeTimeout)
 	}
-	return p.sentAt.Add(silentAfter)
+	return p.sentAt.Add(probeTimeout)
 }
 
-// Step does what is due.
+// Step checks outstanding probes and sends the probes, table requests and pushes that are due.
 func (d *Detector) Step(now clock.Time) []Outgoing {
-	if now.Sub(d.steppedAt) > probePeriod+lateTick {
+	if now.Sub(d.steppedAt) > probePeriod+maxStepDelay {
 		clear(d.probes)
 		clear(d.relays)
 	}
 	d.steppedAt = now
-	out := d.judge(now)
+	out := d.checkProbes(now)
 	if now >= d.probeAt {
 		out = append(out, d.probe(now)...)
 	}
 	if now >= d.tableAt {
-		out = append(out, d.askTable(now)...)
+		out = append(out, d.requestTable(now)...)
 	}
 	if d.pushAt != 0 && now >= d.pushAt {
 		out = append(out, d.push(now)...)
@@ -50,39 +50,40 @@
 	return out
 }
 
-// judge looks at the probes that weren't answered.
-func (d *Detector) judge(now clock.Time) []Outgoing {
+// checkProbes handles unanswered probes: it first asks other VMs to probe the target and later
+// declares the target failed.
+func (d *Detector) checkProbes(now clock.Time) []Outgoing {
 	var out []Outgoing
 	for _, seq := range slices.Sorted(maps.Keys(d.probes)) {
 		p := d.probes[seq]
 		switch {
-		case now < d.dueAt(p):
-		case p.helped:
+		case now < d.checkDueAt(p):
+		case p.pingReqSent:
 			delete(d.probes, seq)
 			d.DeclareFailed(now, p.peer)
 		default:
-			p.helped = true
-			for _, helper := range d.pick(now, helpers, p.peer) {
+			p.pingReqSent = true
+			for _, helper := range d.samplePeers(now, pingReqFanout, p.peer) {
 				out = append(out, Outgoing{helper, d.message(PingReq, seq, p.peer)})
 			}
 		}
 	}
 	for seq, r := range d.relays {
-		if now.Sub(r.sentAt) > silentAfter {
+		if now.Sub(r.sentAt) > probeTimeout {
 			delete(d.relays, seq)
 		}
 	}
 	return out
 }
 
-// probe asks the next VM for a sign of life. Silent ones are asked in their turn
-// too: they may be back.
+// probe pings the next VM. VMs that were declared failed are pinged in their turn too, as they may
+// have come back.
 func (d *Detector) probe(now clock.Time) []Outgoing {
 	d.probeAt = now.Add(probePeriod)
-	if d.alarm.raised(now) {
-		d.probeAt = now.Add(alarmPeriod)
+	if d.churn.active(now) {
+		d.probeAt = now.Add(churnProbePeriod)
 	}
-	d.forget(now)
+	d.evictExpired(now)
 	peer, ok := d.nextPeer()
 	if !ok {
 		return nil
@@ -94,18 +95,18 @@
 	return []Outgoing{{peer, d.message(Ping, d.seq, "")}}
 }
 
-// nextPeer walks through all VMs in a shuffled order, which is shuffled anew after
-// each round: each VM is probed within a bounded time.
+// nextPeer iterates over all VMs in a shuffled order and reshuffles it after each round, so that
+// each VM is probed within a bounded time.
 func (d *Detector) nextPeer() (string, bool) {
 	for range len(d.order) + 1 {
-		if d.next >= len(d.order) {
+		if d.nextIndex >= len(d.order) {
 			d.reshuffle()
 		}
 		if len(d.order) == 0 {
 			return "", false
 		}
-		peer := d.order[d.next]
-		d.next++
+		peer := d.order[d.nextIndex]
+		d.nextIndex++
 		if d.entries[peer] != nil {
 			return peer, true
 		}
@@ -114,7 +115,7 @@
 }
 
 func (d *Detector) reshuffle() {
-	d.next = 0
+	d.nextIndex = 0
 	kept := d.order[:0]
 	for _, peer := range d.order {
 		if d.entries[peer] != nil {
@@ -125,14 +126,14 @@
 	d.rand.Shuffle(len(d.order), func(i, j int) { d.order[i], d.order[j] = d.order[j], d.order[i] })
 }
 
-// push tells a few VMs what is urgent.
+// push sends the urgent records to a few VMs.
 func (d *Detector) push(now clock.Time) []Outgoing {
 	d.pushAt = 0
-	peers := d.pick(now, pushFanout, "")
-	m := Message{From: d.own, Kind: UpdatesOnly, Updates: d.records(d.rumors.urgent())}
-	d.pushes = max(d.pushes-1, 0)
-	if d.rumors.pressing() || d.pushes > 0 {
-		d.pushSoon(now, pushGap)
+	peers := d.samplePeers(now, pushFanout, "")
+	m := Message{From: d.own, Kind: UpdatesOnly, Updates: d.records(d.rumors.urgentBatch())}
+	d.forcedPushes = max(d.forcedPushes-1, 0)
+	if d.rumors.hasUrgent() || d.forcedPushes > 0 {
+		d.schedulePush(now, pushGap)
 	}
 	out := make([]Outgoing, len(peers))
 	for i, peer := range peers {
@@ -141,27 +142,26 @@
 	return out
 }
 
-// pick returns up to n of the VMs that live, at random, without one of them.
-func (d *Detector) pick(now clock.Time, n int, without string) []string {
+// samplePeers returns up to n live VMs, chosen at random, other than excluded.
+func (d *Detector) samplePeers(now clock.Time, n int, excluded string) []string {
 	const triesEach = 4
 	var out []string
 	for try := 0; try < n*triesEach && len(out) < n && len(d.order) > 0; try++ {
 		peer := d.order[d.rand.IntN(len(d.order))]
 		e := d.entries[peer]
-		if e != nil && peer != without && e.Alive(now) && !slices.Contains(out, peer) {
+		if e != nil && peer != excluded && e.Alive(now) && !slices.Contains(out, peer) {
 			out = append(out, peer)
 		}
 	}
 	return out
 }
 
-// message carries what is being passed on.
+// message returns a message that carries the next batch of rumors.
 func (d *Detector) message(kind Kind, seq uint32, target string) Message {
-	return Message{From: d.own, Kind: kind, Seq: seq, Target: target, Updates: d.records(d.rumors.next())}
+	return Message{From: d.own, Kind: kind, Seq: seq, Target: target, Updates: d.records(d.rumors.nextBatch())}
 }
 
-// records returns the newest records of peers. This VM's own is part of each
-// message anyway.
+// records returns the newest records of peers. This VM's own record is part of each message anyway.
 func (d *Detector) records(peers []string) []Record {
 	out := make([]Record, 0, len(peers))
 	for _, peer := range peers {
@@ -172,7 +172,7 @@
 	return out
 }
 
-// Receive takes a message and returns the answers to it.
+// Receive handles a message and returns the answers to it.
 func (d *Detector) Receive(now clock.Time, m *Message) []Outgoing {
 	if m.From.Peer == d.own.Peer {
 		return nil
@@ -188,8 +188,8 @@
 	return out
 }
 
-// supersedesSender tells whether a VM that sent r must hear what others believe of
-// it: that it is silent, or what an earlier process of it told.
+// supersedesSender reports whether the VM that sent r must be sent the record that others hold of
+// it: one that declares it failed, or a newer one of an earlier process.
 func (e *Entry) supersedesSender(r *Record) bool {
 	return e.Silent && e.Version >= r.Version || e.Version > r.Version
 }
@@ -199,31 +199,32 @@
 	case Ping:
 		return []Outgoing{{m.From.Peer, d.ack(now, m)}}
 	case Ack:
-		return d.acked(now, m)
+		return d.receiveAck(now, m)
 	case PingReq:
-		return d.pingFor(now, m)
+		return d.relayPing(now, m)
 	case TableRequest:
-		return d.table(now, m)
+		return d.tableChunks(now, m)
 	case TableChunk:
-		d.tableAnswered(now, m)
+		d.receiveTable(now, m)
 	case UpdatesOnly:
 	}
 	return nil
 }
 
-// ack answers a ping. A newcomer is told of others with it.
+// ack answers a ping. Acks to a new VM carry additional records.
 func (d *Detector) ack(now clock.Time, m *Message) Message {
 	out := d.message(Ack, m.Seq, "")
-	if e := d.entries[m.From.Peer]; now.Sub(e.FirstSeenAt) < newFor {
-		for _, peer := range d.pick(now, maxUpdates-len(out.Updates), m.From.Peer) {
+	if e := d.entries[m.From.Peer]; now.Sub(e.FirstSeenAt) < newcomerPeriod {
+		for _, peer := range d.samplePeers(now, maxUpdatesPerMessage-len(out.Updates), m.From.Peer) {
 			out.Updates = append(out.Updates, d.entries[peer].Record)
 		}
 	}
 	return out
 }
 
-// acked takes the answer to a probe. One on behalf of another VM is passed on.
-func (d *Detector) acked(_ clock.Time, m *Message) []Outgoing {
+// receiveAck handles the answer to a probe. The answer to a relayed probe is passed on to the VM
+// that asked for it.
+func (d *Detector) receiveAck(_ clock.Time, m *Message) []Outgoing {
 	delete(d.probes, m.Seq)
 	r, ok := d.relays[m.Seq]
 	if !ok {
@@ -233,9 +234,9 @@
 	return []Outgoing{{r.asker, d.message(Ack, r.seq, "")}}
 }
 
-// pingFor probes a VM for another one. It answers that one at once too, which shows
-// it that it isn't itself cut off.
-func (d *Detector) pingFor(now clock.Time, m *Message) []Outgoing {
+// relayPing probes a VM on behalf of another one. It also answers the asker at once, which shows
+// the asker that it isn't isolated itself.
+func (d *Detector) relayPing(now clock.Time, m *Message) []Outgoing {
 	d.seq++
 	d.relays[d.seq] = relay{asker: m.From.Peer, seq: m.Seq, sentAt: now}
 	return []Outgoing{{m.Target, d.message(Ping, d.seq, "")}, {m.From.Peer, Message{From: d.own}}}
--- a/internal/swim/table.go
+++ b/internal/swim/table.go
@@ -11,11 +11,11 @@
 	"fescuestand/internal/splitmix"
 )
 
-// askTable asks a VM for the whole list. Until an answer comes another one is asked.
-// What no probe has carried here is learned by it.
-func (d *Detector) askTable(now clock.Time) []Outgoing {
-	d.tableAt, d.asking = now.Add(tableRetry), true
-	peers := d.pick(now, 1, "")
+// requestTable requests the full table from a random VM, and from another one each time until an
+// answer arrives. The table contains the records that no probe has carried here.
+func (d *Detector) requestTable(now clock.Time) []Outgoing {
+	d.tableAt, d.tableRequested = now.Add(tableRetryDelay), true
+	peers := d.samplePeers(now, 1, "")
 	if len(peers) == 0 {
 		return nil
 	}
@@ -24,14 +24,14 @@
 	return []Outgoing{{peers[0], m}}
 }
 
-// table returns the whole list in as many messages as it needs, or an empty message
-// if the VM that asks believes the same.
-func (d *Detector) table(now clock.Time, asked *Message) []Outgoing {
+// tableChunks returns all records in as many messages as they need, or one empty message if the
+// requesting VM has equal records.
+func (d *Detector) tableChunks(now clock.Time, request *Message) []Outgoing {
 	m := Message{From: d.own, Kind: TableChunk}
-	if asked.Digest == d.digest() {
-		d.settle(now)
-		m.Digest = asked.Digest
-		return []Outgoing{{asked.From.Peer, m}}
+	if request.Digest == d.digest() {
+		d.dropSettled(now)
+		m.Digest = request.Digest
+		return []Outgoing{{request.From.Peer, m}}
 	}
 	var out []Outgoing
 	for _, peer := range slices.Sorted(maps.Keys(d.entries)) {
@@ -40,48 +40,47 @@
 			continue
 		}
 		m.Updates = append(m.Updates, e.Record)
-		if len(m.Updates) == tableChunk {
-			out = append(out, Outgoing{asked.From.Peer, m})
+		if len(m.Updates) == tableChunkRecords {
+			out = append(out, Outgoing{request.From.Peer, m})
 			m.Updates = nil
 		}
 	}
-	return append(out, Outgoing{asked.From.Peer, m})
+	return append(out, Outgoing{request.From.Peer, m})
 }
 
-// tableAnswered puts the next question off, by chance, so that VMs which start
-// together don't ask together.
-func (d *Detector) tableAnswered(now clock.Time, m *Message) {
+// receiveTable schedules the next table request with jitter, so that VMs that start together don't
+// send their requests together.
+func (d *Detector) receiveTable(now clock.Time, m *Message) {
 	if m.Digest != 0 {
-		d.settle(now)
+		d.dropSettled(now)
 	}
-	if !d.asking {
-		return // another part of the same answer
+	if !d.tableRequested {
+		return // another chunk of the same answer
 	}
-	d.asking = false
+	d.tableRequested = false
 	d.tableAt = now.Add(d.tableWait/2 + time.Duration(d.rand.Int64N(int64(d.tableWait))))
-	longest := tablePeriod * time.Duration(max(len(d.entries), tableUnit)) / tableUnit
-	d.tableWait = min(2*d.tableWait, longest)
+	maxWait := maxTablePeriod * time.Duration(max(len(d.entries), tableUnitVMs)) / tableUnitVMs
+	d.tableWait = min(2*d.tableWait, maxWait)
 }
 
-// tableSoon has the whole list asked for soon, and again a few times: more records
-// change than those who pass them on are sure to reach all with.
-func (d *Detector) tableSoon(now clock.Time) {
-	d.tableWait = alarmTable
-	if soon := now.Add(alarmTable/2 + time.Duration(d.rand.Int64N(int64(alarmTable)))); soon < d.tableAt {
+// expediteTable schedules a table request soon and at short intervals after it: during churn more
+// records change than rumors deliver to all VMs reliably.
+func (d *Detector) expediteTable(now clock.Time) {
+	d.tableWait = churnTableDelay
+	if soon := now.Add(churnTableDelay/2 + time.Duration(d.rand.Int64N(int64(churnTableDelay)))); soon < d.tableAt {
 		d.tableAt = soon
 	}
 }
 
-// settle stops passing on what another VM has all come to know too, unless many VMs fell
-// silent or came back lately: what is told of them then changes too fast for that.
-func (d *Detector) settle(now clock.Time) {
-	if now > d.alarm.until.Add(calmAfter) {
-		d.rumors.settle(now)
+// dropSettled stops passing on old rumors once another VM has equal records, except during and
+// shortly after churn, when records change too fast for that.
+func (d *Detector) dropSettled(now clock.Time) {
+	if now > d.churn.until.Add(churnSettleDelay) {
+		d.rumors.dropSettled(now)
 	}
 }
 
-// digest is the same for two VMs that believe the same of all, but for what is not
-// urgent.
+// digest is equal for two VMs whose records of all VMs agree, apart from fields that aren't urgent.
 func (d *Detector) digest() uint64 {
 	sum := digestOf(&d.own)
 	for _, e := range d.entries {
