--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	turn  = 3 * time.Second
-	renew = 1500 * time.Millisecond
+	minLeaderGap  = 3 * time.Second
+	renewInterval = 1500 * time.Millisecond
 )
 
-// record is the store's, written and read without delay.
-type record struct{ last string }
+// fakeRecord is the store's record, read and written without delay.
+type fakeRecord struct{ last string }
 
-// keep does the next step of a, which belongs to vm, at the record.
-func (r *record) keep(a *Authority, vm string, at time.Duration) {
-	step, h := a.NextStep(clock.Time(at))
+// runStep performs the next step of a, which belongs to vm.
+func (r *fakeRecord) runStep(a *Authority, vm string, at time.Duration) {
+	step, term := a.NextStep(clock.Time(at))
 	if step == WriteRecord {
 		r.last = vm
 	}
 	if step != NoStep {
-		a.RecordStepResult(h, r.last == vm, true)
+		a.RecordStepResult(term, r.last == vm, true)
 	}
 }
 
-// may tells whether a may act, leaving the fencing token aside, after it has done at
-// the record what it has to; the last to act was another VM.
-func may(a *Authority, at time.Duration) bool {
-	r := record{"another"}
-	r.keep(a, "vm", at)
-	r.keep(a, "vm", at)
+// stepAndMayAct performs the pending steps of a, with another VM as the last to act, and reports
+// whether a may then act.
+func stepAndMayAct(a *Authority, at time.Duration) bool {
+	r := fakeRecord{"another"}
+	r.runStep(a, "vm", at)
+	r.runStep(a, "vm", at)
 	_, ok := a.MayAct(clock.Time(at))
 	return ok
 }
 
-func TestANewHolderWaitsUntilTheLastMustHaveStopped(t *testing.T) {
-	a := New(turn, false, 0)
-	for at := time.Duration(0); at <= 9*time.Second; at += renew {
-		assert.Equal(t, may(a, at), at > hold+inFlight+turn, "at %s", at)
+func TestNewLeaderWaitsUntilPredecessorHasStopped(t *testing.T) {
+	a := New(minLeaderGap, false, 0)
+	for at := time.Duration(0); at <= 9*time.Second; at += renewInterval {
+		assert.Equal(t, stepAndMayAct(a, at), at > leaseDuration+maxOrderFlight+minLeaderGap, "at %s", at)
 		a.RecordRenewal(clock.Time(at), true, 4)
 	}
 	fence, ok := a.MayAct(clock.Time(9 * time.Second))
@@ -51,116 +51,112 @@
 	assert.Equal(t, fence, int64(4))
 }
 
-// A holder is frozen for ten seconds, in which the group deals its duty to
-// another VM. It wakes and believes that it still holds it. Its clock counts the
-// suspension, so that its last renewal is too old to act by.
-func TestAHolderThatWasFrozenDoesNotAct(t *testing.T) {
-	a := New(turn, true, 0)
+// Guards against orders from a leader that was frozen for ten seconds, in which the group assigned
+// leadership to another VM, and that still considers itself the leader. Its clock counts the
+// suspension, so that its last renewal is too old to act on.
+func TestFrozenLeaderDoesNotActAfterResume(t *testing.T) {
+	a := New(minLeaderGap, true, 0)
 	a.RecordRenewal(0, true, 1)
-	a.RecordRenewal(clock.Time(renew), true, 1)
-	assert.Assert(t, may(a, renew+hold-time.Millisecond))
-	assert.Assert(t, !may(a, renew+10*time.Second))
-	// Dealt to it again, it is a new holder.
-	a.RecordRenewal(clock.Time(renew+10*time.Second), true, 3)
-	assert.Assert(t, !may(a, renew+11*time.Second))
+	a.RecordRenewal(clock.Time(renewInterval), true, 1)
+	assert.Assert(t, stepAndMayAct(a, renewInterval+leaseDuration-time.Millisecond))
+	assert.Assert(t, !stepAndMayAct(a, renewInterval+10*time.Second))
+	// When it becomes leader again, a new term starts.
+	a.RecordRenewal(clock.Time(renewInterval+10*time.Second), true, 3)
+	assert.Assert(t, !stepAndMayAct(a, renewInterval+11*time.Second))
 }
 
-// Two VMs start at the same moment. The first to join is dealt everything, the
-// second a part of it a moment later, which the first learns only with its next
-// renewal, or not at all if the store turns it away meanwhile. At no time may
-// both act.
-func TestTwoHoldersNeverActAtOnceWhileADeploymentStarts(t *testing.T) {
+// Guards against two leaders while a deployment starts. Two VMs start at the same moment. The first
+// to join is assigned everything, the second takes over a part a moment later, which the first
+// detects only with its next renewal, or not at all if the store rejects it meanwhile.
+func TestTwoLeadersNeverActAtOnceDuringFirstStart(t *testing.T) {
 	for _, cutOff := range []bool{false, true} {
-		first, second := New(turn, true, 0), New(turn, true, 0)
-		const dealt = 200 * time.Millisecond
+		first, second := New(minLeaderGap, true, 0), New(minLeaderGap, true, 0)
+		const leadsFrom = 200 * time.Millisecond
 		first.RecordRenewal(clock.Time(100*time.Millisecond), true, 1)
 		for at := time.Duration(0); at < 10*time.Second; at += 10 * time.Millisecond {
-			if at >= dealt && (at-dealt)%renew == 0 {
+			if at >= leadsFrom && (at-leadsFrom)%renewInterval == 0 {
 				second.RecordRenewal(clock.Time(at), true, 2)
 			}
-			if !cutOff && at >= renew && at%renew == 0 {
+			if !cutOff && at >= renewInterval && at%renewInterval == 0 {
 				first.RecordRenewal(clock.Time(at), false, 2)
 			}
-			assert.Assert(t, !may(first, at) || !may(second, at), "both at %s", at)
+			assert.Assert(t, !stepAndMayAct(first, at) || !stepAndMayAct(second, at), "both at %s", at)
 		}
-		assert.Assert(t, may(second, dealt+2*renew))
+		assert.Assert(t, stepAndMayAct(second, leadsFrom+2*renewInterval))
 	}
 }
 
-// Hours after a deployment started for the first time, the group deals the duty
-// anew. The last holder gave an order a moment before it learned of that. A
-// process that still took its peers for newcomers would give the same engine
-// another one 0.4 s later.
-func TestAProcessThatStartedFirstWaitsInFullLater(t *testing.T) {
-	const dealt = time.Hour
-	a := New(turn, true, 0)
-	for at := time.Duration(0); at < dealt; at += renew {
+// Guards against the short wait of a first start being used hours later, when leadership moves. The
+// last leader sent an order a moment before it detected that; after the short wait the same engine
+// would be sent another order 0.4 s later.
+func TestFullTakeoverWaitAppliesAfterFirstStart(t *testing.T) {
+	const leadsFrom = time.Hour
+	a := New(minLeaderGap, true, 0)
+	for at := time.Duration(0); at < leadsFrom; at += renewInterval {
 		a.RecordRenewal(clock.Time(at), false, 1)
 	}
-	for at := dealt; at <= dealt+6*renew; at += renew {
+	for at := leadsFrom; at <= leadsFrom+6*renewInterval; at += renewInterval {
 		a.RecordRenewal(clock.Time(at), true, 2)
-		assert.Equal(t, may(a, at), at-dealt >= hold+inFlight+turn, "at %s", at-dealt)
+		assert.Equal(t, stepAndMayAct(a, at), at-leadsFrom >= leaseDuration+maxOrderFlight+minLeaderGap, "at %s", at-leadsFrom)
 	}
 }
 
-func TestALostDutyEndsAtOnce(t *testing.T) {
-	a := New(turn, true, 0)
+func TestLostLeadershipEndsAtOnce(t *testing.T) {
+	a := New(minLeaderGap, true, 0)
 	a.RecordRenewal(0, true, 1)
 	a.RecordRenewal(clock.Time(2*time.Second), true, 1)
-	assert.Assert(t, may(a, 2600*time.Millisecond))
+	assert.Assert(t, stepAndMayAct(a, 2600*time.Millisecond))
 	a.RecordRenewal(clock.Time(2700*time.Millisecond), false, 2)
-	assert.Assert(t, !may(a, 2800*time.Millisecond))
+	assert.Assert(t, !stepAndMayAct(a, 2800*time.Millisecond))
 }
 
-// A VM that gives orders is killed and starts again under the name that the group
-// knows. The duty is still its own. It waited as if another VM might act, in which no
-// engine changed its stage: with one decode engine left callers were refused for
-// fifteen seconds.
-func TestARestartedHolderGoesOnOnceNobodyElseCanHaveActed(t *testing.T) {
-	r := record{"vm"}
-	a := New(turn, false, 0)
+// Guards against the full takeover wait after a restart of the leader under the name that the group
+// already has. Leadership is still its own, but it waited as if another VM might act and no engine
+// changed its stage: with one decode engine left callers were refused for fifteen seconds.
+func TestRestartedLeaderResumesWithoutTakeoverWait(t *testing.T) {
+	r := fakeRecord{"vm"}
+	a := New(minLeaderGap, false, 0)
 	for at := time.Duration(0); at < 3*time.Second; at += 50 * time.Millisecond {
-		if at%renew == 0 {
+		if at%renewInterval == 0 {
 			a.RecordRenewal(clock.Time(at), true, 4)
 		}
-		r.keep(a, "vm", at)
+		r.runStep(a, "vm", at)
 		_, ok := a.MayAct(clock.Time(at))
-		assert.Equal(t, ok, at >= hold, "at %s", at)
+		assert.Equal(t, ok, at >= leaseDuration, "at %s", at)
 	}
 }
 
-// Two VMs are dealt the duty in turn, over and over; one of them is frozen, cut off or
-// restarted now and then, at moments that a seed draws. An order of one must not
-// follow an order of the other within the time of a turn.
-func TestTwoHoldersNeverTakeTurnsTooSoon(t *testing.T) {
+// Guards against actions of two leaders within minLeaderGap. Leadership moves between two VMs again
+// and again, and VMs lose renewals or steps, or restart, at random moments that depend on the seed.
+func TestActionsOfTwoLeadersAreMinLeaderGapApart(t *testing.T) {
 	const tick = 20 * time.Millisecond
 	acted := 0
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		r := record{}
-		vms := []*Authority{New(turn, false, 0), New(turn, false, 0)}
+		r := fakeRecord{}
+		vms := []*Authority{New(minLeaderGap, false, 0), New(minLeaderGap, false, 0)}
 		owner, generation := 0, int64(1)
-		next := []time.Duration{0, 0} // renewal
+		nextRenewal := []time.Duration{0, 0}
 		last, lastAt := -1, time.Duration(-1<<40)
 		for at := time.Duration(0); at < 60*time.Second; at += tick {
-			if rng.IntN(200) == 0 { // dealt anew, at times to the same VM
+			if rng.IntN(200) == 0 { // assigned again, sometimes to the same VM
 				owner, generation = rng.IntN(2), generation+1
 			}
 			if rng.IntN(400) == 0 { // restarted
-				vms[rng.IntN(2)] = New(turn, false, clock.Time(at))
+				vms[rng.IntN(2)] = New(minLeaderGap, false, clock.Time(at))
 			}
 			for i, a := range vms {
-				if at >= next[i] && rng.IntN(4) > 0 { // some renewals fail
+				if at >= nextRenewal[i] && rng.IntN(4) > 0 { // some renewals fail
 					a.RecordRenewal(clock.Time(at), owner == i, generation)
-					next[i] = at + renew
+					nextRenewal[i] = at + renewInterval
 				}
 				if rng.IntN(3) > 0 {
-					r.keep(a, fmt.Sprint(i), at)
+					r.runStep(a, fmt.Sprint(i), at)
 				}
 				if _, ok := a.MayAct(clock.Time(at)); !ok {
 					continue
 				}
-				assert.Assert(t, last == i || at-lastAt >= turn, "seed %d: %d at %s, %d at %s", seed, last, lastAt, i, at)
+				assert.Assert(t, last == i || at-lastAt >= minLeaderGap, "seed %d: %d at %s, %d at %s", seed, last, lastAt, i, at)
 				last, lastAt = i, at
 				acted++
 			}
--- a/internal/authority/keeper.go
+++ b/internal/authority/keeper.go
@@ -9,47 +9,47 @@
 	"fescuestand/internal/clock"
 )
 
-// LeaderRecord is kept by the platform's store: the VM that acted last.
+// LeaderRecord is the platform's stored record of the VM that acted last as leader.
 type LeaderRecord interface {
-	// LastLeader returns the VM, empty if there is none, and the record's version.
+	// LastLeader returns that VM, empty if there is none, and the record's version.
 	LastLeader(ctx context.Context) (vm string, version int64, err error)
-	// SetLastLeader replaces the record if it still has that version.
+	// SetLastLeader replaces the record if it still has the given version.
 	SetLastLeader(ctx context.Context, vm string, version int64) error
 }
 
-// Keeper does the steps at the record. It is a kernel unit.
+// Keeper performs the steps of an Authority on the record. It is a kernel unit.
 type Keeper struct {
 	Authority *Authority
 	Record    LeaderRecord
 	Clock     clock.Clock
-	VM        string // this one's name in the record: the same after a restart
+	VM        string // this VM's name in the record, unchanged by a restart
 
-	version int64 // of the record that was read last
+	version int64 // of the record when it was last read
 }
 
-// keepPeriod is the time between two looks.
-const keepPeriod = 100 * time.Millisecond
+// stepInterval is the interval between checks for a pending step.
+const stepInterval = 100 * time.Millisecond
 
 // Name implements kernel.Unit.
 func (k *Keeper) Name() string { return "duty" }
 
 // Run implements kernel.Runner.
 func (k *Keeper) Run(ctx context.Context) error {
-	return clock.Every(ctx, keepPeriod, func() { k.look(ctx) })
+	return clock.Every(ctx, stepInterval, func() { k.runStep(ctx) })
 }
 
-func (k *Keeper) look(ctx context.Context) {
-	step, holding := k.Authority.NextStep(k.Clock.Now())
+func (k *Keeper) runStep(ctx context.Context) {
+	step, term := k.Authority.NextStep(k.Clock.Now())
 	switch step {
 	case NoStep:
 	case ReadRecord:
 		vm, version, err := k.Record.LastLeader(ctx)
 		k.version = version
-		k.Authority.RecordStepResult(holding, vm == k.VM, err == nil)
-		log.WithError(err).WithField("last_holder", vm).WithField("own", vm == k.VM).Info("duty record read")
+		k.Authority.RecordStepResult(term, vm == k.VM, err == nil)
+		log.WithError(err).WithField("last_holder", vm).WithField("own", vm == k.VM).Info("leader record read")
 	case WriteRecord:
 		err := k.Record.SetLastLeader(ctx, k.VM, k.version)
-		k.Authority.RecordStepResult(holding, err == nil, err == nil)
-		log.WithError(err).WithField("last_holder", k.VM).Info("duty record written")
+		k.Authority.RecordStepResult(term, err == nil, err == nil)
+		log.WithError(err).WithField("last_holder", k.VM).Info("leader record written")
 	}
 }
