--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,13 +1,14 @@
-// Package lease says when a process may use the authority that the control
-// stream gives it, and when another may claim it.
+// Package lease decides until when a process may use the authority that the control stream gives
+// it, and when another process may claim it.
 //
-// The stream alone decides who holds a scope; see fold.Authority. Time comes
-// in only here, twice, and both on the reader's own monotone clock that counts
-// suspension: a holder counts its lease from before it sent a renewal that it
-// has since read in the log, everyone else from when they read that renewal,
-// plus a margin. The reading is after the sending, so that on clocks of equal
-// rate the holder's count ends first, whatever the delays; the margin covers
-// the difference of rates. No clock is compared with another machine's.
+// The stream alone decides which process holds a scope; see fold.Authority. Time is used only here,
+// in two places, and always on the reader's own boot-time clock, which counts suspension:
+//   - A holder counts its lease from before it sent a renewal that it has since read in the log.
+//   - Everyone else counts from when they read that renewal, and adds a margin.
+//
+// A renewal is read after it was sent, so on clocks of equal rate the holder's lease ends first,
+// whatever the delays; the margin covers the difference of rates. Clock readings of different
+// machines are never compared.
 package lease
 
 import (
@@ -18,184 +19,180 @@
 	"fescuestand/internal/fold"
 )
 
-// Options are the times of the leases; they must be the same at every process.
+// Options are the durations of the leases; they must be the same in every process.
 type Options struct {
 	TTL time.Duration
-	// Margin is what others wait longer. It covers clocks whose rates differ by
-	// up to Margin/TTL.
+	// Margin is added to TTL by processes that wait for another's lease to end. It covers clocks
+	// whose rates differ by up to Margin/TTL.
 	Margin time.Duration
-	// MaxFlight bounds the time between a permit and the last byte of the
-	// order that it permitted.
+	// MaxFlight bounds the time between a permit and the last byte of the order that it permitted.
 	MaxFlight time.Duration
-	// IdleWindow is the silence after which a process that holds nothing isn't
-	// counted as live any more.
+	// IdleWindow is the time without a record after which a process that holds no scope no longer
+	// counts as live.
 	IdleWindow time.Duration
 
-	off guardsOff
+	disabled disabledGuards
 }
 
-// guardsOff switches single guards off, so that tests can show what each one
-// is for.
-type guardsOff struct {
-	fromRead bool // the holder counts from the reading of its renewal
-	flight   bool // others don't wait for orders on their way
-	permit   bool // the lease isn't checked again at the order's last byte
+// disabledGuards disables single guards, so that tests can show the failure that each one prevents.
+type disabledGuards struct {
+	leaseFromSend bool // the holder counts its lease from when it read its renewal
+	flightWait    bool // others don't wait for orders in flight
+	permitCheck   bool // the lease isn't checked again at the order's last byte
 }
 
-// renewal is an own record that the log has shown.
+// renewal is a heartbeat of this process that was read in the log.
 type renewal struct {
 	seq    uint64
 	offset uint64
-	sent   clock.Time // before its first try
+	sentAt clock.Time // before its first append attempt
 }
 
-// writer is what is known of another process.
+// writer is the recorded state of one process.
 type writer struct {
-	vm      string
-	read    clock.Time // when its newest record was read
-	offset  uint64
-	leaving bool
+	vm         string
+	lastReadAt clock.Time // when its newest record was read
+	offset     uint64
+	leaving    bool
 }
 
-// Tracker follows the control stream for one process. It isn't safe for
-// concurrent use.
+// Tracker follows the control stream for one process. It isn't safe for concurrent use.
 type Tracker struct {
-	opt   Options
-	self  string
-	began clock.Time
-	// unclaimed is until when a scope that nobody is known to hold may still
-	// be used by a holder of before the state began anew.
-	unclaimed clock.Time
-	writers   map[string]*writer
-	own       renewal
-	sent      map[uint64]clock.Time // own records on their way, by number
-	read      map[uint64]renewal    // own records read before Sent told their time
+	opt       Options
+	self      string
+	startedAt clock.Time
+	// unheldUntil is until when a scope without a recorded holder may still be used by a holder
+	// from before the state was reset.
+	unheldUntil clock.Time
+	writers     map[string]*writer
+	ownRenewal  renewal
+	pendingSent map[uint64]clock.Time // own records whose append was started, by sequence number
+	pendingRead map[uint64]renewal    // own renewals read before RecordSent gave their send time
 }
 
-// NewTracker returns the tracker of the process with incarnation self. What
-// was read of others before now counts as read now.
+// NewTracker returns the tracker of the process with incarnation self. The records of others that
+// were read before now count as read now.
 func NewTracker(opt Options, self string, now clock.Time) *Tracker {
 	return &Tracker{
-		opt: opt, self: self, began: now, writers: map[string]*writer{},
-		sent: map[uint64]clock.Time{}, read: map[uint64]renewal{},
+		opt: opt, self: self, startedAt: now, writers: map[string]*writer{},
+		pendingSent: map[uint64]clock.Time{}, pendingRead: map[uint64]renewal{},
 	}
 }
 
-// Observe takes in an item that the fold was given too.
+// Observe records the time of an item that is also applied to the fold.
 func (t *Tracker) Observe(now clock.Time, it *fold.Item) {
 	if it.Gap {
-		t.began = now
+		t.startedAt = now
 		return
 	}
 	if it.Entry.GetAuthorityCheckpoint().GetBegin() {
-		t.unclaimed = now.Add(t.opt.TTL + t.opt.Margin + t.opt.MaxFlight)
+		t.unheldUntil = now.Add(t.opt.TTL + t.opt.Margin + t.opt.MaxFlight)
 	}
 	if it.Writer == t.self {
-		t.readOwn(now, it)
+		t.observeOwn(now, it)
 	}
 	w := t.writers[it.Writer]
 	if w == nil {
 		w = &writer{vm: it.VM}
 		t.writers[it.Writer] = w
 	}
-	w.read, w.offset = now, it.Offset
+	w.lastReadAt, w.offset = now, it.Offset
 	if it.Entry.GetHeartbeat().GetLeaving() {
 		w.leaving = true
 	}
 }
 
-// readOwn notes a renewal of this process. Its first copy counts, and none
-// that a later renewal has overtaken, as in the fold.
-func (t *Tracker) readOwn(now clock.Time, it *fold.Item) {
-	if it.Entry.GetHeartbeat() == nil || it.Seq <= t.own.seq {
+// observeOwn records a renewal of this process. As in the fold, only its first copy counts, and
+// none after a later renewal.
+func (t *Tracker) observeOwn(now clock.Time, it *fold.Item) {
+	if it.Entry.GetHeartbeat() == nil || it.Seq <= t.ownRenewal.seq {
 		return
 	}
 	r := renewal{seq: it.Seq, offset: it.Offset}
-	sent, known := t.sent[it.Seq]
-	if t.opt.off.fromRead {
+	sent, known := t.pendingSent[it.Seq]
+	if t.opt.disabled.leaseFromSend {
 		sent, known = now, true
 	}
 	if !known {
-		if _, again := t.read[it.Seq]; !again {
-			t.read[it.Seq] = r
+		if _, duplicate := t.pendingRead[it.Seq]; !duplicate {
+			t.pendingRead[it.Seq] = r
 		}
 		return
 	}
-	r.sent = sent
-	t.count(r)
+	r.sentAt = sent
+	t.applyRenewal(r)
 }
 
-// RecordSent tells that the append with number seq was begun at the given time. It
-// may be told before or after the record is read.
+// RecordSent records that the append with sequence number seq was started at the given time. It may
+// be called before or after the record is read.
 func (t *Tracker) RecordSent(seq uint64, at clock.Time) {
-	if r, ok := t.read[seq]; ok && seq > t.own.seq {
-		r.sent = at
-		t.count(r)
+	if r, ok := t.pendingRead[seq]; ok && seq > t.ownRenewal.seq {
+		r.sentAt = at
+		t.applyRenewal(r)
 		return
 	}
-	if seq > t.own.seq {
-		t.sent[seq] = at
+	if seq > t.ownRenewal.seq {
+		t.pendingSent[seq] = at
 	}
 }
 
-func (t *Tracker) count(r renewal) {
-	t.own = r
-	for seq := range t.sent {
+func (t *Tracker) applyRenewal(r renewal) {
+	t.ownRenewal = r
+	for seq := range t.pendingSent {
 		if seq <= r.seq {
-			delete(t.sent, seq)
+			delete(t.pendingSent, seq)
 		}
 	}
-	for seq := range t.read {
+	for seq := range t.pendingRead {
 		if seq <= r.seq {
-			delete(t.read, seq)
+			delete(t.pendingRead, seq)
 		}
 	}
 }
 
 // LeaseEnd returns when this process's lease of a holding ends, 0 if it has none.
 //
-// Failure: a holder renews, is paused, and reads its renewal in the log long
-// after others did. Counted from that reading the lease would outlast the time
-// after which the others claim. It is counted from before the sending.
+// Failure: a holder renews, is paused, and reads its renewal in the log long after others did.
+// Counted from that read the lease would last longer than the time after which others may claim the
+// scope. It is therefore counted from before the send.
 func (t *Tracker) LeaseEnd(h fold.Holding) clock.Time {
-	if h.Writer != t.self || h.Released || h.Token == 0 || t.own.offset < h.Token {
+	if h.Writer != t.self || h.Released || h.Token == 0 || t.ownRenewal.offset < h.Token {
 		return 0
 	}
-	return t.own.sent.Add(t.opt.TTL)
+	return t.ownRenewal.sentAt.Add(t.opt.TTL)
 }
 
-// Superseded reports whether a record of this process with number seq can't
-// count any more unless it was read before: a later renewal of this process
-// stands in the log.
-func (t *Tracker) Superseded(seq uint64) bool { return t.own.seq > seq }
+// Superseded reports whether a record of this process with number seq can no longer take effect
+// unless it was read before, because a later renewal of this process is in the log.
+func (t *Tracker) Superseded(seq uint64) bool { return t.ownRenewal.seq > seq }
 
-// Claimable reports whether a scope can be claimed: nobody holds it, it was
-// given up, or the lease has lapsed for certain.
+// Claimable reports whether a scope can be claimed: nobody holds it, it was released, or the
+// holder's lease has certainly expired.
 //
-// Failure: an engine that ignores fencing tokens takes an order that its former
-// holder sent just before the lease ended and that arrives after the new
-// holder's. The claim waits for the longest flight of an order besides.
+// Failure: an engine that ignores fencing tokens accepts an order that its former holder sent just
+// before the lease ended and that arrives after the new holder's. For such engines the claim also
+// waits for the longest flight of an order.
 func (t *Tracker) Claimable(now clock.Time, h fold.Holding, ignoresFence bool) bool {
 	if h.Token == 0 {
-		return now >= t.unclaimed
+		return now >= t.unheldUntil
 	}
-	return h.Released || now >= t.lapse(h, ignoresFence)
+	return h.Released || now >= t.leaseExpiry(h, ignoresFence)
 }
 
-func (t *Tracker) lapse(h fold.Holding, ignoresFence bool) clock.Time {
-	from := t.began
+func (t *Tracker) leaseExpiry(h fold.Holding, ignoresFence bool) clock.Time {
+	waitFrom := t.startedAt
 	if w := t.writers[h.Writer]; w != nil {
-		from = max(from, w.read)
+		waitFrom = max(waitFrom, w.lastReadAt)
 	}
 	wait := t.opt.TTL + t.opt.Margin
-	if ignoresFence && !t.opt.off.flight {
+	if ignoresFence && !t.opt.disabled.flightWait {
 		wait += t.opt.MaxFlight
 	}
-	return from.Add(wait)
+	return waitFrom.Add(wait)
 }
 
-// LiveProcesses returns the newest process of every VM that runs one, by VM. A process
-// that says it leaves isn't counted. holds tells whether one holds a scope.
+// LiveProcesses returns the newest live process of every VM, by VM. A VM whose newest process
+// announced that it is leaving is left out. holds reports whether a process holds a scope.
 func (t *Tracker) LiveProcesses(now clock.Time, holds func(writer string) bool) map[string]string {
 	out, newest := map[string]string{}, map[string]uint64{}
 	for id, w := range t.writers {
@@ -203,8 +200,8 @@
 		if holds(id) || window == 0 {
 			window = t.opt.TTL + t.opt.Margin
 		}
-		if now.Sub(w.read) > window {
-			if now.Sub(w.read) > 2*max(window, t.opt.IdleWindow) && !holds(id) {
+		if now.Sub(w.lastReadAt) > window {
+			if now.Sub(w.lastReadAt) > 2*max(window, t.opt.IdleWindow) && !holds(id) {
 				delete(t.writers, id)
 			}
 			continue
@@ -220,43 +217,43 @@
 	return out
 }
 
-// VMSeenRecently reports whether anything of a VM's control process was read within
-// the last TTL and margin.
+// VMSeenRecently reports whether any record of a VM's control process was read within the last TTL
+// and margin.
 func (t *Tracker) VMSeenRecently(now clock.Time, vm string) bool {
 	for _, w := range t.writers {
-		if w.vm == vm && now.Sub(w.read) <= t.opt.TTL+t.opt.Margin {
+		if w.vm == vm && now.Sub(w.lastReadAt) <= t.opt.TTL+t.opt.Margin {
 			return true
 		}
 	}
 	return false
 }
 
-// AnyPeerSeenRecently reports whether any other process was read within the last TTL and
-// margin.
+// AnyPeerSeenRecently reports whether a record of any other process was read within the last TTL
+// and margin.
 func (t *Tracker) AnyPeerSeenRecently(now clock.Time) bool {
 	for id, w := range t.writers {
-		if id != t.self && now.Sub(w.read) <= t.opt.TTL+t.opt.Margin {
+		if id != t.self && now.Sub(w.lastReadAt) <= t.opt.TTL+t.opt.Margin {
 			return true
 		}
 	}
 	return false
 }
 
-// IdleRenewInterval returns how often a process that holds nothing needs to be heard.
+// IdleRenewInterval returns how often a process that holds no scope needs to renew.
 func (o *Options) IdleRenewInterval(renew time.Duration) time.Duration {
 	const perWindow = 4 // so that three may be lost
 	return min(max(renew, o.IdleWindow/perWindow), max(renew, o.TTL-o.Margin))
 }
 
-// Permit decides whether an order may leave now under a lease that ends at
-// until. It is asked at the order's last byte.
+// Permit decides whether an order may be sent now under a lease that ends at until. It is called at
+// the order's last byte.
 //
-// Failure: a holder is frozen between its decision and the order's last byte,
-// and wakes after another process has taken over, with the order in its hand.
-// Its clock counts the time it was frozen, so the check refuses. What it can't
-// cover is a freeze between the check and the byte; see MaxFlight.
+// Failure: a holder is frozen between its decision and the order's last byte, and resumes with the
+// order still to be sent after another process has taken over. Its clock counts the time it was
+// frozen, so the check refuses. A freeze between the check and the byte isn't covered; see
+// MaxFlight.
 func (o *Options) Permit(now, until clock.Time) error {
-	if now < until || o.off.permit {
+	if now < until || o.disabled.permitCheck {
 		return nil
 	}
 	return code.New(code.NoAuthority, "the lease ended %s ago", now.Sub(until).Round(time.Millisecond))
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -14,15 +14,15 @@
 	"fescuestand/internal/wire"
 )
 
-// The model: a few processes renew, claim and order over one log, each with a
-// clock of its own rate, under pauses of any length, slow and cut log access,
-// lost answers and appends that appear late.
+// The simulation: a few processes renew, claim and send orders over one log, each with a clock of
+// its own rate. Processes are paused for any length of time, log access is slow or cut, answers are
+// lost and appends appear late.
 
 const (
-	simProcs  = 3
-	simLength = 2 * time.Minute
-	renew     = 2 * time.Second
-	scope     = "e"
+	simProcs      = 3
+	simLength     = 2 * time.Minute
+	renewInterval = 2 * time.Second
+	scope         = "e"
 )
 
 func simOptions() Options {
@@ -51,29 +51,29 @@
 }
 
 type sim struct {
-	rnd     *rand.Rand
-	now     time.Duration
-	queue   simQueue
-	n       int
-	log     []fold.Item
-	truth   *fold.Authority // of the whole log at once
-	ignores bool
-	drift   float64
-	orders  int
-	broken  []string
+	rnd          *rand.Rand
+	now          time.Duration
+	queue        simQueue
+	n            int
+	log          []fold.Item
+	truth        *fold.Authority // fold of the whole log, without delay
+	ignoresFence bool
+	drift        float64
+	orders       int
+	violations   []string
 }
 
 type simProc struct {
-	s      *sim
-	id     string
-	rate   float64
-	paused time.Duration // until
-	cut    time.Duration // from the log, until
-	fold   *fold.Authority
-	tr     *Tracker
-	opt    Options
-	next   int
-	seq    uint64
+	s           *sim
+	id          string
+	rate        float64
+	pausedUntil time.Duration
+	cutUntil    time.Duration // no log access until then
+	fold        *fold.Authority
+	tracker     *Tracker
+	opt         Options
+	nextItem    int
+	seq         uint64
 }
 
 func (s *sim) after(d time.Duration, do func()) {
@@ -81,7 +81,7 @@
 	heap.Push(&s.queue, simEvent{s.now + d, do, s.n})
 }
 
-func (s *sim) upTo(d time.Duration) time.Duration { return time.Duration(s.rnd.Int64N(int64(d))) }
+func (s *sim) randomUpTo(d time.Duration) time.Duration { return time.Duration(s.rnd.Int64N(int64(d))) }
 
 func (s *sim) chance(percent int) bool { return s.rnd.IntN(100) < percent }
 
@@ -99,40 +99,40 @@
 
 func (p *simProc) clock() clock.Time { return clock.Time(float64(p.s.now)*p.rate) + 1 }
 
-// awake runs do now, or when the process's pause is over.
-func (p *simProc) awake(do func()) {
-	if d := p.paused - p.s.now; d > 0 {
-		p.s.after(d, func() { p.awake(do) })
+// whenAwake runs do now, or when the process's pause is over.
+func (p *simProc) whenAwake(do func()) {
+	if d := p.pausedUntil - p.s.now; d > 0 {
+		p.s.after(d, func() { p.whenAwake(do) })
 		return
 	}
 	do()
 }
 
 func (p *simProc) every(d time.Duration, do func()) {
-	p.s.after(p.s.upTo(d), func() {
-		p.awake(func() {
+	p.s.after(p.s.randomUpTo(d), func() {
+		p.whenAwake(func() {
 			do()
 			p.every(d, do)
 		})
 	})
 }
 
-func (p *simProc) read() {
-	if p.s.now < p.cut || p.s.chance(10) {
+func (p *simProc) readLog() {
+	if p.s.now < p.cutUntil || p.s.chance(10) {
 		return
 	}
-	for ; p.next < len(p.s.log); p.next++ {
-		it := p.s.log[p.next]
+	for ; p.nextItem < len(p.s.log); p.nextItem++ {
+		it := p.s.log[p.nextItem]
 		p.fold.Apply(it)
-		p.tr.Observe(p.clock(), &it)
+		p.tracker.Observe(p.clock(), &it)
 	}
 }
 
-// beat appends a renewal, with a claim if the scope seems free.
-func (p *simProc) beat() {
+// appendRenewal appends a renewal, with a claim if the scope appears to be free.
+func (p *simProc) appendRenewal() {
 	var entries []*wire.Entry
 	h, _ := p.fold.Get(scope)
-	if h.Writer != p.id && p.tr.Claimable(p.clock(), h, p.s.ignores) {
+	if h.Writer != p.id && p.tracker.Claimable(p.clock(), h, p.s.ignoresFence) {
 		entries = append(entries, &wire.Entry{Kind: &wire.Entry_Claim{Claim: &wire.Claim{Scopes: []*wire.ScopeClaim{
 			{Scope: scope, SeenToken: h.Token, SeenRenewal: h.Renewal},
 		}}}})
@@ -140,53 +140,53 @@
 	entries = append(entries, &wire.Entry{Kind: &wire.Entry_Heartbeat{Heartbeat: &wire.Heartbeat{}}})
 	p.seq++
 	seq, at := p.seq, p.clock()
-	latency := p.s.upTo(300 * time.Millisecond)
+	latency := p.s.randomUpTo(300 * time.Millisecond)
 	if p.s.chance(10) {
-		latency = p.s.upTo(30 * time.Second)
+		latency = p.s.randomUpTo(30 * time.Second)
 	}
-	if p.s.now >= p.cut && !p.s.chance(10) {
+	if p.s.now >= p.cutUntil && !p.s.chance(10) {
 		p.s.after(latency, func() { p.s.appendItems(p, seq, entries) })
 	}
 	if p.s.chance(5) {
-		p.s.after(latency+p.s.upTo(time.Second), func() { p.s.appendItems(p, seq, entries) })
+		p.s.after(latency+p.s.randomUpTo(time.Second), func() { p.s.appendItems(p, seq, entries) })
 	}
-	p.s.after(p.s.upTo(2*latency+1), func() { p.awake(func() { p.tr.RecordSent(seq, at) }) })
+	p.s.after(p.s.randomUpTo(2*latency+1), func() { p.whenAwake(func() { p.tracker.RecordSent(seq, at) }) })
 }
 
-// order decides, may be frozen, asks the permit and lets the order fly.
-func (p *simProc) order() {
+// sendOrder decides on an order, may be frozen, checks the permit and sends the order.
+func (p *simProc) sendOrder() {
 	h, _ := p.fold.Get(scope)
-	until := p.tr.LeaseEnd(h)
+	until := p.tracker.LeaseEnd(h)
 	if p.clock() >= until {
 		return
 	}
-	p.s.after(p.s.upTo(100*time.Millisecond), func() {
-		p.awake(func() {
+	p.s.after(p.s.randomUpTo(100*time.Millisecond), func() {
+		p.whenAwake(func() {
 			if p.opt.Permit(p.clock(), until) != nil {
 				return
 			}
-			p.s.after(p.s.upTo(p.opt.MaxFlight), func() { p.arrive(h) })
+			p.s.after(p.s.randomUpTo(p.opt.MaxFlight), func() { p.arrive(h) })
 		})
 	})
 }
 
-// arrive is at an engine that ignores tokens: whoever holds the scope by then
-// must still be the sender.
+// arrive checks an order at an engine that ignores tokens: the sender must still hold the scope at
+// that moment.
 func (p *simProc) arrive(h fold.Holding) {
 	p.s.orders++
 	if cur, _ := p.s.truth.Get(scope); cur.Token != h.Token {
-		p.s.broken = append(p.s.broken, fmt.Sprintf("%s ordered under token %d after %s had won %d", p.id, h.Token, cur.Writer, cur.Token))
+		p.s.violations = append(p.s.violations, fmt.Sprintf("%s sent an order under token %d after %s had claimed with %d", p.id, h.Token, cur.Writer, cur.Token))
 	}
 }
 
 func runSim(seed uint64, opt Options, drift float64) *sim {
-	s := &sim{rnd: rand.New(rand.NewPCG(seed, 1)), truth: fold.NewAuthority(1), ignores: true, drift: drift}
+	s := &sim{rnd: rand.New(rand.NewPCG(seed, 1)), truth: fold.NewAuthority(1), ignoresFence: true, drift: drift}
 	for i := range simProcs {
 		p := &simProc{s: s, id: fmt.Sprint("p", i), rate: 1 + drift*float64(i-1), opt: opt, fold: fold.NewAuthority(1)}
-		p.tr = NewTracker(opt, p.id, p.clock())
-		p.every(200*time.Millisecond, p.read)
-		p.every(renew, p.beat)
-		p.every(500*time.Millisecond, p.order)
+		p.tracker = NewTracker(opt, p.id, p.clock())
+		p.every(200*time.Millisecond, p.readLog)
+		p.every(renewInterval, p.appendRenewal)
+		p.every(500*time.Millisecond, p.sendOrder)
 		s.freeze(p)
 	}
 	for s.now < simLength {
@@ -197,15 +197,14 @@
 	return s
 }
 
-// freeze pauses a process now and then, or cuts it from the log, for up to
-// three leases.
+// freeze repeatedly pauses a process, or cuts it off from the log, for up to three leases.
 func (s *sim) freeze(p *simProc) {
-	s.after(s.upTo(20*time.Second), func() {
-		until := s.now + s.upTo(18*time.Second)
+	s.after(s.randomUpTo(20*time.Second), func() {
+		until := s.now + s.randomUpTo(18*time.Second)
 		if s.chance(50) {
-			p.cut = until
+			p.cutUntil = until
 		} else {
-			p.paused = until
+			p.pausedUntil = until
 		}
 		s.freeze(p)
 	})
@@ -213,47 +212,47 @@
 
 const seeds = 100
 
-func violations(opt Options, drift float64) (broken, orders int) {
+func countViolations(opt Options, drift float64) (failedSeeds, orders int) {
 	for seed := range uint64(seeds) {
 		s := runSim(seed, opt, drift)
-		if len(s.broken) > 0 {
-			broken++
+		if len(s.violations) > 0 {
+			failedSeeds++
 		}
 		orders += s.orders
 	}
-	return broken, orders
+	return failedSeeds, orders
 }
 
-// Story: holders are frozen, cut off from the log and slow, answers are lost
-// and renewals appear late. An engine that ignores tokens must never get an
-// order from a process whose authority another has taken over.
+// Guards against an engine that ignores fencing tokens getting an order from a process whose
+// authority another has taken over. Holders are frozen, slow and cut off from the log, answers are
+// lost and renewals appear late.
 func TestNoOrderAfterAuthorityIsLost(t *testing.T) {
-	broken, orders := violations(simOptions(), 0.02)
-	assert.Equal(t, broken, 0)
+	failedSeeds, orders := countViolations(simOptions(), 0.02)
+	assert.Equal(t, failedSeeds, 0)
 	assert.Assert(t, orders > 10*seeds, "only %d orders", orders)
 	t.Logf("%d orders over %d seeds", orders, seeds)
 }
 
-// Each guard off in turn: the model then finds the failure that it is for.
+// With each guard disabled alone, the simulation must find the failure that the guard prevents.
 func TestGuardsAreNeeded(t *testing.T) {
 	cases := map[string]struct {
 		change func(*Options)
 		drift  float64
 	}{
-		"lease counted from the reading": {func(o *Options) { o.off.fromRead = true }, 0.02},
-		"no permit at the last byte":     {func(o *Options) { o.off.permit = true }, 0.02},
-		"no wait for orders in flight":   {func(o *Options) { o.off.flight = true }, 0.02},
-		"no margin for clock rate":       {func(o *Options) { o.Margin = 0 }, 0.25},
+		"lease counted from the read":  {func(o *Options) { o.disabled.leaseFromSend = true }, 0.02},
+		"no permit at the last byte":   {func(o *Options) { o.disabled.permitCheck = true }, 0.02},
+		"no wait for orders in flight": {func(o *Options) { o.disabled.flightWait = true }, 0.02},
+		"no margin for clock rate":     {func(o *Options) { o.Margin = 0 }, 0.25},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			opt := simOptions()
 			c.change(&opt)
-			broken, _ := violations(opt, c.drift)
-			assert.Assert(t, broken > 0, "the model finds nothing with the guard off")
-			t.Logf("%d of %d seeds fail", broken, seeds)
+			failedSeeds, _ := countViolations(opt, c.drift)
+			assert.Assert(t, failedSeeds > 0, "the simulation finds no failure with the guard disabled")
+			t.Logf("%d of %d seeds fail", failedSeeds, seeds)
 		})
 	}
-	broken, _ := violations(simOptions(), 0.05)
-	assert.Equal(t, broken, 0, "with all guards on, drift 5%% to both sides")
+	failedSeeds, _ := countViolations(simOptions(), 0.05)
+	assert.Equal(t, failedSeeds, 0, "with all guards enabled, clock drift 5%% in both directions")
 }
