--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -1,5 +1,5 @@
-// Package orders carries out changes of engines' stages. It runs in every
-// process; the one that holds the authority acts.
+// Package orders sends orders that change the stages of engines. It runs in every process; only the
+// one that has the authority acts.
 package orders
 
 import (
@@ -18,76 +18,76 @@
 )
 
 const (
-	// period is the time between two looks, and ordersAtOnce how many engines are
-	// ordered at a look at most.
-	period       = 500 * time.Millisecond
-	ordersAtOnce = 4
-	// callTimeout bounds each call to an engine. An order must have left
-	// within the time that authority counts it as under way.
+	// planInterval is the interval between passes, and maxOrdersPerPass the maximum number of
+	// engines that one pass sends an order.
+	planInterval     = 500 * time.Millisecond
+	maxOrdersPerPass = 4
+	// callTimeout bounds each call to an engine. An order must have been sent within the time for
+	// which package authority counts it as in flight.
 	callTimeout = 800 * time.Millisecond
 )
 
-// Engine takes orders.
+// Engine requests the reports of engines and sends them orders.
 type Engine interface {
-	// Report returns the engine's own word on its state.
+	// Report returns the state that the engine itself reports.
 	Report(ctx context.Context, e *catalog.Endpoint) (Report, error)
-	// Order asks the engine to change. The engine carries it out only if the
+	// Order sends the engine an order to change its stage. The engine carries it out only if the
 	// number of orders that it has accepted is still r.Accepted.
 	Order(ctx context.Context, e *catalog.Endpoint, to catalog.Stage, r Report, fence int64) error
 }
 
-// Report is what an engine says of itself.
+// Report is the state that an engine reports.
 type Report struct {
 	Stage    catalog.Stage
 	Busy     bool  // an order is being carried out
 	Accepted int64 // orders accepted since its start
-	Leaving  bool  // it takes no new work
+	Leaving  bool  // accepts no new work
 }
 
-// ErrRefused means that the engine didn't take the order.
+// ErrRefused means that the engine didn't accept the order.
 var ErrRefused = errors.New("order refused")
 
-// Unit is the kernel unit.
+// Unit plans and sends orders. It is a kernel unit.
 type Unit struct {
 	Catalog   *catalog.Store
 	Authority *authority.Authority
 	Engine    Engine
 	Clock     clock.Clock
-	// Load tells how many requests are at an engine, as far as known.
+	// Load returns the recorded number of requests at an engine.
 	Load func(id string) int
-	// Demand tells what the traffic needs.
+	// Demand returns the engines and streams that the current traffic needs.
 	Demand func() stages.Demand
-	// OnOrder is told of each engine that was ordered to change.
+	// OnOrder is called for each engine that accepted an order.
 	OnOrder func(id string)
-	// OnEndpointLeaving is told of each engine whose report says that it leaves.
+	// OnEndpointLeaving is called for each engine whose report says that it is leaving.
 	OnEndpointLeaving func(e *catalog.Endpoint)
 
 	planners map[string]*stages.Planner
 
-	mu    sync.Mutex
-	heard map[string]clock.Time // engines that another VM has ordered to change
+	mu         sync.Mutex
+	peerOrders map[string]clock.Time // when other VMs ordered these engines to change, by endpoint ID
 }
 
-// RecordPeerOrder notes that another VM has ordered an engine to change.
+// RecordPeerOrder records that another VM has ordered an engine to change.
 func (u *Unit) RecordPeerOrder(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.heard == nil {
-		u.heard = map[string]clock.Time{}
+	if u.peerOrders == nil {
+		u.peerOrders = map[string]clock.Time{}
 	}
-	u.heard[id] = u.Clock.Now()
+	u.peerOrders[id] = u.Clock.Now()
 }
 
-// takeHeard hands what was heard to the planner of a service's engines.
-func (u *Unit) takeHeard(p *stages.Planner, open []*catalog.Endpoint) {
+// applyPeerOrders passes the recorded orders of other VMs to the planner of a service's engines.
+func (u *Unit) applyPeerOrders(p *stages.Planner, open []*catalog.Endpoint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, e := range open {
-		at, ok := u.heard[e.ID]
+		at, ok := u.peerOrders[e.ID]
 		if !ok {
 			continue
 		}
-		delete(u.heard, e.ID)
+		delete(u.peerOrders, e.ID)
 		p.RecordOrder(at, stages.Change{ID: e.ID, To: otherStage(e.Stage)})
 	}
 }
@@ -105,24 +105,24 @@
 // Run implements kernel.Runner.
 func (u *Unit) Run(ctx context.Context) error {
 	u.planners = map[string]*stages.Planner{}
-	return clock.Every(ctx, period, func() { u.look(ctx) })
+	return clock.Every(ctx, planInterval, func() { u.runPass(ctx) })
 }
 
-// look plans also where another VM gives the orders: how long a split has been off
-// is known then by whichever VM has to act next.
-func (u *Unit) look(ctx context.Context) {
+// runPass plans also on VMs that may not send orders, so that whichever VM has to act next has
+// already tracked for how long a split has been off target.
+func (u *Unit) runPass(ctx context.Context) {
 	v := u.Catalog.View()
 	if v.Config == nil {
 		return
 	}
 	for name, s := range v.Config.Services {
 		if s.Engine != nil {
-			u.lookAt(ctx, name, s.Engine.Slots, v.Open(name))
+			u.planService(ctx, name, s.Engine.Slots, v.Open(name))
 		}
 	}
 }
 
-func (u *Unit) lookAt(ctx context.Context, service string, slots int, open []*catalog.Endpoint) {
+func (u *Unit) planService(ctx context.Context, service string, slots int, open []*catalog.Endpoint) {
 	p := u.planners[service]
 	if p == nil {
 		p = stages.NewPlanner()
@@ -134,10 +134,10 @@
 	}
 	d := u.Demand()
 	d.SlotsPerEngine = slots
-	u.takeHeard(p, open)
-	for range ordersAtOnce {
+	u.applyPeerOrders(p, open)
+	for range maxOrdersPerPass {
 		c, wanted := p.Plan(u.Clock.Now(), slices.Clone(engines), d)
-		if _, may := u.Authority.MayAct(u.Clock.Now()); !wanted || !may {
+		if _, mayAct := u.Authority.MayAct(u.Clock.Now()); !wanted || !mayAct {
 			return
 		}
 		for _, e := range open {
@@ -148,9 +148,9 @@
 	}
 }
 
-// order asks for the engine's state first: an engine that is busy, or has
-// changed already, is left alone, and the number of its orders guards against
-// an order that is carried out late, after others.
+// order first requests the engine's state. An engine that is busy, or has changed already, gets no
+// order; the number of accepted orders guards against an order that is carried out late, after
+// others.
 func (u *Unit) order(ctx context.Context, p *stages.Planner, e *catalog.Endpoint, c stages.Change) {
 	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
@@ -160,8 +160,8 @@
 		u.OnEndpointLeaving(e)
 	}
 	if err != nil || r.Busy || r.Leaving || r.Stage == c.To {
-		p.RecordOrder(u.Clock.Now(), c) // left alone for a while
-		entry.WithError(err).WithField("busy", r.Busy).WithField("leaving", r.Leaving).WithField("stage", r.Stage).Info("engine not ordered")
+		p.RecordOrder(u.Clock.Now(), c) // no order to this engine for a while
+		entry.WithError(err).WithField("busy", r.Busy).WithField("leaving", r.Leaving).WithField("stage", r.Stage).Info("engine order skipped")
 		return
 	}
 	fence, ok := u.Authority.MayAct(u.Clock.Now())
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -16,45 +16,45 @@
 	"fescuestand/internal/policy/stages"
 )
 
-// fake is a set of engines that note their orders.
-type fake struct {
-	mu     sync.Mutex
-	busy   bool
-	leaves bool
-	lost   bool
-	orders []string
+// fakeEngines is a set of engines that record their orders.
+type fakeEngines struct {
+	mu       sync.Mutex
+	busy     bool
+	leaving  bool
+	timesOut bool
+	orders   []string
 }
 
-func (f *fake) Report(context.Context, *catalog.Endpoint) (Report, error) {
+func (f *fakeEngines) Report(context.Context, *catalog.Endpoint) (Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return Report{Stage: catalog.Decode, Busy: f.busy, Leaving: f.leaves, Accepted: 2}, nil
+	return Report{Stage: catalog.Decode, Busy: f.busy, Leaving: f.leaving, Accepted: 2}, nil
 }
 
-func (f *fake) Order(_ context.Context, e *catalog.Endpoint, to catalog.Stage, r Report, fence int64) error {
+func (f *fakeEngines) Order(_ context.Context, e *catalog.Endpoint, to catalog.Stage, r Report, fence int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.orders = append(f.orders, fmt.Sprintf("%s %s accepted=%d fence=%d", e.ID, to, r.Accepted, fence))
-	if f.lost {
+	if f.timesOut {
 		return context.DeadlineExceeded
 	}
 	return nil
 }
 
-func (f *fake) given() []string {
+func (f *fakeEngines) sentOrders() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.orders...)
 }
 
-// run starts a unit before four decode engines.
-func run(t *testing.T, f *fake, may bool) (ordered *[]string) {
+// runUnit starts a unit with four decode engines.
+func runUnit(t *testing.T, f *fakeEngines, mayAct bool) (ordered *[]string) {
 	t.Helper()
-	_, ordered = start(t, f, may)
+	_, ordered = startUnit(t, f, mayAct)
 	return ordered
 }
 
-func start(t *testing.T, f *fake, may bool) (u *Unit, ordered *[]string) {
+func startUnit(t *testing.T, f *fakeEngines, mayAct bool) (u *Unit, ordered *[]string) {
 	t.Helper()
 	store := catalog.NewStore(clock.Boot{})
 	store.SetConfig(catalog.NewConfig(1, nil, []*catalog.Service{{Name: "m", Engine: &catalog.Engine{Slots: 96}}, {Name: "plain"}}))
@@ -63,14 +63,14 @@
 	}
 	a := authority.New(0, true, 0)
 	now := clock.Boot{}.Now()
-	if may {
+	if mayAct {
 		a.RecordRenewal(now.Add(-4*time.Second), true, 5)
 		a.RecordRenewal(now.Add(-2*time.Second), true, 5)
 		a.RecordRenewal(now, true, 5)
 		for _, want := range []authority.Step{authority.ReadRecord, authority.WriteRecord} {
-			step, holding := a.NextStep(now)
+			step, term := a.NextStep(now)
 			assert.Equal(t, step, want)
-			a.RecordStepResult(holding, step == authority.WriteRecord, true)
+			a.RecordStepResult(term, step == authority.WriteRecord, true)
 		}
 	}
 	ordered = &[]string{}
@@ -85,42 +85,43 @@
 	go func() {
 		for ctx.Err() == nil {
 			time.Sleep(100 * time.Millisecond)
-			a.RecordRenewal(clock.Boot{}.Now(), may, 5)
+			a.RecordRenewal(clock.Boot{}.Now(), mayAct, 5)
 		}
 	}()
 	t.Cleanup(func() { cancel(); <-done })
 	return u, ordered
 }
 
-// Guards against an order for an engine that leaves, and against a VM that keeps its word to itself.
-func TestAnEngineWhoseReportSaysThatItLeavesIsNotOrdered(t *testing.T) {
-	f := &fake{leaves: true}
-	u, _ := start(t, f, true)
+// Guards against an order to an engine that is leaving, and against a VM that doesn't pass on that
+// the engine is leaving.
+func TestLeavingEngineGetsNoOrder(t *testing.T) {
+	f := &fakeEngines{leaving: true}
+	u, _ := startUnit(t, f, true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if u.Catalog.View().Working() < 4 {
 			return poll.Success()
 		}
-		return poll.Continue("no engine is known to leave")
+		return poll.Continue("no engine has reported that it is leaving")
 	}, poll.WithTimeout(10*time.Second))
-	assert.Equal(t, len(f.given()), 0)
+	assert.Equal(t, len(f.sentOrders()), 0)
 }
 
-func TestTheHolderSplitsTheFleet(t *testing.T) {
-	f := &fake{}
-	run(t, f, true)
+func TestLeaderSplitsFleetIntoStages(t *testing.T) {
+	f := &fakeEngines{}
+	runUnit(t, f, true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if len(f.given()) == 2 {
+		if len(f.sentOrders()) == 2 {
 			return poll.Success()
 		}
-		return poll.Continue("%v", f.given())
+		return poll.Continue("%v", f.sentOrders())
 	}, poll.WithTimeout(10*time.Second))
-	assert.DeepEqual(t, f.given(), []string{"e0 prefill accepted=2 fence=5", "e1 prefill accepted=2 fence=5"})
+	assert.DeepEqual(t, f.sentOrders(), []string{"e0 prefill accepted=2 fence=5", "e1 prefill accepted=2 fence=5"})
 }
 
-// Guards against a fleet that comes up with too few engines of a stage and is turned one
-// engine at a look: the first traffic would find it half done.
-func TestSeveralEnginesAreOrderedAtALook(t *testing.T) {
-	f := &fake{}
+// Guards against a fleet that starts with too few engines of a stage and is reassigned one engine
+// per pass: the first traffic would find it half done.
+func TestOnePassOrdersSeveralEngines(t *testing.T) {
+	f := &fakeEngines{}
 	c := &clock.Manual{T: clock.Time(time.Hour)}
 	store := catalog.NewStore(c)
 	store.SetConfig(catalog.NewConfig(1, nil, []*catalog.Service{{Name: "m", Engine: &catalog.Engine{Slots: 12}}}))
@@ -132,51 +133,52 @@
 		Catalog: store, Authority: a, Engine: f, Clock: c, Load: func(string) int { return 0 },
 		Demand: func() stages.Demand { return stages.Demand{} }, OnOrder: func(string) {}, planners: map[string]*stages.Planner{},
 	}
-	look := func() {
+	runPass := func() {
 		a.RecordRenewal(c.T, true, 5)
-		if step, holding := a.NextStep(c.T); step != authority.NoStep {
-			a.RecordStepResult(holding, step == authority.WriteRecord, true)
+		if step, term := a.NextStep(c.T); step != authority.NoStep {
+			a.RecordStepResult(term, step == authority.WriteRecord, true)
 		}
-		u.look(t.Context())
-		c.T = c.T.Add(period)
+		u.runPass(t.Context())
+		c.T = c.T.Add(planInterval)
 	}
-	for len(f.given()) == 0 {
-		look()
+	for len(f.sentOrders()) == 0 {
+		runPass()
 	}
-	assert.Equal(t, len(f.given()), ordersAtOnce)
-	look()
-	assert.Equal(t, len(f.given()), 2*ordersAtOnce)
+	assert.Equal(t, len(f.sentOrders()), maxOrdersPerPass)
+	runPass()
+	assert.Equal(t, len(f.sentOrders()), 2*maxOrdersPerPass)
 	for range 6 {
-		look()
+		runPass()
 	}
-	assert.Equal(t, len(f.given()), 20, "half of them")
+	assert.Equal(t, len(f.sentOrders()), 20, "half of them")
 }
 
-// Every process runs the unit. One that doesn't hold the authority must not give
-// an order, whatever it believes of the fleet.
-func TestWithoutAuthorityNothingIsOrdered(t *testing.T) {
-	f := &fake{}
-	run(t, f, false)
-	time.Sleep(4 * period)
-	assert.Equal(t, len(f.given()), 0)
+// Guards against an order from a VM without authority. Every process runs the unit, and also plans
+// when it may not act.
+func TestNoOrdersWithoutAuthority(t *testing.T) {
+	f := &fakeEngines{}
+	runUnit(t, f, false)
+	time.Sleep(4 * planInterval)
+	assert.Equal(t, len(f.sentOrders()), 0)
 }
 
-// Another VM has just ordered two of four engines to prefill and hands the duty on.
-// Their entries don't show it yet: the next holder would order the other two.
-func TestWhatAnotherVMHasOrderedIsNotOrderedAgain(t *testing.T) {
-	f := &fake{}
-	u, _ := start(t, f, true)
+// Guards against ordering too many engines after leadership moves. Another VM has just ordered two
+// of four engines to prefill; their entries don't show it yet, so that the next leader would order
+// the other two.
+func TestPeerOrdersAreNotRepeated(t *testing.T) {
+	f := &fakeEngines{}
+	u, _ := startUnit(t, f, true)
 	u.RecordPeerOrder("e0")
 	u.RecordPeerOrder("e1")
 	time.Sleep(4 * time.Second)
-	assert.Equal(t, len(f.given()), 0)
+	assert.Equal(t, len(f.sentOrders()), 0)
 }
 
-// An engine still carries out an order of the holder before. A second order would
-// be carried out after it.
-func TestABusyEngineIsNotOrdered(t *testing.T) {
-	f := &fake{busy: true}
-	run(t, f, true)
+// Guards against a second order to an engine that still carries out one of the previous leader: it
+// would be carried out after the first.
+func TestBusyEngineGetsNoOrder(t *testing.T) {
+	f := &fakeEngines{busy: true}
+	runUnit(t, f, true)
 	time.Sleep(3 * time.Second)
-	assert.Equal(t, len(f.given()), 0)
+	assert.Equal(t, len(f.sentOrders()), 0)
 }
