--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -1,5 +1,5 @@
-// Package scaling orders endpoints of services that are rented by the second. It runs in
-// every process; the one that holds the duty acts.
+// Package scaling orders endpoints for services whose endpoints are rented by the second. It runs
+// in every process; only the leader acts.
 package scaling
 
 import (
@@ -18,20 +18,20 @@
 )
 
 const (
-	// period is the time between two looks.
-	period = 500 * time.Millisecond
-	// callTimeout bounds a call; an order must have left within the time that the
-	// authority counts a call as under way.
+	// planInterval is the interval between passes.
+	planInterval = 500 * time.Millisecond
+	// callTimeout bounds a call to the provider. An order must have been sent within the time for
+	// which package authority counts it as in flight.
 	callTimeout = 800 * time.Millisecond
-	// againAfter is how much longer than an endpoint takes to come an order is given
-	// before it is repeated.
-	againAfter = 4 * time.Second
+	// retryMargin is added to the boot time of an endpoint to give the time after which an order
+	// without effect is retried.
+	retryMargin = 4 * time.Second
 )
 
-// ErrNoneAvailable means that a zone has no endpoints of the kind to give now.
+// ErrNoneAvailable means that a zone currently has no endpoints of the requested kind.
 var ErrNoneAvailable = errors.New("none available")
 
-// Order asks for a number of endpoints of one kind in one zone.
+// Order requests a number of endpoints of one kind in one zone.
 type Order struct {
 	Service string
 	Zone    string
@@ -39,42 +39,42 @@
 	Spot    bool
 }
 
-// subject is what an order replaces the count of.
-type subject struct {
+// orderKey identifies the orders that replace each other's count.
+type orderKey struct {
 	service, zone string
 	spot          bool
 }
 
-// Provider rents endpoints out.
+// Provider rents out endpoints.
 type Provider interface {
-	// Scale orders endpoints. The count replaces that of earlier orders of the same
-	// kind, service and zone. It fails with ErrNoneAvailable if there are none.
+	// Scale orders endpoints. The count replaces that of earlier orders of the same kind, service
+	// and zone. It fails with ErrNoneAvailable if there are none.
 	Scale(ctx context.Context, o Order, fence int64) error
 }
 
-// Unit is the kernel unit.
+// Unit plans and sends orders for endpoints. It is a kernel unit.
 type Unit struct {
 	Catalog  *catalog.Store
 	Provider Provider
 	Clock    clock.Clock
-	// RequiredEndpoints is how many endpoints of a service the load keeps well busy, zero if it
-	// isn't known.
+	// RequiredEndpoints returns the number of endpoints of a service that the load keeps well
+	// utilized, zero if unknown.
 	RequiredEndpoints func(service string) float64
 	// MayAct returns the fencing token to act with, and whether this process may act.
 	MayAct func() (fence int64, ok bool)
 
-	services map[string]*service
-	given    map[subject]given
+	services map[string]*serviceState
+	answered map[orderKey]answeredOrder
 }
 
-// service is what is remembered of a service.
-type service struct {
+// serviceState is the recorded state of one service.
+type serviceState struct {
 	planner *autoscale.Planner
-	zones   []string // in which it has had endpoints
+	zones   []string // where it has had endpoints
 }
 
-// given is the last order that was answered.
-type given struct {
+// answeredOrder is the last order that the provider accepted.
+type answeredOrder struct {
 	count int
 	at    clock.Time
 }
@@ -84,59 +84,59 @@
 
 // Run implements kernel.Runner.
 func (u *Unit) Run(ctx context.Context) error {
-	u.forget()
-	return clock.Every(ctx, period, func() { u.look(ctx) })
+	u.resetOrders()
+	return clock.Every(ctx, planInterval, func() { u.runPass(ctx) })
 }
 
-// forget drops the orders of an earlier holding: another VM may have given others since.
-func (u *Unit) forget() { u.given = map[subject]given{} }
+// resetOrders discards the orders of an earlier term: another VM may have sent others since.
+func (u *Unit) resetOrders() { u.answered = map[orderKey]answeredOrder{} }
 
-// look plans also where another VM gives the orders, so that the need of the last while
-// is known then by whichever VM has to act next.
-func (u *Unit) look(ctx context.Context) {
+// runPass plans also on VMs that may not send orders, so that whichever VM has to act next has
+// already tracked the recent demand.
+func (u *Unit) runPass(ctx context.Context) {
 	v := u.Catalog.View()
 	if v.Config == nil {
 		return
 	}
-	_, may := u.MayAct()
-	if !may {
-		u.forget()
+	_, mayAct := u.MayAct()
+	if !mayAct {
+		u.resetOrders()
 	}
 	for _, s := range v.Config.Services {
 		if s.Scaling != nil {
-			u.lookAt(ctx, v, s, may)
+			u.planService(ctx, v, s, mayAct)
 		}
 	}
 }
 
-func (u *Unit) lookAt(ctx context.Context, v *catalog.View, s *catalog.Service, may bool) {
+func (u *Unit) planService(ctx context.Context, v *catalog.View, s *catalog.Service, mayAct bool) {
 	if u.services == nil {
-		u.services = map[string]*service{}
+		u.services = map[string]*serviceState{}
 	}
-	known := u.services[s.Name]
-	if known == nil {
-		known = &service{planner: autoscale.NewPlanner()}
-		u.services[s.Name] = known
+	state := u.services[s.Name]
+	if state == nil {
+		state = &serviceState{planner: autoscale.NewPlanner()}
+		u.services[s.Name] = state
 	}
-	pools := known.pools(v, s)
+	pools := state.pools(v, s)
 	if len(pools) == 0 {
 		return
 	}
 	l := autoscale.Limits{Min: s.Scaling.Min, Max: s.Scaling.Max, SpotPrice: s.Scaling.SpotPrice}
-	need := u.RequiredEndpoints(s.Name)
-	for _, t := range known.planner.Plan(u.Clock.Now(), pools, l, need) {
-		if !may {
+	required := u.RequiredEndpoints(s.Name)
+	for _, t := range state.planner.Plan(u.Clock.Now(), pools, l, required) {
+		if !mayAct {
 			continue
 		}
 		i := slices.IndexFunc(pools, func(p autoscale.ZonePool) bool { return p.Zone == t.Zone })
-		u.order(ctx, s, Order{s.Name, t.Zone, t.Spot, true}, pools[i].Spot, need)
-		u.order(ctx, s, Order{s.Name, t.Zone, t.Regular, false}, pools[i].Regular, need)
+		u.order(ctx, s, Order{s.Name, t.Zone, t.Spot, true}, pools[i].Spot, required)
+		u.order(ctx, s, Order{s.Name, t.Zone, t.Regular, false}, pools[i].Regular, required)
 	}
 }
 
-// pools returns the zones in which the service has had endpoints, with those that take
-// work now.
-func (k *service) pools(v *catalog.View, s *catalog.Service) []autoscale.ZonePool {
+// pools returns the zones in which the service has had endpoints, with the number of endpoints that
+// accept work now.
+func (k *serviceState) pools(v *catalog.View, s *catalog.Service) []autoscale.ZonePool {
 	for _, e := range v.All() {
 		if e.Service == s.Name && !slices.Contains(k.zones, e.Zone) {
 			k.zones = append(k.zones, e.Zone)
@@ -157,15 +157,15 @@
 	return pools
 }
 
-// order gives an order if the last one was another, or has had no effect.
-func (u *Unit) order(ctx context.Context, s *catalog.Service, o Order, standing int, need float64) {
+// order sends an order if it differs from the last one or if that had no effect.
+func (u *Unit) order(ctx context.Context, s *catalog.Service, o Order, serving int, required float64) {
 	now := u.Clock.Now()
-	sub := subject{o.Service, o.Zone, o.Spot}
-	last, known := u.given[sub]
+	key := orderKey{o.Service, o.Zone, o.Spot}
+	last, known := u.answered[key]
 	switch {
-	case !known && standing == o.Count:
+	case !known && serving == o.Count:
 		return
-	case known && last.count == o.Count && (standing >= o.Count || now.Sub(last.at) < s.Scaling.Boot+againAfter):
+	case known && last.count == o.Count && (serving >= o.Count || now.Sub(last.at) < s.Scaling.Boot+retryMargin):
 		return
 	}
 	fence, ok := u.MayAct()
@@ -176,15 +176,15 @@
 	defer cancel()
 	err := u.Provider.Scale(ctx, o, fence)
 	log.WithError(err).WithField("service", o.Service).WithField("zone", o.Zone).WithField("spot", o.Spot).
-		WithField("count", o.Count).WithField("standing", standing).WithField("need", math.Round(need)).WithField("fence", fence).Info("endpoints ordered")
+		WithField("count", o.Count).WithField("standing", serving).WithField("need", math.Round(required)).WithField("fence", fence).Info("endpoints ordered")
 	switch {
 	case err == nil:
-		u.given[sub] = given{o.Count, now}
-		if o.Spot && o.Count > standing {
+		u.answered[key] = answeredOrder{o.Count, now}
+		if o.Spot && o.Count > serving {
 			u.services[o.Service].planner.RecordSpotAvailable(o.Zone)
 		}
 	case errors.Is(err, ErrNoneAvailable):
 		u.services[o.Service].planner.RecordSpotUnavailable(now, o.Zone)
-		delete(u.given, sub)
+		delete(u.answered, key)
 	}
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -13,13 +13,13 @@
 	"fescuestand/internal/clock"
 )
 
-// provider keeps the orders that it is given, and fails the next ones as told.
-type provider struct {
+// fakeProvider records its orders and fails the next ones with the errors in fail.
+type fakeProvider struct {
 	orders []string
 	fail   []error
 }
 
-func (p *provider) Scale(_ context.Context, o Order, fence int64) error {
+func (p *fakeProvider) Scale(_ context.Context, o Order, fence int64) error {
 	kind := "regular"
 	if o.Spot {
 		kind = "spot"
@@ -33,8 +33,8 @@
 	return err
 }
 
-// take returns the orders since the last call.
-func (p *provider) take() []string {
+// takeOrders returns the orders since the last call.
+func (p *fakeProvider) takeOrders() []string {
 	out := p.orders
 	p.orders = nil
 	return out
@@ -44,21 +44,21 @@
 type fleet struct {
 	clock    *clock.Manual
 	store    *catalog.Store
-	provider *provider
+	provider *fakeProvider
 	unit     *Unit
-	need     float64
-	holds    bool
+	required float64
+	leading  bool
 	started  int
 }
 
 func newFleet(regular int) *fleet {
-	f := &fleet{clock: &clock.Manual{T: clock.Time(time.Hour)}, provider: &provider{}, holds: true}
+	f := &fleet{clock: &clock.Manual{T: clock.Time(time.Hour)}, provider: &fakeProvider{}, leading: true}
 	f.store = catalog.NewStore(f.clock)
 	f.unit = &Unit{
 		Catalog: f.store, Provider: f.provider, Clock: f.clock,
-		RequiredEndpoints: func(string) float64 { return f.need }, MayAct: func() (int64, bool) { return 7, f.holds },
+		RequiredEndpoints: func(string) float64 { return f.required }, MayAct: func() (int64, bool) { return 7, f.leading },
 	}
-	f.unit.forget()
+	f.unit.resetOrders()
 	f.store.SetConfig(catalog.NewConfig(1, nil, []*catalog.Service{
 		{Name: "m", Scaling: &catalog.Scaling{Min: 1, Max: 20, Boot: 4 * time.Second, SpotPrice: 0.2, ZonePrices: map[string]float64{"a": 1, "b": 2}}},
 		{Name: "n"},
@@ -75,57 +75,59 @@
 	}
 }
 
-func (f *fleet) look(t *testing.T, after time.Duration) []string {
+func (f *fleet) runPass(t *testing.T, after time.Duration) []string {
 	t.Helper()
 	f.clock.T = f.clock.T.Add(after)
-	f.unit.look(t.Context())
-	return f.provider.take()
+	f.unit.runPass(t.Context())
+	return f.provider.takeOrders()
 }
 
-func TestOrdersAreGivenOnceAndRepeatedWhenTheyHaveNoEffect(t *testing.T) {
+func TestOrdersAreSentOnceAndRetriedWithoutEffect(t *testing.T) {
 	f := newFleet(4)
-	assert.DeepEqual(t, f.look(t, 0), []string{"a spot 6 fence 7", "b spot 6 fence 7"})
-	assert.Equal(t, len(f.look(t, time.Second)), 0)
-	assert.DeepEqual(t, f.look(t, 4*time.Second+againAfter), []string{"a spot 6 fence 7", "b spot 6 fence 7"})
+	assert.DeepEqual(t, f.runPass(t, 0), []string{"a spot 6 fence 7", "b spot 6 fence 7"})
+	assert.Equal(t, len(f.runPass(t, time.Second)), 0)
+	assert.DeepEqual(t, f.runPass(t, 4*time.Second+retryMargin), []string{"a spot 6 fence 7", "b spot 6 fence 7"})
 	f.start("a", true, 6)
 	f.start("b", true, 6)
-	assert.DeepEqual(t, f.look(t, time.Second), []string{"a regular 3 fence 7", "b regular 1 fence 7"})
+	assert.DeepEqual(t, f.runPass(t, time.Second), []string{"a regular 3 fence 7", "b regular 1 fence 7"})
 }
 
-func TestACallWithoutAnswerIsRepeatedAtTheNextLook(t *testing.T) {
+func TestUnansweredOrderIsRetriedInNextPass(t *testing.T) {
 	f := newFleet(4)
 	f.provider.fail = []error{errors.New("cut")}
-	assert.DeepEqual(t, f.look(t, 0), []string{"a spot 6 fence 7", "b spot 6 fence 7"})
-	assert.DeepEqual(t, f.look(t, period), []string{"a spot 6 fence 7"})
+	assert.DeepEqual(t, f.runPass(t, 0), []string{"a spot 6 fence 7", "b spot 6 fence 7"})
+	assert.DeepEqual(t, f.runPass(t, planInterval), []string{"a spot 6 fence 7"})
 }
 
-// Guards against a zone without spot endpoints that is asked with each look, and whose share nobody makes up for.
-func TestAZoneThatHasNoneIsMadeUpForAndAskedLater(t *testing.T) {
+// Guards against a zone without spot endpoints that is asked in each pass, and whose share no other
+// zone makes up for.
+func TestUnavailableZoneIsCompensatedAndRetriedLater(t *testing.T) {
 	f := newFleet(4)
 	f.provider.fail = []error{ErrNoneAvailable}
-	assert.DeepEqual(t, f.look(t, 0), []string{"a spot 6 fence 7", "b spot 6 fence 7"})
-	assert.DeepEqual(t, f.look(t, period), []string{"b spot 12 fence 7"})
-	assert.Equal(t, len(f.look(t, period)), 0)
-	assert.DeepEqual(t, f.look(t, 2*time.Second), []string{"a spot 6 fence 7"})
+	assert.DeepEqual(t, f.runPass(t, 0), []string{"a spot 6 fence 7", "b spot 6 fence 7"})
+	assert.DeepEqual(t, f.runPass(t, planInterval), []string{"b spot 12 fence 7"})
+	assert.Equal(t, len(f.runPass(t, planInterval)), 0)
+	assert.DeepEqual(t, f.runPass(t, 2*time.Second), []string{"a spot 6 fence 7"})
 }
 
-// Guards against orders of a VM that doesn't hold the duty, and against old orders that a new holding goes by.
-func TestOnlyTheHolderOrders(t *testing.T) {
+// Guards against orders from a VM that isn't the leader, and against a new term that relies on
+// orders of an earlier one.
+func TestOnlyLeaderSendsOrders(t *testing.T) {
 	f := newFleet(4)
-	f.holds = false
-	assert.Equal(t, len(f.look(t, 0)), 0)
-	f.holds = true
-	assert.Equal(t, len(f.look(t, period)), 2)
-	f.holds = false
-	assert.Equal(t, len(f.look(t, period)), 0)
-	f.holds = true
-	assert.Equal(t, len(f.look(t, period)), 2)
+	f.leading = false
+	assert.Equal(t, len(f.runPass(t, 0)), 0)
+	f.leading = true
+	assert.Equal(t, len(f.runPass(t, planInterval)), 2)
+	f.leading = false
+	assert.Equal(t, len(f.runPass(t, planInterval)), 0)
+	f.leading = true
+	assert.Equal(t, len(f.runPass(t, planInterval)), 2)
 }
 
-func TestServicesThatAreNotRentedAreLeftAlone(t *testing.T) {
+func TestServicesWithoutScalingGetNoOrders(t *testing.T) {
 	f := newFleet(0)
 	for i := range 3 {
 		f.store.SetEndpoint(&catalog.Endpoint{ID: fmt.Sprint("n", i), Service: "n", Address: "x", Zone: "a"})
 	}
-	assert.Equal(t, len(f.look(t, 0)), 0)
+	assert.Equal(t, len(f.runPass(t, 0)), 0)
 }
