--- a/internal/capacity/control_test.go
+++ b/internal/capacity/control_test.go
@@ -20,7 +20,7 @@
 	beat := &wire.Entry{Kind: &wire.Entry_Heartbeat{Heartbeat: &wire.Heartbeat{}}}
 	for i := range nodes {
 		it := fold.Item{Offset: uint64(i) + 1, Writer: writerOf(i), VM: vmName(i), Seq: 1, Entry: beat}
-		t.Read(1, &it)
+		t.Observe(1, &it)
 	}
 	return t
 }
@@ -34,7 +34,7 @@
 			kept := retained(func() any { return trackerOf(nodes) })
 			t := trackerOf(nodes)
 			for b.Loop() {
-				t.Live(2, func(string) bool { return true })
+				t.LiveProcesses(2, func(string) bool { return true })
 			}
 			b.ReportMetric(kept/float64(nodes), "kept-B/node")
 		})
@@ -42,10 +42,10 @@
 }
 
 func memberTable(nodes int) *membership.Table {
-	t := membership.New(membership.Options{Suspect: time.Hour, Gone: 2 * time.Hour})
-	t.List(1, vmsOf(nodes))
+	t := membership.New(membership.Options{SuspectAfter: time.Hour, GoneAfter: 2 * time.Hour})
+	t.MergeListed(1, vmsOf(nodes))
 	for i := range nodes {
-		t.Heard(1, membership.Heartbeat{VM: vmName(i), Incarnation: writerOf(i), Ready: true, SheetVersion: 1})
+		t.ReceiveHeartbeat(1, membership.Heartbeat{VM: vmName(i), Incarnation: writerOf(i), Ready: true, SheetVersion: 1})
 	}
 	return t
 }
@@ -64,7 +64,7 @@
 			for b.Loop() {
 				now++
 				vm := int(now) % nodes
-				t.Heard(now, membership.Heartbeat{VM: vmName(vm), Incarnation: writerOf(vm), Ready: true})
+				t.ReceiveHeartbeat(now, membership.Heartbeat{VM: vmName(vm), Incarnation: writerOf(vm), Ready: true})
 				_ = t.Members(now)
 			}
 			b.ReportMetric(kept/float64(nodes), "kept-B/node")
--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -26,7 +26,7 @@
 	for i := range e.items {
 		it := &e.items[i]
 		s.authority.Apply(*it)
-		s.tracker.Read(e.readAt, it)
+		s.tracker.Observe(e.readAt, it)
 		established = established && !it.Gap
 		s.addAffectedScopes(affected, it)
 	}
@@ -97,7 +97,7 @@
 	s.renewal.liveVMs = s.liveVMs(now)
 	interval := s.opt.RenewInterval
 	if !s.authority.Holds(s.opt.Incarnation) {
-		interval = s.opt.Lease.IdleRenew(interval)
+		interval = s.opt.Lease.IdleRenewInterval(interval)
 	}
 	due := s.renewal.lastAppend == 0 || now.Sub(s.renewal.lastAppend) >= interval
 	claims, releases := s.scopesToClaim(now), s.scopesToRelease(now)
@@ -136,7 +136,7 @@
 		}
 	}
 	if e.seq > 0 {
-		s.tracker.Sent(e.seq, e.startedAt)
+		s.tracker.RecordSent(e.seq, e.startedAt)
 		for _, name := range s.authority.HeldBy(s.opt.Incarnation) {
 			s.updateLease(name)
 		}
@@ -161,7 +161,7 @@
 		return
 	}
 	h, _ := s.authority.Get(name)
-	until := s.tracker.Until(h)
+	until := s.tracker.LeaseEnd(h)
 	if h.Writer != s.opt.Incarnation || h.Released || !s.authority.Established() {
 		until, h.Token = 0, 0
 	}
@@ -181,7 +181,7 @@
 // that the release can't take effect any more.
 func (s *state) setLease(e *engine, token uint64, until clock.Time) {
 	if e.releasingToken != 0 && token == e.releasingToken {
-		if e.releaseSeq != nil && s.tracker.Overtaken(*e.releaseSeq) {
+		if e.releaseSeq != nil && s.tracker.Superseded(*e.releaseSeq) {
 			e.releasingToken = 0
 		} else {
 			token, until = 0, 0
--- a/internal/control/preference.go
+++ b/internal/control/preference.go
@@ -18,13 +18,13 @@
 		s.renewal.preferences[pool] = p
 	}
 	stable := now.Sub(p.since) >= minPreferenceAge
-	return best != "" && best != s.opt.VM && stable && s.tracker.Recent(now, best)
+	return best != "" && best != s.opt.VM && stable && s.tracker.VMSeenRecently(now, best)
 }
 
 // liveVMs returns the VMs whose control processes can take over engines.
 func (s *state) liveVMs(now clock.Time) []string {
 	var out []string
-	for vm := range s.tracker.Live(now, s.authority.Holds) {
+	for vm := range s.tracker.LiveProcesses(now, s.authority.Holds) {
 		out = append(out, vm)
 	}
 	return out
--- a/internal/gossip/active.go
+++ b/internal/gossip/active.go
@@ -64,11 +64,11 @@
 		s.active[v.Peer] = struct{}{}
 	}
 	for peer, e := range m.detector.Entries() {
-		if e.Duty && e.Alive(now) {
+		if e.Leader && e.Alive(now) {
 			s.active[peer] = struct{}{}
 		}
 	}
-	if own := m.detector.Own(); own.Duty {
+	if own := m.detector.Own(); own.Leader {
 		s.active[own.Peer] = struct{}{}
 	}
 	s.at, s.stale = now, false
@@ -157,10 +157,10 @@
 			l.expectedSince = now
 		}
 		e := m.detector.Entries()[peer]
-		since := now.Sub(max(l.receivedAt, l.expectedSince, e.LastHeard()))
+		since := now.Sub(max(l.receivedAt, l.expectedSince, e.LastReceived()))
 		switch {
 		case expected && since >= m.currentSilenceTimeout() && e.Alive(now):
-			m.detector.Accuse(now, peer)
+			m.detector.DeclareFailed(now, peer)
 			m.selected.stale = true
 		case !expected && now.Sub(l.receivedAt) > linkTTL:
 			delete(m.links, peer)
--- a/internal/gossip/collectors.go
+++ b/internal/gossip/collectors.go
@@ -17,7 +17,7 @@
 	for peer := range m.selectVMs(now).active {
 		if e := m.detector.Entries()[peer]; e != nil && e.Alive(now) && !e.Leaving {
 			alive = append(alive, e.Node)
-			leader[peer] = e.Duty
+			leader[peer] = e.Leader
 		}
 	}
 	slices.SortFunc(alive, func(a, b Node) int {
--- a/internal/gossip/informed.go
+++ b/internal/gossip/informed.go
@@ -13,7 +13,7 @@
 	now := m.clock.Now()
 	var list []Node
 	for _, e := range m.detector.Entries() {
-		if e.Informed && e.Alive(now) {
+		if e.TracksCaches && e.Alive(now) {
 			list = append(list, e.Node)
 		}
 	}
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -29,7 +29,7 @@
 const (
 	// silenceTimeout is the time since the last beat of a VM of the active set from which the VM is
 	// no longer advertised to callers: several beats in a row are missing.
-	silenceTimeout = swim.Silence
+	silenceTimeout = swim.SilenceTimeout
 	// countRetention is how long a VM that became unresponsive still counts as one that shares the
 	// rate limits and budgets of the deployment.
 	countRetention = 10 * time.Second
@@ -70,7 +70,7 @@
 		clock: c, own: own, started: now, links: map[string]*link{},
 		detector: swim.New(r, xxhash.Sum64String(own.Incarnation+own.Peer), now),
 	}
-	m.detector.Accused = func(peer string, unheard time.Duration) {
+	m.detector.OnDeclaredFailed = func(peer string, unheard time.Duration) {
 		log.WithField("vm", peer).WithField("unheard_ms", unheard.Milliseconds()).Info("VM is silent")
 	}
 	return m
@@ -80,7 +80,7 @@
 func (m *Members) updateOwn(update func(r *swim.Record)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.detector.Change(m.clock.Now(), update)
+	m.detector.UpdateOwn(m.clock.Now(), update)
 	m.selected.stale = true
 }
 
@@ -88,11 +88,11 @@
 func (m *Members) SetReady(ready bool) { m.updateOwn(func(r *swim.Record) { r.Ready = ready }) }
 
 // SetLeader announces whether this VM is the leader, which may order engines and endpoints.
-func (m *Members) SetLeader(leader bool) { m.updateOwn(func(r *swim.Record) { r.Duty = leader }) }
+func (m *Members) SetLeader(leader bool) { m.updateOwn(func(r *swim.Record) { r.Leader = leader }) }
 
 // SetTracksCaches announces whether this VM tracks what engines have cached.
 func (m *Members) SetTracksCaches(tracks bool) {
-	m.updateOwn(func(r *swim.Record) { r.Informed = tracks })
+	m.updateOwn(func(r *swim.Record) { r.TracksCaches = tracks })
 }
 
 // SetLeaving announces that this VM is shutting down.
@@ -123,7 +123,7 @@
 		return
 	}
 	if perSecond != announced {
-		m.detector.Change(now, func(r *swim.Record) { r.Requests = perSecond })
+		m.detector.UpdateOwn(now, func(r *swim.Record) { r.Requests = perSecond })
 		m.selected.stale = true
 	}
 }
@@ -145,13 +145,13 @@
 func (m *Members) Leaving() bool { return m.ownRecord().Leaving }
 
 // IsLeader reports whether this VM is the leader, which may order engines and endpoints.
-func (m *Members) IsLeader() bool { return m.ownRecord().Duty }
+func (m *Members) IsLeader() bool { return m.ownRecord().Leader }
 
 // MergeListed adds the group's members to the table.
 func (m *Members) MergeListed(nodes []Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.detector.List(m.clock.Now(), nodes)
+	m.detector.MergeListed(m.clock.Now(), nodes)
 	m.selected.stale = true
 	m.listed = m.listed || slices.ContainsFunc(nodes, func(n Node) bool { return n.Peer == m.own.Peer })
 }
@@ -180,7 +180,7 @@
 	}
 	now := m.clock.Now()
 	m.recordReceive(now, &report.Record)
-	m.detector.Heard(now, report.Record)
+	m.detector.ReceiveRecord(now, report.Record)
 	l := m.links[report.Peer]
 	if l == nil {
 		l = &link{expectedSince: now}
@@ -193,7 +193,7 @@
 }
 
 // receiveProbe handles a membership message and returns the answers.
-func (m *Members) receiveProbe(msg *swim.Message) []swim.Send {
+func (m *Members) receiveProbe(msg *swim.Message) []swim.Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
@@ -214,18 +214,18 @@
 
 // step runs one pass of the failure detector. It returns the messages to send and the time of the
 // next pass.
-func (m *Members) step() ([]swim.Send, clock.Time) {
+func (m *Members) step() ([]swim.Outgoing, clock.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := m.detector.Step(m.clock.Now())
-	return out, m.detector.Next()
+	return out, m.detector.NextStepAt()
 }
 
 // push schedules messages to a few VMs at once, to which the caller adds its pending updates.
 func (m *Members) push() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.detector.Push(m.clock.Now())
+	m.detector.PushUpdates(m.clock.Now())
 }
 
 // Count returns the number of VMs: this one and those that are assumed alive, or were within
@@ -239,7 +239,7 @@
 func (m *Members) count(now clock.Time) int {
 	n := 1
 	for _, e := range m.detector.Entries() {
-		if !e.Absent(now, countRetention) {
+		if !e.UnresponsiveFor(now, countRetention) {
 			n++
 		}
 	}
--- a/internal/gossip/probes.go
+++ b/internal/gossip/probes.go
@@ -35,7 +35,7 @@
 }
 
 // sendProbes sends membership messages, with the pending updates for all VMs.
-func (u *Unit) sendProbes(out []swim.Send) {
+func (u *Unit) sendProbes(out []swim.Outgoing) {
 	for i := range out {
 		b := encodeProbe(&out[i].Message)
 		_, b.NewestReadMs = u.members.readAges()
--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -32,12 +32,12 @@
 type listed struct{ vms []driver.VM }
 
 func (e listed) apply(s *state) {
-	s.table.List(s.now(), e.vms)
+	s.table.MergeListed(s.now(), e.vms)
 	rounds := max(1, (len(e.vms)+s.r.opt.Fanout-1)/s.r.opt.Fanout)
 	cover := time.Duration(rounds) * s.r.opt.Every
 	// A VM is suspect after two missed turns, if that is longer than set.
 	suspect := max(s.r.opt.Suspect, 2*cover)
-	s.table.SetSilence(suspect, max(s.r.opt.Gone, 2*suspect))
+	s.table.SetTimeouts(suspect, max(s.r.opt.Gone, 2*suspect))
 }
 
 // self is this process's own heartbeat.
@@ -45,7 +45,7 @@
 
 func (e self) apply(s *state) {
 	if s.r.opt.Process == processEntry {
-		s.table.Heard(s.now(), heartbeatOf(e.g))
+		s.table.ReceiveHeartbeat(s.now(), heartbeatOf(e.g))
 	}
 }
 
@@ -58,7 +58,7 @@
 func (e heard) apply(s *state) {
 	g := e.g
 	if g.Process == processEntry && g.Vm != "" {
-		s.table.Heard(s.now(), heartbeatOf(g))
+		s.table.ReceiveHeartbeat(s.now(), heartbeatOf(g))
 	}
 	switch {
 	case g.SheetVersion > s.best.Version:
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -24,7 +24,7 @@
 		})
 	}
 	if p := n.adapter.Provider(); p != nil {
-		units = append(units, &scaling.Unit{Catalog: n.catalog, Provider: p, Clock: n.clock, Need: n.need, May: n.may})
+		units = append(units, &scaling.Unit{Catalog: n.catalog, Provider: p, Clock: n.clock, RequiredEndpoints: n.need, MayAct: n.may})
 	}
 	return units
 }
@@ -32,7 +32,7 @@
 // process names this process among those that count requests.
 func (n *Node) process() string { return gateway.ProcessName(n.o.Self.Peer, n.o.Self.Incarnation) }
 
-func (n *Node) may() (fence int64, ok bool) { return n.duty.May(n.clock.Now()) }
+func (n *Node) may() (fence int64, ok bool) { return n.duty.MayAct(n.clock.Now()) }
 
 // need is how many endpoints of a service the load keeps well busy, zero if it isn't
 // known.
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -48,7 +48,7 @@
 	// DecodeEndpoint reads a record of Endpoints.
 	DecodeEndpoint(id string, data []byte) (*catalog.Endpoint, error)
 	// Duty keeps the VM that gave orders last.
-	Duty() authority.Record
+	Duty() authority.LeaderRecord
 	// Engine gives orders over connections of pool.
 	Engine(pool *exchange.Pool) orders.Engine
 	// Caches asks engines what they have cached, over connections of pool.
@@ -151,7 +151,7 @@
 	n.budget = repeat.New(o.Budget)
 	n.orders = &orders.Unit{
 		Catalog: n.catalog, Authority: n.duty, Engine: a.Engine(n.pool), Clock: c,
-		Load: n.planner.Running, Demand: n.demand, Ordered: n.ordered,
+		Load: n.planner.Running, Demand: n.demand, OnOrder: n.ordered,
 	}
 	if o.Keys != nil {
 		n.fresh = freshness.New(c, *o.Keys)
@@ -167,10 +167,10 @@
 	n.planner.Admits = n.pressure.Admits
 	n.pressure.Self = o.Self.Peer
 	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.RequestRate, n.members.AdvertisedCount
-	n.orders.Leaves = n.leaves
+	n.orders.OnEndpointLeaving = n.leaves
 	n.exchange = &gateway.GossipContent{
 		Clock: c, Planner: n.planner, Pressure: n.pressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.changes,
-		RequestRate: n.gateway.RequestRate, OnOrder: n.orders.Heard, OnPeerConfigVersion: n.puller.Heard, OnChange: n.news,
+		RequestRate: n.gateway.RequestRate, OnOrder: n.orders.RecordPeerOrder, OnPeerConfigVersion: n.puller.Heard, OnChange: n.news,
 	}
 	if o.Usage.Window > 0 {
 		n.exchange.Time, n.exchange.Usage = n.time, n.usage
@@ -295,7 +295,7 @@
 
 func (n *Node) renewed(sentAt clock.Time, h gossip.Assignment) {
 	n.members.SetLeader(h.Leader)
-	n.duty.Renewed(sentAt, h.Leader && !n.members.Leaving(), h.Generation)
+	n.duty.RecordRenewal(sentAt, h.Leader && !n.members.Leaving(), h.Generation)
 }
 
 // seedOf makes the planners of different processes break ties differently.
