--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -46,9 +46,9 @@
 	Shares      []Share
 }
 
-// Repeatable tells whether a request of the route may be sent again after it
+// Retryable tells whether a request of the route may be sent again after it
 // may have run: it is idempotent, or a stream that another endpoint continues.
-func (r *Route) Repeatable() bool {
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -110,7 +110,7 @@
 			return false
 		}
 	case failed, lost:
-		if !x.route.Repeatable() || x.runs >= max(x.route.MaxAttempts, 1) {
+		if !x.route.Retryable() || x.runs >= max(x.route.MaxAttempts, 1) {
 			return false
 		}
 	default:
@@ -122,7 +122,7 @@
 	if x.arrivals == 0 {
 		return true // no arrival has been counted, so the next one is the request's first
 	}
-	return x.runs == 0 || x.route.Repeatable() && x.runs < max(x.route.MaxAttempts, 1)
+	return x.runs == 0 || x.route.Retryable() && x.runs < max(x.route.MaxAttempts, 1)
 }
 
 // openEndpoints returns the service's endpoints that accept requests, by the catalog's newest view.
@@ -146,7 +146,7 @@
 	s.RemainingTime, s.UrgencyRank = x.remainingTime(), x.urgencyRank()
 	req := &exchange.Request{
 		Method: x.call.Method, Target: x.call.Target, Host: x.call.Host,
-		Header: x.g.o.Codec.Header(x.call, s), Body: x.call.Body, NoRetry: !x.route.Repeatable(),
+		Header: x.g.o.Codec.Header(x.call, s), Body: x.call.Body, NoRetry: !x.route.Retryable(),
 	}
 	sentAt := x.now()
 	resp, err := x.g.o.Pool.Do(ctx, s.Endpoint.Address, req)
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -31,7 +31,7 @@
 // engine may still continue, and canceling the exchange would cut off an answer that is being
 // generated.
 func (x *execution) startWatchdog(cancel func(), t *place.Ticket, s *EndpointRequest, plan *place.Plan) *watchdog {
-	retryable := x.route.Repeatable() && x.runs+1 < x.route.MaxAttempts
+	retryable := x.route.Retryable() && x.runs+1 < x.route.MaxAttempts
 	excluded := map[string]bool{s.Endpoint.ID: true}
 	maps.Copy(excluded, x.tried)
 	w := &watchdog{eventGap: maxEventGap}
