--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -38,7 +38,7 @@
 	Kind        Kind
 	Resumable   bool          // a stream may go on at another endpoint
 	Timeout     time.Duration // longest time a caller is kept waiting, zero for none
-	Target      time.Duration // time to the answer or the first event that callers hope for
+	LatencyTarget      time.Duration // time to the answer or the first event that callers hope for
 	Gap         time.Duration // longest pause between events that callers hope for
 	Priority    int           // 0 is the most urgent
 	MaxAttempts int           // endpoints that one request may be sent to
--- a/internal/gateway/again_test.go
+++ b/internal/gateway/again_test.go
@@ -15,8 +15,8 @@
 // Retry-After header.
 func TestEndpointIsNotUsedBeforeItsRetryAfter(t *testing.T) {
 	for name, route := range map[string]catalog.Route{
-		"call":   {Kind: catalog.NonIdempotent, Target: time.Second},
-		"stream": {Kind: catalog.Stream, Target: time.Second, Gap: time.Second},
+		"call":   {Kind: catalog.NonIdempotent, LatencyTarget: time.Second},
+		"stream": {Kind: catalog.Stream, LatencyTarget: time.Second, Gap: time.Second},
 	} {
 		w := newTestGateway(t)
 		w.setRoute(route)
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -74,7 +74,7 @@
 // announced a limit.
 func TestEndpointLimitIsEnforced(t *testing.T) {
 	w := newTestGateway(t)
-	w.setRoute(catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2, Target: 50 * time.Millisecond})
+	w.setRoute(catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2, LatencyTarget: 50 * time.Millisecond})
 	l := &limitedEndpoint{perSecond: 1}
 	w.addEndpoint("i-1", catalog.Whole, serve(t, l.serve))
 	for range 30 {
@@ -93,7 +93,7 @@
 	for range vms {
 		w := newTestGateway(t)
 		w.gateway.o.VMs = func() int { return vms }
-		w.setRoute(catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2, Target: 50 * time.Millisecond})
+		w.setRoute(catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2, LatencyTarget: 50 * time.Millisecond})
 		w.addEndpoint("i-1", catalog.Whole, b)
 		all = append(all, w)
 	}
@@ -119,7 +119,7 @@
 		{"capacity too late", 1, http.StatusServiceUnavailable},
 	} {
 		w := newTestGateway(t)
-		w.setRoute(catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2, Target: 500 * time.Millisecond})
+		w.setRoute(catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2, LatencyTarget: 500 * time.Millisecond})
 		w.addEndpoint("i-1", catalog.Whole, serve(t, (&limitedEndpoint{perSecond: tc.perSecond}).serve))
 		_, _, err := w.request(t, "GET", "/x/", "")
 		assert.NilError(t, err)
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -131,8 +131,8 @@
 		return x.now().Add(minCallerTimeout - deliveryMargin)
 	case x.prefillDone:
 		return x.call.Arrived.Add(x.firstEventTimeout() - deliveryMargin)
-	case x.route.Target > 0:
-		return x.call.Arrived.Add(x.route.Target)
+	case x.route.LatencyTarget > 0:
+		return x.call.Arrived.Add(x.route.LatencyTarget)
 	}
 	return x.deadline
 }
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -70,7 +70,7 @@
 		backlog = x.g.heldWork.Backlog(x.g.o.VMs(), plan.Candidates)
 	}
 	return ontime.Decide(ontime.Request{
-		Elapsed: x.now().Sub(x.call.Arrived), Target: x.route.Target, CallerTimeout: x.firstEventTimeout(),
+		Elapsed: x.now().Sub(x.call.Arrived), Target: x.route.LatencyTarget, CallerTimeout: x.firstEventTimeout(),
 		FirstEvent: plan.FirstEvent, Wait: plan.Wait, Backlog: backlog, Random: x.call.Fingerprint ^ uint64(x.now()),
 	})
 }
@@ -78,7 +78,7 @@
 // firstEventTimeout is the time after the call's arrival at which its caller is assumed to
 // disconnect if it has received no event.
 func (x *execution) firstEventTimeout() time.Duration {
-	return min(max(minCallerTimeout, callerTimeoutTargets*x.route.Target, callerTimeoutGaps*x.route.Gap), x.deadline.Sub(x.call.Arrived))
+	return min(max(minCallerTimeout, callerTimeoutTargets*x.route.LatencyTarget, callerTimeoutGaps*x.route.Gap), x.deadline.Sub(x.call.Arrived))
 }
 
 const (
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -75,7 +75,7 @@
 	if x.route.Kind != catalog.Idempotent || x.runs+1 >= x.route.MaxAttempts {
 		return context.WithCancel(x.ctx)
 	}
-	timeout := max(attemptTimeoutTargets*x.route.Target, minAttemptTimeout)
+	timeout := max(attemptTimeoutTargets*x.route.LatencyTarget, minAttemptTimeout)
 	return context.WithTimeout(x.ctx, min(timeout, x.remainingTime()/2))
 }
 
@@ -91,10 +91,10 @@
 // urgencyRank is the rank by which engines order the request. It follows from the time left until
 // the route's target, or is the call's priority if the route has no target.
 func (x *execution) urgencyRank() int {
-	if x.route.Target == 0 {
+	if x.route.LatencyTarget == 0 {
 		return min(max(x.priority(), 0), ontime.MaxUrgencyRank)
 	}
-	return ontime.UrgencyRank(x.route.Target-x.now().Sub(x.call.Arrived), x.prefillWork)
+	return ontime.UrgencyRank(x.route.LatencyTarget-x.now().Sub(x.call.Arrived), x.prefillWork)
 }
 
 // priority is the priority of the call's workspace, or of its route if the workspace has none.
