--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -39,7 +39,7 @@
 	Resumable   bool          // a stream may go on at another endpoint
 	Timeout     time.Duration // longest time a caller is kept waiting, zero for none
 	LatencyTarget      time.Duration // time to the answer or the first event that callers hope for
-	Gap         time.Duration // longest pause between events that callers hope for
+	EventGapTarget         time.Duration // longest pause between events that callers hope for
 	Priority    int           // 0 is the most urgent
 	MaxAttempts int           // endpoints that one request may be sent to
 	Anonymous   bool          // no key is needed
--- a/internal/gateway/again_test.go
+++ b/internal/gateway/again_test.go
@@ -16,7 +16,7 @@
 func TestEndpointIsNotUsedBeforeItsRetryAfter(t *testing.T) {
 	for name, route := range map[string]catalog.Route{
 		"call":   {Kind: catalog.NonIdempotent, LatencyTarget: time.Second},
-		"stream": {Kind: catalog.Stream, LatencyTarget: time.Second, Gap: time.Second},
+		"stream": {Kind: catalog.Stream, LatencyTarget: time.Second, EventGapTarget: time.Second},
 	} {
 		w := newTestGateway(t)
 		w.setRoute(route)
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -31,7 +31,7 @@
 func TestEndpointGetsNoRequestsAfterItsLeavingNotice(t *testing.T) {
 	for name, route := range map[string]catalog.Route{
 		"call":   {Kind: catalog.Idempotent, MaxAttempts: 2, LatencyTarget: time.Second},
-		"stream": {Kind: catalog.Stream, MaxAttempts: 2, LatencyTarget: time.Second, Gap: time.Second},
+		"stream": {Kind: catalog.Stream, MaxAttempts: 2, LatencyTarget: time.Second, EventGapTarget: time.Second},
 	} {
 		w := newTestGateway(t)
 		w.setRoute(route)
@@ -59,7 +59,7 @@
 // Guards against a KV cache transfer to an engine whose answers have announced that it leaves.
 func TestNoHandoffToALeavingEngine(t *testing.T) {
 	w := newTestGateway(t)
-	w.setRoute(catalog.Route{Kind: catalog.Stream, MaxAttempts: 2, LatencyTarget: time.Second, Gap: time.Second})
+	w.setRoute(catalog.Route{Kind: catalog.Stream, MaxAttempts: 2, LatencyTarget: time.Second, EventGapTarget: time.Second})
 	w.addEndpoint("p", catalog.Prefill, serve(t, answerStaying))
 	leaving := serve(t, answerLeaving)
 	w.addEndpoint("i-1", catalog.Decode, leaving)
@@ -77,7 +77,7 @@
 // the transfer must go to another engine.
 func TestLeavingNoticeAfterPlacementIsRespected(t *testing.T) {
 	w := newTestGateway(t)
-	w.setRoute(catalog.Route{Kind: catalog.Stream, MaxAttempts: 2, LatencyTarget: 2 * time.Second, Gap: time.Second})
+	w.setRoute(catalog.Route{Kind: catalog.Stream, MaxAttempts: 2, LatencyTarget: 2 * time.Second, EventGapTarget: time.Second})
 	leaving, other := serve(t, answerLeaving), serve(t, answerStaying)
 	w.addEndpoint("i-1", catalog.Decode, leaving)
 	prefillStarted, noticeReceived := make(chan struct{}), make(chan struct{})
--- a/internal/gateway/placing.go
+++ b/internal/gateway/placing.go
@@ -78,7 +78,7 @@
 // firstEventTimeout is the time after the call's arrival at which its caller is assumed to
 // disconnect if it has received no event.
 func (x *execution) firstEventTimeout() time.Duration {
-	return min(max(minCallerTimeout, callerTimeoutTargets*x.route.LatencyTarget, callerTimeoutGaps*x.route.Gap), x.deadline.Sub(x.call.Arrived))
+	return min(max(minCallerTimeout, callerTimeoutTargets*x.route.LatencyTarget, callerTimeoutGaps*x.route.EventGapTarget), x.deadline.Sub(x.call.Arrived))
 }
 
 const (
