--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -76,9 +76,9 @@
 type Engine struct {
 	Slots       int // requests in one batch
 	CacheTokens int // tokens that the KV cache holds
-	// TokenTransfer is the time in which one token's KV cache goes to another
+	// KVTransferPerToken is the time in which one token's KV cache goes to another
 	// engine of the zone, zero if not known.
-	TokenTransfer time.Duration
+	KVTransferPerToken time.Duration
 	// StageChange is how long an engine is away for a change of its stage,
 	// zero if not known.
 	StageChange time.Duration
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -158,7 +158,7 @@
 
 // transferPerToken returns the time to transfer one token's KV cache to e within its zone.
 func (p *Planner) transferPerToken(e *catalog.Endpoint) time.Duration {
-	if t := p.engines[e.Service].TokenTransfer; t > 0 {
+	if t := p.engines[e.Service].KVTransferPerToken; t > 0 {
 		return t
 	}
 	return defaultTransferPerToken
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -300,7 +300,7 @@
 		perToken time.Duration
 		split    bool
 	}{{0, true}, {400 * time.Nanosecond, true}, {150 * time.Microsecond, false}} {
-		c := newClusterOf(t, catalog.Engine{CacheTokens: 900_000, TokenTransfer: tc.perToken}, endpoints...)
+		c := newClusterOf(t, catalog.Engine{CacheTokens: 900_000, KVTransferPerToken: tc.perToken}, endpoints...)
 		plan := c.plan(t, 0, prompt(1, 1000, 2000))
 		assert.Equal(t, plan.Prefill != nil, tc.split, "%s per token", tc.perToken)
 	}
