--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -79,9 +79,9 @@
 	// KVTransferPerToken is the time in which one token's KV cache goes to another
 	// engine of the zone, zero if not known.
 	KVTransferPerToken time.Duration
-	// StageChange is how long an engine is away for a change of its stage,
+	// StageChangeTime is how long an engine is away for a change of its stage,
 	// zero if not known.
-	StageChange time.Duration
+	StageChangeTime time.Duration
 }
 
 // Scaling says how many endpoints of a service may be ordered, and what they cost.
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -174,7 +174,7 @@
 	if s == nil {
 		return
 	}
-	duration := p.engines[s.ep.Service].StageChange
+	duration := p.engines[s.ep.Service].StageChangeTime
 	if duration == 0 {
 		duration = defaultStageChange
 	}
