--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -87,7 +87,7 @@
 // Scaling says how many endpoints of a service may be ordered, and what they cost.
 type Scaling struct {
 	Min, Max int           // endpoints of a zone, spot ones included
-	Boot     time.Duration // from the order to the first request
+	BootTime     time.Duration // from the order to the first request
 	// SpotPrice is the price of a spot endpoint as a share of that of another one of
 	// its zone, zero where there are none.
 	SpotPrice  float64
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -165,7 +165,7 @@
 	switch {
 	case !known && standing == o.Count:
 		return
-	case known && last.count == o.Count && (standing >= o.Count || now.Sub(last.at) < s.Scaling.Boot+againAfter):
+	case known && last.count == o.Count && (standing >= o.Count || now.Sub(last.at) < s.Scaling.BootTime+againAfter):
 		return
 	}
 	fence, ok := u.May()
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -60,7 +60,7 @@
 	}
 	f.unit.forget()
 	f.store.SetConfig(catalog.NewConfig(1, nil, []*catalog.Service{
-		{Name: "m", Scaling: &catalog.Scaling{Min: 1, Max: 20, Boot: 4 * time.Second, SpotPrice: 0.2, ZonePrices: map[string]float64{"a": 1, "b": 2}}},
+		{Name: "m", Scaling: &catalog.Scaling{Min: 1, Max: 20, BootTime: 4 * time.Second, SpotPrice: 0.2, ZonePrices: map[string]float64{"a": 1, "b": 2}}},
 		{Name: "n"},
 	}))
 	f.start("a", false, regular)
