--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -105,7 +105,7 @@
 type Config struct {
 	Version  uint64
 	Services map[string]*Service
-	MaxBody  int64 // bytes of a request's body, zero for no limit
+	MaxBodyBytes  int64 // bytes of a request's body, zero for no limit
 	// Workspaces are those whose keys requests must bear; it is nil where requests
 	// bear none.
 	Workspaces *workspace.Directory
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -84,7 +84,7 @@
 	if refused := g.authorize(c, route, v.Config); refused != nil {
 		return c, nil, refused
 	}
-	body, refused := readBody(w, r, v.Config.MaxBody)
+	body, refused := readBody(w, r, v.Config.MaxBodyBytes)
 	if refused != nil {
 		return c, nil, refused
 	}
