--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -125,8 +125,8 @@
 	return c
 }
 
-// Routes returns how many routes the configuration has.
-func (c *Config) Routes() int {
+// RouteCount returns how many routes the configuration has.
+func (c *Config) RouteCount() int {
 	n := 0
 	for _, list := range c.routes {
 		n += len(list)
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -79,7 +79,7 @@
 		return false
 	}
 	s.config = c
-	log.WithField("version", c.Version).WithField("routes", c.Routes()).Info("configuration in force")
+	log.WithField("version", c.Version).WithField("routes", c.RouteCount()).Info("configuration in force")
 	s.publish()
 	return true
 }
