--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -166,7 +166,7 @@
 	}
 	for name, s := range v.Config.Services {
 		if s.Engine != nil {
-			out = append(out, v.Open(name)...)
+			out = append(out, v.Available(name)...)
 		}
 	}
 	return out
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -75,7 +75,7 @@
 	d := endpoint("a", 1, 2)
 	d.Draining = true
 	s.SetEndpoint(d)
-	assert.DeepEqual(t, ids(s.View().Open("labels")), []string{"b"})
+	assert.DeepEqual(t, ids(s.View().Available("labels")), []string{"b"})
 	assert.DeepEqual(t, ids(s.View().All()), []string{"a", "b"})
 }
 
@@ -89,14 +89,14 @@
 	d.Draining = true
 	s.SetEndpoint(d)
 	s.SetEndpoint(endpoint("a", 100, 5))
-	assert.Equal(t, len(s.View().Open("labels")), 0)
+	assert.Equal(t, len(s.View().Available("labels")), 0)
 	s.RemoveEndpoint("a")
 	s.SetEndpoint(endpoint("a", 100, 5))
 	assert.Equal(t, len(s.View().All()), 0)
 
 	reborn := endpoint("a", 200, 1)
 	s.SetEndpoint(reborn)
-	assert.DeepEqual(t, ids(s.View().Open("labels")), []string{"a"})
+	assert.DeepEqual(t, ids(s.View().Available("labels")), []string{"a"})
 }
 
 // The store is away for seconds. Live endpoints can't renew their entries, which
@@ -112,15 +112,15 @@
 	c.T = c.T.Add(500 * time.Millisecond)
 	s.RemoveEndpoint("back")
 	s.RemoveEndpoint("gone")
-	assert.DeepEqual(t, ids(s.View().Open("labels")), []string{"back", "gone"})
+	assert.DeepEqual(t, ids(s.View().Available("labels")), []string{"back", "gone"})
 
 	c.T = c.T.Add(time.Second)
 	s.SetEndpoint(endpoint("back", 1, 2))
 	s.Settle()
-	assert.Equal(t, len(s.View().Open("labels")), 2)
+	assert.Equal(t, len(s.View().Available("labels")), 2)
 	c.T = c.T.Add(returnGrace)
 	s.Settle()
-	assert.DeepEqual(t, ids(s.View().Open("labels")), []string{"back"})
+	assert.DeepEqual(t, ids(s.View().Available("labels")), []string{"back"})
 }
 
 // The store is away for four seconds, and entries of live endpoints lapse. The VM that
@@ -145,10 +145,10 @@
 	c.T = c.T.Add(time.Second)
 	listener.SetEndpoint(endpoint("back", 1, 2))
 	listener.Settle()
-	assert.Equal(t, len(listener.View().Open("labels")), 2)
+	assert.Equal(t, len(listener.View().Available("labels")), 2)
 	c.T = c.T.Add(returnGrace)
 	listener.Settle()
-	assert.DeepEqual(t, ids(listener.View().Open("labels")), []string{"back"})
+	assert.DeepEqual(t, ids(listener.View().Available("labels")), []string{"back"})
 }
 
 func TestWithoutAnOutageAnEntryEndsAtOnce(t *testing.T) {
--- a/internal/catalog/fleet.go
+++ b/internal/catalog/fleet.go
@@ -55,8 +55,8 @@
 	all       []*Endpoint
 }
 
-// Open returns the endpoints of a service that take work, in order of their ids.
-func (v *View) Open(service string) []*Endpoint { return v.endpoints[service] }
+// Available returns the endpoints of a service that take work, in order of their ids.
+func (v *View) Available(service string) []*Endpoint { return v.endpoints[service] }
 
 // Working is how many endpoints take work.
 func (v *View) Working() int {
--- a/internal/catalog/leaving_test.go
+++ b/internal/catalog/leaving_test.go
@@ -19,17 +19,17 @@
 func TestAReportDoesNotBringBackAnEndpointThatSaidItLeaves(t *testing.T) {
 	s := NewStore(&clock.Manual{})
 	s.SetEndpoint(report(1, 1))
-	e := s.View().Open("s")[0]
+	e := s.View().Available("s")[0]
 	assert.Assert(t, s.View().Takes(e))
 	assert.Assert(t, s.SetLeaving("i-1", 1))
 	assert.Assert(t, !s.SetLeaving("i-1", 1), "known")
-	assert.Equal(t, len(s.View().Open("s")), 0)
+	assert.Equal(t, len(s.View().Available("s")), 0)
 	assert.Assert(t, !s.View().Takes(e))
 	s.SetEndpoint(report(1, 2))
 	moved := report(1, 3)
 	moved.Stage = Decode
 	assert.Assert(t, s.SetEndpoint(moved))
-	assert.Equal(t, len(s.View().Open("s")), 0)
+	assert.Equal(t, len(s.View().Available("s")), 0)
 	assert.Equal(t, len(s.View().All()), 1, "it still runs")
 	drained := report(1, 4)
 	drained.Draining = true
@@ -41,9 +41,9 @@
 	s.SetEndpoint(report(1, 9))
 	s.SetLeaving("i-1", 1)
 	s.SetEndpoint(report(2, 1))
-	assert.Equal(t, len(s.View().Open("s")), 1)
+	assert.Equal(t, len(s.View().Available("s")), 1)
 	assert.Assert(t, !s.SetLeaving("i-1", 1), "late news of the process before it")
-	assert.Equal(t, len(s.View().Open("s")), 1)
+	assert.Equal(t, len(s.View().Available("s")), 1)
 }
 
 // Guards against a VM that hears of an endpoint's leaving before it knows the endpoint.
@@ -53,7 +53,7 @@
 	s.SetLeaving("i-1", 1)
 	s.Settle()
 	s.SetEndpoint(report(1, 1))
-	assert.Equal(t, len(s.View().Open("s")), 0)
+	assert.Equal(t, len(s.View().Available("s")), 0)
 	s.RemoveEndpoint("i-1")
 	c.T = c.T.Add(forgetAfter + time.Second)
 	s.Settle()
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -127,7 +127,7 @@
 
 // openEndpoints returns the service's endpoints that accept requests, by the catalog's newest view.
 func (x *execution) openEndpoints() []*catalog.Endpoint {
-	return x.g.o.Catalog.View().Open(x.service)
+	return x.g.o.Catalog.View().Available(x.service)
 }
 
 // send sends the request to an endpoint and reads the response's header. It returns a response only
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -117,7 +117,7 @@
 	}
 	for name, s := range v.Config.Services {
 		if s.Engine != nil {
-			u.lookAt(ctx, name, s.Engine.Slots, v.Open(name))
+			u.lookAt(ctx, name, s.Engine.Slots, v.Available(name))
 		}
 	}
 }
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -40,7 +40,7 @@
 	}
 	c := &cluster{p: New("z", 1)}
 	c.p.SetView(s.View())
-	c.open = s.View().Open("labels")
+	c.open = s.View().Available("labels")
 	return c
 }
 
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -146,7 +146,7 @@
 	for i, zone := range k.zones {
 		pools[i] = autoscale.ZonePool{Zone: zone, Price: cmp.Or(s.Scaling.ZonePrices[zone], 1)}
 	}
-	for _, e := range v.Open(s.Name) {
+	for _, e := range v.Available(s.Name) {
 		i := slices.Index(k.zones, e.Zone)
 		if e.Spot {
 			pools[i].Spot++
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -44,7 +44,7 @@
 	}
 	d := n.demand()
 	d.SlotsPerEngine = s.Engine.Slots
-	return measured(d, len(v.Open(service)))
+	return measured(d, len(v.Available(service)))
 }
 
 // leastNeed is the share of the endpoints that must be needed for a load to count as
