--- a/internal/catalog/fleet.go
+++ b/internal/catalog/fleet.go
@@ -58,8 +58,8 @@
 // Available returns the endpoints of a service that take work, in order of their ids.
 func (v *View) Available(service string) []*Endpoint { return v.endpoints[service] }
 
-// Working is how many endpoints take work.
-func (v *View) Working() int {
+// AvailableCount is how many endpoints take work.
+func (v *View) AvailableCount() int {
 	n := 0
 	for _, open := range v.endpoints {
 		n += len(open)
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -97,7 +97,7 @@
 	f := &fake{leaves: true}
 	u, _ := start(t, f, true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if u.Catalog.View().Working() < 4 {
+		if u.Catalog.View().AvailableCount() < 4 {
 			return poll.Success()
 		}
 		return poll.Continue("no engine is known to leave")
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -247,7 +247,7 @@
 // Metrics returns the counters as they are now.
 func (n *Node) Metrics() Metrics {
 	v := n.View()
-	m := Metrics{Snapshot: n.gateway.Metrics().Snapshot(), Endpoints: len(v.All()), VMs: n.members.AdvertisedCount(), ConfigVersion: n.version(), Limited: n.pressure.LimitedCount(), Draining: len(v.All()) - v.Working()}
+	m := Metrics{Snapshot: n.gateway.Metrics().Snapshot(), Endpoints: len(v.All()), VMs: n.members.AdvertisedCount(), ConfigVersion: n.version(), Limited: n.pressure.LimitedCount(), Draining: len(v.All()) - v.AvailableCount()}
 	return m
 }
 
