--- a/internal/catalog/fleet.go
+++ b/internal/catalog/fleet.go
@@ -70,8 +70,8 @@
 // All returns every endpoint, those that drain too, in order of their ids.
 func (v *View) All() []*Endpoint { return v.all }
 
-// Takes tells whether the view has e as it is and lets it take new work.
-func (v *View) Takes(e *Endpoint) bool {
+// IsAvailable tells whether the view has e as it is and lets it take new work.
+func (v *View) IsAvailable(e *Endpoint) bool {
 	open := v.endpoints[e.Service]
 	i, found := slices.BinarySearchFunc(open, e.ID, func(o *Endpoint, id string) int { return cmp.Compare(o.ID, id) })
 	return found && open[i].Born == e.Born
--- a/internal/catalog/leaving_test.go
+++ b/internal/catalog/leaving_test.go
@@ -20,11 +20,11 @@
 	s := NewStore(&clock.Manual{})
 	s.SetEndpoint(report(1, 1))
 	e := s.View().Available("s")[0]
-	assert.Assert(t, s.View().Takes(e))
+	assert.Assert(t, s.View().IsAvailable(e))
 	assert.Assert(t, s.SetLeaving("i-1", 1))
 	assert.Assert(t, !s.SetLeaving("i-1", 1), "known")
 	assert.Equal(t, len(s.View().Available("s")), 0)
-	assert.Assert(t, !s.View().Takes(e))
+	assert.Assert(t, !s.View().IsAvailable(e))
 	s.SetEndpoint(report(1, 2))
 	moved := report(1, 3)
 	moved.Stage = Decode
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -191,7 +191,7 @@
 // The catalog or the limit may have changed since e was chosen, so it is called before each send.
 func (x *execution) acquireEndpoint(e *catalog.Endpoint) (result, bool) {
 	switch {
-	case !x.g.o.Catalog.View().Takes(e):
+	case !x.g.o.Catalog.View().IsAvailable(e):
 		return result{outcome: notSent, code: code.EndpointLeft, err: errEndpointLeft}, false
 	case !x.g.o.Pressure.TryAcquire(x.now(), e):
 		return result{outcome: notSent, code: code.EndpointsLimited, err: errEndpointsLimited}, false
