--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -139,9 +139,9 @@
 		changed, kept := reader.RemoveEndpoint(id)
 		assert.Assert(t, changed)
 		assert.Equal(t, kept, returnGrace-500*time.Millisecond)
-		assert.Assert(t, listener.Lapse(id, kept))
+		assert.Assert(t, listener.ExpireAfter(id, kept))
 	}
-	assert.Assert(t, !listener.Lapse("unknown", time.Second))
+	assert.Assert(t, !listener.ExpireAfter("unknown", time.Second))
 	c.T = c.T.Add(time.Second)
 	listener.SetEndpoint(endpoint("back", 1, 2))
 	listener.Settle()
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -151,10 +151,10 @@
 	return true, 0
 }
 
-// Lapse takes the end of an entry from a VM that keeps it for a while. That VM has
+// ExpireAfter takes the end of an entry from a VM that keeps it for a while. That VM has
 // seen the outage around which the entry lapsed; this one may not have called the
 // store meanwhile, and would drop endpoints that are alive.
-func (s *Store) Lapse(id string, kept time.Duration) bool {
+func (s *Store) ExpireAfter(id string, kept time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.known[id] == nil {
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -187,7 +187,7 @@
 func (n *Node) endEndpoint(e keyedlog.Entry) {
 	changed := false
 	if e.Kept > 0 {
-		changed = n.catalog.Lapse(e.Key, e.Kept)
+		changed = n.catalog.ExpireAfter(e.Key, e.Kept)
 	} else {
 		changed, e.Kept = n.catalog.RemoveEndpoint(e.Key)
 	}
