--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -116,10 +116,10 @@
 
 	c.T = c.T.Add(time.Second)
 	s.SetEndpoint(endpoint("back", 1, 2))
-	s.Settle()
+	s.RemoveExpired()
 	assert.Equal(t, len(s.View().Available("labels")), 2)
 	c.T = c.T.Add(returnGrace)
-	s.Settle()
+	s.RemoveExpired()
 	assert.DeepEqual(t, ids(s.View().Available("labels")), []string{"back"})
 }
 
@@ -144,10 +144,10 @@
 	assert.Assert(t, !listener.ExpireAfter("unknown", time.Second))
 	c.T = c.T.Add(time.Second)
 	listener.SetEndpoint(endpoint("back", 1, 2))
-	listener.Settle()
+	listener.RemoveExpired()
 	assert.Equal(t, len(listener.View().Available("labels")), 2)
 	c.T = c.T.Add(returnGrace)
-	listener.Settle()
+	listener.RemoveExpired()
 	assert.DeepEqual(t, ids(listener.View().Available("labels")), []string{"back"})
 }
 
--- a/internal/catalog/leaving_test.go
+++ b/internal/catalog/leaving_test.go
@@ -51,11 +51,11 @@
 	c := &clock.Manual{}
 	s := NewStore(c)
 	s.SetLeaving("i-1", 1)
-	s.Settle()
+	s.RemoveExpired()
 	s.SetEndpoint(report(1, 1))
 	assert.Equal(t, len(s.View().Available("s")), 0)
 	s.RemoveEndpoint("i-1")
 	c.T = c.T.Add(forgetAfter + time.Second)
-	s.Settle()
+	s.RemoveExpired()
 	assert.Equal(t, len(s.leaving), 0)
 }
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -188,9 +188,9 @@
 	s.outage, s.outageAt = true, s.clock.Now()
 }
 
-// Settle removes the entries whose grace is over. The owner calls it a few
+// RemoveExpired removes the entries whose grace is over. The owner calls it a few
 // times a second.
-func (s *Store) Settle() {
+func (s *Store) RemoveExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -114,7 +114,7 @@
 	tick := time.NewTicker(settlePeriod)
 	defer tick.Stop()
 	for {
-		f.n.catalog.Settle()
+		f.n.catalog.RemoveExpired()
 		f.n.confirmSoon()
 		f.n.members.SetReady(f.n.catalog.View().Config != nil)
 		if f.n.members.HasPeers() {
