--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -108,7 +108,7 @@
 	s := NewStore(c)
 	s.SetEndpoint(endpoint("back", 1, 1))
 	s.SetEndpoint(endpoint("gone", 1, 1))
-	s.Unreachable()
+	s.RecordOutage()
 	c.T = c.T.Add(500 * time.Millisecond)
 	s.RemoveEndpoint("back")
 	s.RemoveEndpoint("gone")
@@ -133,7 +133,7 @@
 		s.SetEndpoint(endpoint("back", 1, 1))
 		s.SetEndpoint(endpoint("gone", 1, 1))
 	}
-	reader.Unreachable()
+	reader.RecordOutage()
 	c.T = c.T.Add(500 * time.Millisecond)
 	for _, id := range []string{"back", "gone"} {
 		changed, kept := reader.RemoveEndpoint(id)
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -181,8 +181,8 @@
 	delete(s.lapsing, id)
 }
 
-// Unreachable notes that the store does not answer now.
-func (s *Store) Unreachable() {
+// RecordOutage notes that the store does not answer now.
+func (s *Store) RecordOutage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outage, s.outageAt = true, s.clock.Now()
