--- a/internal/catalog/hold_test.go
+++ b/internal/catalog/hold_test.go
@@ -14,7 +14,7 @@
 func TestABatchMakesOneView(t *testing.T) {
 	s := NewStore(&clock.Manual{T: 1})
 	before, changed := s.View(), s.Changed()
-	s.Hold()
+	s.BeginBatch()
 	for i := range 100 {
 		s.SetEndpoint(&Endpoint{ID: fmt.Sprint(i), Service: "m"})
 	}
@@ -24,7 +24,7 @@
 	assert.Equal(t, len(s.View().All()), 100)
 
 	at := s.View()
-	s.Hold()
+	s.BeginBatch()
 	s.Release()
 	assert.Assert(t, s.View() == at, "nothing has changed")
 }
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -216,9 +216,9 @@
 	}
 }
 
-// Hold puts off new views until Release: a view lists all endpoints, and the first read
+// BeginBatch puts off new views until Release: a view lists all endpoints, and the first read
 // of a large fleet changes each of them.
-func (s *Store) Hold() {
+func (s *Store) BeginBatch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.holds++
