--- a/internal/catalog/hold_test.go
+++ b/internal/catalog/hold_test.go
@@ -19,12 +19,12 @@
 		s.SetEndpoint(&Endpoint{ID: fmt.Sprint(i), Service: "m"})
 	}
 	assert.Assert(t, s.View() == before)
-	s.Release()
+	s.EndBatch()
 	<-changed
 	assert.Equal(t, len(s.View().All()), 100)
 
 	at := s.View()
 	s.BeginBatch()
-	s.Release()
+	s.EndBatch()
 	assert.Assert(t, s.View() == at, "nothing has changed")
 }
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -224,8 +224,8 @@
 	s.holds++
 }
 
-// Release ends what Hold began.
-func (s *Store) Release() {
+// EndBatch ends what Hold began.
+func (s *Store) EndBatch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.holds--
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -47,7 +47,7 @@
 	}
 	n.puller = configsync.NewPuller(n.clock, n.version, n.config)
 	n.fleet = keyedlog.New("fleet", n.adapter.Endpoints())
-	n.fleet.Apply, n.fleet.Begin, n.fleet.End = n.applyEndpoint, n.catalog.BeginBatch, n.catalog.Release
+	n.fleet.Apply, n.fleet.Begin, n.fleet.End = n.applyEndpoint, n.catalog.BeginBatch, n.catalog.EndBatch
 	n.fleet.Pause, n.fleet.Lost = n.members.ReadInterval, n.catalog.RecordOutage
 	n.fleet.Read = func(clock.Time) {
 		n.members.RecordRead()
