--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -76,8 +76,8 @@
 type Options struct {
 	Self      gossip.Node
 	Addresses Addresses
-	// Turn is the time within which two processes must not give orders by turns.
-	Turn time.Duration
+	// MinLeaderChangeInterval is the time within which two processes must not give orders by turns.
+	MinLeaderChangeInterval time.Duration
 	// FirstStart tells that the whole deployment starts for the first time.
 	FirstStart bool
 	// Keys bound the age of the configuration by which API keys are judged. It is nil
@@ -146,7 +146,7 @@
 	n := &Node{o: o, adapter: a, clock: c, catalog: catalog.NewStore(c), crashes: crash.New(), pressure: backpressure.New(seedOf(o.Self.Incarnation))}
 	n.members = gossip.NewMembers(c, o.Self)
 	n.pool = exchange.NewPool()
-	n.duty = authority.New(o.Turn, o.FirstStart, c.Now())
+	n.duty = authority.New(o.MinLeaderChangeInterval, o.FirstStart, c.Now())
 	n.planner = place.New(o.Self.Zone, seedOf(o.Self.Incarnation))
 	n.budget = repeat.New(o.Budget)
 	n.orders = &orders.Unit{
