--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -86,8 +86,8 @@
 	Usage Usage
 	// Linger is how long a VM that was told to stop still takes requests.
 	Linger time.Duration
-	// LongestDrain is how long it has to finish those in hand.
-	LongestDrain time.Duration
+	// DrainTimeout is how long it has to finish those in hand.
+	DrainTimeout time.Duration
 	Tunables
 }
 
@@ -229,7 +229,7 @@
 }
 
 // KernelOptions returns what the kernel needs to know of the process.
-func (n *Node) KernelOptions() kernel.Options { return kernel.Options{LongestDrain: n.o.LongestDrain} }
+func (n *Node) KernelOptions() kernel.Options { return kernel.Options{LongestDrain: n.o.DrainTimeout} }
 
 // View returns what the process serves by.
 func (n *Node) View() *catalog.View { return n.catalog.View() }
