--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -68,7 +68,7 @@
 // Usage says how the requests of workspaces are reported.
 type Usage struct {
 	Window time.Duration // zero if they aren't
-	Due    time.Duration // after a window's end
+	ReportDeadline    time.Duration // after a window's end
 }
 
 // Options of a VM's process, as they hold for its whole life: a VM with other
