--- a/internal/vm/reload.go
+++ b/internal/vm/reload.go
@@ -15,11 +15,11 @@
 // change without a signal. A look costs three system calls.
 const reloadPeriod = 5 * time.Second
 
-// Reload takes changed settings over. It is a kernel unit.
+// SettingsReloader takes changed settings over. It is a kernel unit.
 //
 // Without it SIGHUP, by which the platform tells of a change, would end the
 // process.
-type Reload struct {
+type SettingsReloader struct {
 	Path  string
 	Parse func(path string, text []byte) (Tunables, error)
 	Apply func(Tunables)
@@ -28,17 +28,17 @@
 }
 
 // Name implements kernel.Unit.
-func (r *Reload) Name() string { return "settings" }
+func (r *SettingsReloader) Name() string { return "settings" }
 
 // Provision implements kernel.Provisioner.
-func (r *Reload) Provision(context.Context) error {
+func (r *SettingsReloader) Provision(context.Context) error {
 	var err error
 	r.last, err = os.ReadFile(r.Path)
 	return err
 }
 
 // Run implements kernel.Runner.
-func (r *Reload) Run(ctx context.Context) error {
+func (r *SettingsReloader) Run(ctx context.Context) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
@@ -58,7 +58,7 @@
 
 // look takes the file over if it has changed. A file that can't be understood
 // changes nothing.
-func (r *Reload) look() {
+func (r *SettingsReloader) look() {
 	b, err := os.ReadFile(r.Path)
 	if err != nil || bytes.Equal(b, r.last) {
 		if err != nil {
--- a/internal/vm/reload_test.go
+++ b/internal/vm/reload_test.go
@@ -16,7 +16,7 @@
 	write := func(text string) { assert.NilError(t, os.WriteFile(path, []byte(text), 0o600)) }
 	write("first")
 	var sizes []int64
-	r := &Reload{
+	r := &SettingsReloader{
 		Path: path,
 		Parse: func(_ string, text []byte) (Tunables, error) {
 			if len(text) == 1 {
