--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -121,7 +121,7 @@
 	for i := range n {
 		v := &vm{deployment: d, started: time.Now(), planner: place.New("z", uint64(i))}
 		v.planner.SetView(store.View())
-		srv := httptest.NewServer(&Share{v.planner})
+		srv := httptest.NewServer(&Handler{v.planner})
 		t.Cleanup(srv.Close)
 		v.addr = strings.TrimPrefix(srv.URL, "http://")
 		v.unit = Unit{
--- a/internal/cachesync/share.go
+++ b/internal/cachesync/share.go
@@ -14,11 +14,11 @@
 // Path is where a VM answers for what it believes of caches.
 const Path = "/caches"
 
-// Share is an http.Handler that gives other VMs what this one believes.
-type Share struct{ Planner *place.Planner }
+// Handler is an http.Handler that gives other VMs what this one believes.
+type Handler struct{ Planner *place.Planner }
 
 // ServeHTTP implements http.Handler.
-func (s *Share) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (s *Handler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	all := &wire.Caches{}
 	for _, c := range s.Planner.Caches() {
 		all.Engines = append(all.Engines, encode(c))
