--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -42,8 +42,8 @@
 	chunkPause   = 150 * time.Millisecond
 )
 
-// Lister asks engines.
-type Lister interface {
+// CacheLister asks engines.
+type CacheLister interface {
 	// Cached returns what e has cached.
 	Cached(ctx context.Context, e *catalog.Endpoint) ([]place.Part, error)
 }
@@ -68,7 +68,7 @@
 	Planner *place.Planner
 	Catalog *catalog.Store
 	Members Members
-	Engines Lister
+	Engines CacheLister
 	Own     string // this VM's address among Members
 	// NothingCached tells that the whole deployment starts for the first time.
 	NothingCached bool
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -52,7 +52,7 @@
 	// Engine gives orders over connections of pool.
 	Engine(pool *exchange.Pool) orders.Engine
 	// Caches asks engines what they have cached, over connections of pool.
-	Caches(pool *exchange.Pool) cachesync.Lister
+	Caches(pool *exchange.Pool) cachesync.CacheLister
 	// Readiness answers the platform's checks of this VM.
 	Readiness(m *gossip.Members) http.Handler
 	// Directory answers callers that ask where to connect.
