--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -69,7 +69,7 @@
 	Catalog *catalog.Store
 	Members Members
 	Engines CacheLister
-	Own     string // this VM's address among Members
+	OwnAddress     string // this VM's address among Members
 	// NothingCached tells that the whole deployment starts for the first time.
 	NothingCached bool
 	// Tell passes a message on to the other VMs.
@@ -204,7 +204,7 @@
 // of which another VM has told a list isn't asked again.
 func (u *Unit) askEngines(ctx context.Context, engines []*catalog.Endpoint) {
 	for _, e := range engines {
-		if ownerOf(e.ID, u.Members.ResponsiveActive()) != u.Own || u.Planner.CachedPartCount(e.ID) >= chunkParts {
+		if ownerOf(e.ID, u.Members.ResponsiveActive()) != u.OwnAddress || u.Planner.CachedPartCount(e.ID) >= chunkParts {
 			continue
 		}
 		parts, err := u.list(ctx, e)
