--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -125,7 +125,7 @@
 		t.Cleanup(srv.Close)
 		v.addr = strings.TrimPrefix(srv.URL, "http://")
 		v.unit = Unit{
-			Clock: clock.Boot{}, Planner: v.planner, Catalog: store, Members: v, Engines: d, OwnAddress: v.addr, NothingCached: first,
+			Clock: clock.Boot{}, Planner: v.planner, Catalog: store, Members: v, Engines: d, OwnAddress: v.addr, FirstStart: first,
 			Tell: func(c *wire.CachedPrefix) {
 				for _, other := range d.vms {
 					other.planner.RecordCached(c.GetEndpoint(), Parts(c))
--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -70,8 +70,8 @@
 	Members Members
 	Engines CacheLister
 	OwnAddress     string // this VM's address among Members
-	// NothingCached tells that the whole deployment starts for the first time.
-	NothingCached bool
+	// FirstStart tells that the whole deployment starts for the first time.
+	FirstStart bool
 	// Tell passes a message on to the other VMs.
 	Tell func(c *wire.CachedPrefix)
 }
@@ -82,7 +82,7 @@
 // Run implements kernel.Runner. A VM learns when it becomes active, and what it
 // knew counts for nothing once it has been away from it.
 func (u *Unit) Run(ctx context.Context) error {
-	learnt := u.NothingCached
+	learnt := u.FirstStart
 	for {
 		for !u.Members.IsActive() {
 			if !clock.Sleep(ctx, activePeriod) {
