--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -126,7 +126,7 @@
 		v.addr = strings.TrimPrefix(srv.URL, "http://")
 		v.unit = Unit{
 			Clock: clock.Boot{}, Planner: v.planner, Catalog: store, Members: v, Engines: d, OwnAddress: v.addr, FirstStart: first,
-			Tell: func(c *wire.CachedPrefix) {
+			Announce: func(c *wire.CachedPrefix) {
 				for _, other := range d.vms {
 					other.planner.RecordCached(c.GetEndpoint(), Parts(c))
 				}
--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -72,8 +72,8 @@
 	OwnAddress     string // this VM's address among Members
 	// FirstStart tells that the whole deployment starts for the first time.
 	FirstStart bool
-	// Tell passes a message on to the other VMs.
-	Tell func(c *wire.CachedPrefix)
+	// Announce passes a message on to the other VMs.
+	Announce func(c *wire.CachedPrefix)
 }
 
 // Name implements kernel.Unit.
@@ -226,7 +226,7 @@
 		chunk := parts[:n]
 		parts = parts[n:]
 		u.Planner.RecordCached(place.Key(e.ID), chunk)
-		u.Tell(Prefix(e, chunk))
+		u.Announce(Prefix(e, chunk))
 		if sent%chunksAtOnce == 0 && !clock.Sleep(ctx, chunkPause) {
 			return
 		}
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -222,7 +222,7 @@
 	return &cachesync.Unit{
 		Clock: n.clock, Planner: n.planner, Catalog: n.catalog, Members: n.members, Engines: n.adapter.Caches(n.pool),
 		OwnAddress: n.o.Self.Peer, FirstStart: n.o.FirstStart,
-		Tell: func(c *wire.CachedPrefix) {
+		Announce: func(c *wire.CachedPrefix) {
 			n.gossip.QueueUpdate(func(b *wire.Beat) { b.Cached = append(b.Cached, c) })
 		},
 	}
