--- a/internal/configsync/configsync_test.go
+++ b/internal/configsync/configsync_test.go
@@ -83,7 +83,7 @@
 // The store turns a VM away and serves the others. A route that operators moved
 // would be served by the old endpoints there until it is let in again.
 func TestAVMThatTheStoreTurnsAwayGetsTheConfigurationFromAPeer(t *testing.T) {
-	share := &Share{}
+	share := &Handler{}
 	peer := sharing(t, share)
 	v := newVM(t)
 	for _, version := range []int{7, 9} {
@@ -118,7 +118,7 @@
 // their datagrams arrive. It is then read from the store.
 func TestTheStoreIsReadWhenNoPeerGivesTheConfiguration(t *testing.T) {
 	v := newVM(t)
-	empty := sharing(t, &Share{})
+	empty := sharing(t, &Handler{})
 	v.hear(empty, 5, pullAfter)
 	eventually(t, v.settled, "the end of the pull")
 	v.clock.T = v.clock.T.Add(storeAfter)
@@ -136,7 +136,7 @@
 
 func TestOtherPathsAreNotFound(t *testing.T) {
 	w := httptest.NewRecorder()
-	s := &Share{}
+	s := &Handler{}
 	s.Set(keyedlog.Entry{Key: "config", Value: []byte("x")})
 	s.ServeHTTP(w, httptest.NewRequest("GET", "/other", nil))
 	assert.Equal(t, w.Code, http.StatusNotFound)
--- a/internal/configsync/share.go
+++ b/internal/configsync/share.go
@@ -23,22 +23,22 @@
 // Path is where a VM answers for its configuration.
 const Path = "/configuration"
 
-// Share is an http.Handler that gives the newest configuration to other VMs.
-type Share struct {
+// Handler is an http.Handler that gives the newest configuration to other VMs.
+type Handler struct {
 	mu     sync.Mutex
 	newest *keyedlog.Entry
 	packed []byte // newest on the wire, once somebody has asked for it
 }
 
 // Set replaces what is given.
-func (s *Share) Set(e keyedlog.Entry) {
+func (s *Handler) Set(e keyedlog.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.newest, s.packed = &e, nil
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Share) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := s.body()
 	switch {
 	case r.URL.Path != Path, err == nil && body == nil:
@@ -55,7 +55,7 @@
 
 // body packs the configuration once for all who ask: one of 1,400 routes shrinks
 // from 314 to 18 kB, which links of 10 Mbit/s need.
-func (s *Share) body() ([]byte, error) {
+func (s *Handler) body() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.packed != nil || s.newest == nil {
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -133,7 +133,7 @@
 	fleet    *keyedlog.Follower
 	changes  *gateway.Changes
 	puller   *configsync.Puller
-	share    configsync.Share
+	share    configsync.Handler
 	fresh    *freshness.Tracker // nil where requests bear no keys
 	nudgedAt clock.Time         // when a read of the configuration was hurried
 	time     *truetime.Estimator
