--- a/internal/configsync/configsync_test.go
+++ b/internal/configsync/configsync_test.go
@@ -52,9 +52,9 @@
 
 // hear gives the VM a peer's version, now and after a while.
 func (v *vm) hear(addr string, version uint64, after time.Duration) {
-	v.puller.Heard(addr, version)
+	v.puller.ReceiveVersion(addr, version)
 	v.clock.T = v.clock.T.Add(after)
-	v.puller.Heard(addr, version)
+	v.puller.ReceiveVersion(addr, version)
 }
 
 func (v *vm) settled() bool {
@@ -122,7 +122,7 @@
 	v.hear(empty, 5, pullAfter)
 	eventually(t, v.settled, "the end of the pull")
 	v.clock.T = v.clock.T.Add(storeAfter)
-	v.puller.Heard(empty, 5)
+	v.puller.ReceiveVersion(empty, 5)
 	eventually(t, func() bool { return v.store.reads.Load() == 1 }, "a read of the store")
 }
 
--- a/internal/configsync/puller.go
+++ b/internal/configsync/puller.go
@@ -48,8 +48,8 @@
 	return &Puller{clock: c, own: own, config: config, peers: peerhttp.New()}
 }
 
-// Heard takes the version that the VM at addr serves by.
-func (p *Puller) Heard(addr string, version uint64) {
+// ReceiveVersion takes the version that the VM at addr serves by.
+func (p *Puller) ReceiveVersion(addr string, version uint64) {
 	own := p.own()
 	now := p.clock.Now()
 	p.mu.Lock()
@@ -76,7 +76,7 @@
 // again looks once more after a while: it may take long until another VM tells.
 func (p *Puller) again(addr string, version uint64) {
 	time.Sleep(pullAfter)
-	p.Heard(addr, version)
+	p.ReceiveVersion(addr, version)
 }
 
 // pull gets the configuration of the VM at addr.
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -83,5 +83,5 @@
 // MergeAnswer implements gossip.Knowledge.
 func (k *knowledge) MergeAnswer(vm string, askedAt clock.Time, age time.Duration, version uint64) {
 	k.n.fresh.MergeAnswer(askedAt, age, version)
-	k.n.puller.Heard(vm, version)
+	k.n.puller.ReceiveVersion(vm, version)
 }
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -170,7 +170,7 @@
 	n.orders.Leaves = n.leaves
 	n.exchange = &gateway.GossipContent{
 		Clock: c, Planner: n.planner, Pressure: n.pressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.changes,
-		RequestRate: n.gateway.RequestRate, OnOrder: n.orders.Heard, OnPeerConfigVersion: n.puller.Heard, OnChange: n.news,
+		RequestRate: n.gateway.RequestRate, OnOrder: n.orders.Heard, OnPeerConfigVersion: n.puller.ReceiveVersion, OnChange: n.news,
 	}
 	if o.Usage.Window > 0 {
 		n.exchange.Time, n.exchange.Usage = n.time, n.usage
