--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -35,7 +35,7 @@
 	// Time estimates the time of day, and Usage counts requests per window of that time. Both are
 	// nil where requests aren't counted.
 	Time  *truetime.Estimator
-	Usage *usage.Book
+	Usage *usage.Ledger
 
 	crashes announcements[*wire.Crash]
 	leaving announcements[*wire.LeavingEndpoint]
--- a/internal/usage/book.go
+++ b/internal/usage/book.go
@@ -46,8 +46,8 @@
 	Counts Counts
 }
 
-// Book holds the totals of all processes. It is safe for concurrent use.
-type Book struct {
+// Ledger holds the totals of all processes. It is safe for concurrent use.
+type Ledger struct {
 	mu     sync.Mutex
 	own    map[int64]Counts
 	untold map[int64]int // how often own windows are still to be told
@@ -57,12 +57,12 @@
 }
 
 // NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{own: map[int64]Counts{}, untold: map[int64]int{}, others: map[string]map[int64]Counts{}}
+func NewBook() *Ledger {
+	return &Ledger{own: map[int64]Counts{}, untold: map[int64]int{}, others: map[string]map[int64]Counts{}}
 }
 
 // Note counts a request of this process.
-func (b *Book) Note(window int64, workspace string) {
+func (b *Ledger) Note(window int64, workspace string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.begin(window)
@@ -76,7 +76,7 @@
 }
 
 // begin drops the oldest windows when a newer one begins.
-func (b *Book) begin(window int64) {
+func (b *Ledger) begin(window int64) {
 	if window <= b.newest {
 		return
 	}
@@ -92,7 +92,7 @@
 }
 
 // Tell returns the own totals that are due to be told.
-func (b *Book) Tell(now clock.Time) []Totals {
+func (b *Ledger) Tell(now clock.Time) []Totals {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now.Sub(b.told) < tellPeriod {
@@ -113,7 +113,7 @@
 }
 
 // All returns the totals that are known, by process. own names this one.
-func (b *Book) All(own string) map[string][]Totals {
+func (b *Ledger) All(own string) map[string][]Totals {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := make(map[string][]Totals, len(b.others)+1)
@@ -130,7 +130,7 @@
 }
 
 // Hear takes totals that another process has told.
-func (b *Book) Hear(process string, t Totals) {
+func (b *Ledger) Hear(process string, t Totals) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if t.Window <= b.newest-keptWindows {
@@ -151,7 +151,7 @@
 }
 
 // Sum returns the totals of all processes in a window.
-func (b *Book) Sum(window int64) Counts {
+func (b *Ledger) Sum(window int64) Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sum := Counts{}
--- a/internal/usage/share.go
+++ b/internal/usage/share.go
@@ -28,7 +28,7 @@
 
 // Share is an http.Handler that gives the known totals to other VMs.
 type Share struct {
-	Book *Book
+	Book *Ledger
 	Own  string // name of this process
 }
 
@@ -51,14 +51,14 @@
 // Gatherer asks other VMs for what they know: a VM that is dealt the duty may not have
 // been told what those counted that have stopped since.
 type Gatherer struct {
-	Book  *Book
+	Book  *Ledger
 	Own   string          // name of this process
 	VMs   func() []string // addresses of those that may know
 	peers *peerhttp.Client
 }
 
 // NewGatherer returns a gatherer for b.
-func NewGatherer(b *Book, own string, vms func() []string) *Gatherer {
+func NewGatherer(b *Ledger, own string, vms func() []string) *Gatherer {
 	return &Gatherer{Book: b, Own: own, VMs: vms, peers: peerhttp.New()}
 }
 
@@ -114,7 +114,7 @@
 }
 
 // HearAll takes totals as another process has told them.
-func (b *Book) HearAll(process string, windows []*wire.UsageWindow) {
+func (b *Ledger) HearAll(process string, windows []*wire.UsageWindow) {
 	for _, w := range windows {
 		requests := w.GetRequests()
 		counts := make(Counts, len(requests))
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-func (p *platform) reporter(b *Book, may func() bool) *Reporter {
+func (p *platform) reporter(b *Ledger, may func() bool) *Reporter {
 	return &Reporter{
 		Book: b, Records: p, Billing: p, Clock: p.clock, TrueTime: func(at clock.Time) time.Time { return start.Add(time.Duration(at)) },
 		May: func() (int64, bool) { return 4, may() }, Gather: func(context.Context) {}, Window: 5 * time.Second, Due: 10 * time.Second, reported: map[int64]bool{},
@@ -213,7 +213,7 @@
 // and at times two believe that they hold it.
 func holders(t *testing.T, p *platform) {
 	t.Helper()
-	var books []*Book
+	var books []*Ledger
 	var reporters []*Reporter
 	owner, second := 0, 0
 	for i := range 3 {
@@ -263,7 +263,7 @@
 	b.Note(w, "north")
 	c.Note(w, "south")
 	p.clock.T = p.clock.T.Add(8 * time.Second)
-	for _, book := range []*Book{b, c} {
+	for _, book := range []*Ledger{b, c} {
 		r := p.reporter(book, func() bool { return true })
 		r.Records = undecided{p}
 		r.look(t.Context())
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -137,7 +137,7 @@
 	fresh    *freshness.Tracker // nil where requests bear no keys
 	nudgedAt clock.Time         // when a read of the configuration was hurried
 	time     *truetime.Estimator
-	usage    *usage.Book
+	usage    *usage.Ledger
 }
 
 // New wires a process. Its units do nothing until the kernel runs them.
