--- a/internal/usage/book.go
+++ b/internal/usage/book.go
@@ -56,8 +56,8 @@
 	told   clock.Time
 }
 
-// NewBook returns an empty book.
-func NewBook() *Ledger {
+// NewLedger returns an empty book.
+func NewLedger() *Ledger {
 	return &Ledger{own: map[int64]Counts{}, untold: map[int64]int{}, others: map[string]map[int64]Counts{}}
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -20,7 +20,7 @@
 
 // Guards against counts that are lost, doubled or taken back by messages that are lost, repeated or late.
 func TestTotalsAreMergedByProcess(t *testing.T) {
-	b := NewBook()
+	b := NewLedger()
 	b.Note(7, "north")
 	b.Note(7, "north")
 	b.Hear("vm-2", Totals{7, Counts{"north": 3, "south": 1}})
@@ -33,7 +33,7 @@
 
 // Guards against the last totals of a window that are lost with one message.
 func TestTotalsAreToldTwiceAfterTheirLastChange(t *testing.T) {
-	b := NewBook()
+	b := NewLedger()
 	now := clock.Time(time.Minute)
 	b.Note(7, "north")
 	assert.Equal(t, len(b.Tell(now)), 1)
@@ -46,7 +46,7 @@
 
 // Guards against counts of a VM that has died, which a new holder of the duty was never told.
 func TestAHolderGathersWhatOthersKnow(t *testing.T) {
-	keeper, holder := NewBook(), NewBook()
+	keeper, holder := NewLedger(), NewLedger()
 	keeper.Note(7, "north")
 	keeper.Hear("dead", Totals{7, Counts{"south": 2}})
 	keeper.Hear("holder", Totals{7, Counts{"north": 1}})
@@ -65,7 +65,7 @@
 }
 
 func TestOldWindowsAreForgotten(t *testing.T) {
-	b := NewBook()
+	b := NewLedger()
 	b.Note(7, "north")
 	b.Hear("vm-2", Totals{7, Counts{"north": 1}})
 	b.Note(7+keptWindows, "north")
@@ -75,7 +75,7 @@
 
 // Guards against the memory of a VM that is told counts for days and serves nobody itself.
 func TestAVMThatOnlyHearsForgetsOldWindows(t *testing.T) {
-	b := NewBook()
+	b := NewLedger()
 	for w := range int64(1000) {
 		b.Hear(fmt.Sprint("vm-", w/10), Totals{w + 1, Counts{"north": 1}})
 	}
@@ -186,7 +186,7 @@
 
 func TestAWindowIsReportedOnceItHasSettled(t *testing.T) {
 	p := newPlatform(1)
-	b := NewBook()
+	b := NewLedger()
 	r := p.reporter(b, func() bool { return true })
 	w := p.window()
 	b.Note(w, "north")
@@ -203,7 +203,7 @@
 // Guards against a window whose requests are all unknown: a report of nothing would contradict one with counts.
 func TestAWindowWithoutKnownRequestsIsNotReported(t *testing.T) {
 	p := newPlatform(1)
-	r := p.reporter(NewBook(), func() bool { return true })
+	r := p.reporter(NewLedger(), func() bool { return true })
 	p.clock.T = p.clock.T.Add(time.Minute)
 	r.look(t.Context())
 	assert.Equal(t, len(p.records)+len(p.reports), 0)
@@ -217,7 +217,7 @@
 	var reporters []*Reporter
 	owner, second := 0, 0
 	for i := range 3 {
-		books = append(books, NewBook())
+		books = append(books, NewLedger())
 		reporters = append(reporters, p.reporter(books[i], func() bool { return owner == i || second == i }))
 	}
 	for range 600 {
@@ -258,7 +258,7 @@
 // The check above fails where windows aren't decided before they are reported.
 func TestReportsDifferWithoutTheRecord(t *testing.T) {
 	p := newPlatform(5)
-	b, c := NewBook(), NewBook()
+	b, c := NewLedger(), NewLedger()
 	w := p.window()
 	b.Note(w, "north")
 	c.Note(w, "south")
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -156,7 +156,7 @@
 	if o.Keys != nil {
 		n.fresh = freshness.New(c, *o.Keys)
 	}
-	n.time, n.usage = truetime.New(c, time.Now), usage.NewBook()
+	n.time, n.usage = truetime.New(c, time.Now), usage.NewLedger()
 	n.followers()
 	n.gateway = gateway.New(gateway.Options{
 		Codec: a.Codec(), Catalog: n.catalog, Planner: n.planner, Budget: n.budget, Crashes: n.crashes,
