--- a/internal/usage/book.go
+++ b/internal/usage/book.go
@@ -61,8 +61,8 @@
 	return &Ledger{own: map[int64]Counts{}, untold: map[int64]int{}, others: map[string]map[int64]Counts{}}
 }
 
-// Note counts a request of this process.
-func (b *Ledger) Note(window int64, workspace string) {
+// RecordRequest counts a request of this process.
+func (b *Ledger) RecordRequest(window int64, workspace string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.begin(window)
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -21,8 +21,8 @@
 // Guards against counts that are lost, doubled or taken back by messages that are lost, repeated or late.
 func TestTotalsAreMergedByProcess(t *testing.T) {
 	b := NewLedger()
-	b.Note(7, "north")
-	b.Note(7, "north")
+	b.RecordRequest(7, "north")
+	b.RecordRequest(7, "north")
 	b.Hear("vm-2", Totals{7, Counts{"north": 3, "south": 1}})
 	b.Hear("vm-2", Totals{7, Counts{"north": 5, "south": 1}})
 	b.Hear("vm-2", Totals{7, Counts{"north": 3}})
@@ -35,7 +35,7 @@
 func TestTotalsAreToldTwiceAfterTheirLastChange(t *testing.T) {
 	b := NewLedger()
 	now := clock.Time(time.Minute)
-	b.Note(7, "north")
+	b.RecordRequest(7, "north")
 	assert.Equal(t, len(b.Tell(now)), 1)
 	assert.Equal(t, len(b.Tell(now.Add(tellPeriod-1))), 0)
 	now = now.Add(tellPeriod)
@@ -47,10 +47,10 @@
 // Guards against counts of a VM that has died, which a new holder of the duty was never told.
 func TestAHolderGathersWhatOthersKnow(t *testing.T) {
 	keeper, holder := NewLedger(), NewLedger()
-	keeper.Note(7, "north")
+	keeper.RecordRequest(7, "north")
 	keeper.Hear("dead", Totals{7, Counts{"south": 2}})
 	keeper.Hear("holder", Totals{7, Counts{"north": 1}})
-	holder.Note(7, "north")
+	holder.RecordRequest(7, "north")
 	srv := httptest.NewServer(&Share{Book: keeper, Own: "keeper"})
 	t.Cleanup(srv.Close)
 	gone := httptest.NewServer(http.NotFoundHandler())
@@ -66,9 +66,9 @@
 
 func TestOldWindowsAreForgotten(t *testing.T) {
 	b := NewLedger()
-	b.Note(7, "north")
+	b.RecordRequest(7, "north")
 	b.Hear("vm-2", Totals{7, Counts{"north": 1}})
-	b.Note(7+keptWindows, "north")
+	b.RecordRequest(7+keptWindows, "north")
 	b.Hear("vm-3", Totals{7, Counts{"north": 1}})
 	assert.Equal(t, len(b.Sum(7)), 0)
 }
@@ -189,7 +189,7 @@
 	b := NewLedger()
 	r := p.reporter(b, func() bool { return true })
 	w := p.window()
-	b.Note(w, "north")
+	b.RecordRequest(w, "north")
 	p.clock.T = p.clock.T.Add(5*time.Second + settle - time.Millisecond)
 	r.look(t.Context())
 	assert.Equal(t, len(p.reports), 0)
@@ -226,7 +226,7 @@
 			second, owner = owner, p.rng.IntN(3)
 		}
 		from := p.rng.IntN(3)
-		books[from].Note(p.window(), fmt.Sprint("w", p.rng.IntN(3)))
+		books[from].RecordRequest(p.window(), fmt.Sprint("w", p.rng.IntN(3)))
 		for _, told := range books[from].Tell(p.clock.T) {
 			for i, b := range books {
 				if i != from && p.rng.IntN(3) > 0 {
@@ -260,8 +260,8 @@
 	p := newPlatform(5)
 	b, c := NewLedger(), NewLedger()
 	w := p.window()
-	b.Note(w, "north")
-	c.Note(w, "south")
+	b.RecordRequest(w, "north")
+	c.RecordRequest(w, "south")
 	p.clock.T = p.clock.T.Add(8 * time.Second)
 	for _, book := range []*Ledger{b, c} {
 		r := p.reporter(book, func() bool { return true })
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -62,7 +62,7 @@
 // began counts a request for its workspace.
 func (n *Node) began(at clock.Time, w *workspace.Workspace) {
 	if n.o.Usage.Window > 0 {
-		n.usage.Note(usage.WindowOf(n.time.At(at), n.o.Usage.Window), w.Name)
+		n.usage.RecordRequest(usage.WindowOf(n.time.At(at), n.o.Usage.Window), w.Name)
 	}
 }
 
