--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -104,7 +104,7 @@
 	if x.Usage == nil {
 		return nil
 	}
-	return usage.Encode(x.Usage.Tell(x.Clock.Now()))
+	return usage.Encode(x.Usage.DueTotals(x.Clock.Now()))
 }
 
 // receiveTotals merges the time of day and the usage counts of another VM.
--- a/internal/usage/book.go
+++ b/internal/usage/book.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Tell returns the own totals that are due to be told.
-func (b *Ledger) Tell(now clock.Time) []Totals {
+// DueTotals returns the own totals that are due to be told.
+func (b *Ledger) DueTotals(now clock.Time) []Totals {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now.Sub(b.told) < tellPeriod {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -36,12 +36,12 @@
 	b := NewLedger()
 	now := clock.Time(time.Minute)
 	b.RecordRequest(7, "north")
-	assert.Equal(t, len(b.Tell(now)), 1)
-	assert.Equal(t, len(b.Tell(now.Add(tellPeriod-1))), 0)
+	assert.Equal(t, len(b.DueTotals(now)), 1)
+	assert.Equal(t, len(b.DueTotals(now.Add(tellPeriod-1))), 0)
 	now = now.Add(tellPeriod)
-	assert.DeepEqual(t, b.Tell(now), []Totals{{7, Counts{"north": 1}}})
+	assert.DeepEqual(t, b.DueTotals(now), []Totals{{7, Counts{"north": 1}}})
 	now = now.Add(tellPeriod)
-	assert.Equal(t, len(b.Tell(now)), 0)
+	assert.Equal(t, len(b.DueTotals(now)), 0)
 }
 
 // Guards against counts of a VM that has died, which a new holder of the duty was never told.
@@ -227,7 +227,7 @@
 		}
 		from := p.rng.IntN(3)
 		books[from].RecordRequest(p.window(), fmt.Sprint("w", p.rng.IntN(3)))
-		for _, told := range books[from].Tell(p.clock.T) {
+		for _, told := range books[from].DueTotals(p.clock.T) {
 			for i, b := range books {
 				if i != from && p.rng.IntN(3) > 0 {
 					b.Hear(fmt.Sprint(from), told)
