--- a/internal/usage/book.go
+++ b/internal/usage/book.go
@@ -129,8 +129,8 @@
 	return all
 }
 
-// Hear takes totals that another process has told.
-func (b *Ledger) Hear(process string, t Totals) {
+// MergeTotals takes totals that another process has told.
+func (b *Ledger) MergeTotals(process string, t Totals) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if t.Window <= b.newest-keptWindows {
--- a/internal/usage/share.go
+++ b/internal/usage/share.go
@@ -123,6 +123,6 @@
 				counts[name] = requests[i]
 			}
 		}
-		b.Hear(process, Totals{w.GetWindow(), counts})
+		b.MergeTotals(process, Totals{w.GetWindow(), counts})
 	}
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -23,10 +23,10 @@
 	b := NewLedger()
 	b.RecordRequest(7, "north")
 	b.RecordRequest(7, "north")
-	b.Hear("vm-2", Totals{7, Counts{"north": 3, "south": 1}})
-	b.Hear("vm-2", Totals{7, Counts{"north": 5, "south": 1}})
-	b.Hear("vm-2", Totals{7, Counts{"north": 3}})
-	b.Hear("vm-2 restarted", Totals{7, Counts{"south": 2}})
+	b.MergeTotals("vm-2", Totals{7, Counts{"north": 3, "south": 1}})
+	b.MergeTotals("vm-2", Totals{7, Counts{"north": 5, "south": 1}})
+	b.MergeTotals("vm-2", Totals{7, Counts{"north": 3}})
+	b.MergeTotals("vm-2 restarted", Totals{7, Counts{"south": 2}})
 	assert.DeepEqual(t, b.Sum(7), Counts{"north": 7, "south": 3})
 	assert.DeepEqual(t, b.Sum(6), Counts{})
 }
@@ -48,8 +48,8 @@
 func TestAHolderGathersWhatOthersKnow(t *testing.T) {
 	keeper, holder := NewLedger(), NewLedger()
 	keeper.RecordRequest(7, "north")
-	keeper.Hear("dead", Totals{7, Counts{"south": 2}})
-	keeper.Hear("holder", Totals{7, Counts{"north": 1}})
+	keeper.MergeTotals("dead", Totals{7, Counts{"south": 2}})
+	keeper.MergeTotals("holder", Totals{7, Counts{"north": 1}})
 	holder.RecordRequest(7, "north")
 	srv := httptest.NewServer(&Share{Book: keeper, Own: "keeper"})
 	t.Cleanup(srv.Close)
@@ -67,9 +67,9 @@
 func TestOldWindowsAreForgotten(t *testing.T) {
 	b := NewLedger()
 	b.RecordRequest(7, "north")
-	b.Hear("vm-2", Totals{7, Counts{"north": 1}})
+	b.MergeTotals("vm-2", Totals{7, Counts{"north": 1}})
 	b.RecordRequest(7+keptWindows, "north")
-	b.Hear("vm-3", Totals{7, Counts{"north": 1}})
+	b.MergeTotals("vm-3", Totals{7, Counts{"north": 1}})
 	assert.Equal(t, len(b.Sum(7)), 0)
 }
 
@@ -77,7 +77,7 @@
 func TestAVMThatOnlyHearsForgetsOldWindows(t *testing.T) {
 	b := NewLedger()
 	for w := range int64(1000) {
-		b.Hear(fmt.Sprint("vm-", w/10), Totals{w + 1, Counts{"north": 1}})
+		b.MergeTotals(fmt.Sprint("vm-", w/10), Totals{w + 1, Counts{"north": 1}})
 	}
 	assert.Assert(t, len(b.others) <= 2)
 	assert.DeepEqual(t, b.Sum(1000), Counts{"north": 1})
@@ -230,7 +230,7 @@
 		for _, told := range books[from].DueTotals(p.clock.T) {
 			for i, b := range books {
 				if i != from && p.rng.IntN(3) > 0 {
-					b.Hear(fmt.Sprint(from), told)
+					b.MergeTotals(fmt.Sprint(from), told)
 				}
 			}
 		}
