--- a/internal/usage/book.go
+++ b/internal/usage/book.go
@@ -112,8 +112,8 @@
 	return out
 }
 
-// All returns the totals that are known, by process. own names this one.
-func (b *Ledger) All(own string) map[string][]Totals {
+// TotalsByProcess returns the totals that are known, by process. own names this one.
+func (b *Ledger) TotalsByProcess(own string) map[string][]Totals {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := make(map[string][]Totals, len(b.others)+1)
--- a/internal/usage/share.go
+++ b/internal/usage/share.go
@@ -35,7 +35,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Share) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	book := &wire.UsageBook{}
-	for process, windows := range s.Book.All(s.Own) {
+	for process, windows := range s.Book.TotalsByProcess(s.Own) {
 		book.Processes = append(book.Processes, &wire.UsageTotals{Process: process, Windows: Encode(windows)})
 	}
 	data, err := proto.Marshal(book)
