--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -112,7 +112,7 @@
 	if b.GetWallMs() != 0 {
 		x.Time.ReceiveTime(from, time.UnixMilli(b.GetWallMs()))
 	}
-	x.Usage.HearAll(ProcessName(from, b.GetIncarnation()), b.GetUsage())
+	x.Usage.MergeWindows(ProcessName(from, b.GetIncarnation()), b.GetUsage())
 }
 
 // ProcessName returns a name that is unique to each process of a VM.
--- a/internal/usage/share.go
+++ b/internal/usage/share.go
@@ -89,7 +89,7 @@
 		}
 		for _, p := range book.GetProcesses() {
 			if p.GetProcess() != g.Own {
-				g.Book.HearAll(p.GetProcess(), p.GetWindows())
+				g.Book.MergeWindows(p.GetProcess(), p.GetWindows())
 			}
 		}
 		return nil
@@ -113,8 +113,8 @@
 	return out
 }
 
-// HearAll takes totals as another process has told them.
-func (b *Ledger) HearAll(process string, windows []*wire.UsageWindow) {
+// MergeWindows takes totals as another process has told them.
+func (b *Ledger) MergeWindows(process string, windows []*wire.UsageWindow) {
 	for _, w := range windows {
 		requests := w.GetRequests()
 		counts := make(Counts, len(requests))
