--- a/internal/usage/share.go
+++ b/internal/usage/share.go
@@ -26,14 +26,14 @@
 	maxBook = 4 << 20
 )
 
-// Share is an http.Handler that gives the known totals to other VMs.
-type Share struct {
+// Handler is an http.Handler that gives the known totals to other VMs.
+type Handler struct {
 	Book *Ledger
 	Own  string // name of this process
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Share) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (s *Handler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	book := &wire.UsageBook{}
 	for process, windows := range s.Book.TotalsByProcess(s.Own) {
 		book.Processes = append(book.Processes, &wire.UsageTotals{Process: process, Windows: Encode(windows)})
