--- a/internal/usage/share.go
+++ b/internal/usage/share.go
@@ -28,14 +28,14 @@
 
 // Handler is an http.Handler that gives the known totals to other VMs.
 type Handler struct {
-	Book *Ledger
+	Ledger *Ledger
 	Own  string // name of this process
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Handler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	book := &wire.UsageBook{}
-	for process, windows := range s.Book.TotalsByProcess(s.Own) {
+	for process, windows := range s.Ledger.TotalsByProcess(s.Own) {
 		book.Processes = append(book.Processes, &wire.UsageTotals{Process: process, Windows: Encode(windows)})
 	}
 	data, err := proto.Marshal(book)
