--- a/internal/usage/share.go
+++ b/internal/usage/share.go
@@ -29,13 +29,13 @@
 // Handler is an http.Handler that gives the known totals to other VMs.
 type Handler struct {
 	Ledger *Ledger
-	Own  string // name of this process
+	Process  string // name of this process
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Handler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	book := &wire.UsageBook{}
-	for process, windows := range s.Ledger.TotalsByProcess(s.Own) {
+	for process, windows := range s.Ledger.TotalsByProcess(s.Process) {
 		book.Processes = append(book.Processes, &wire.UsageTotals{Process: process, Windows: Encode(windows)})
 	}
 	data, err := proto.Marshal(book)
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -51,7 +51,7 @@
 	keeper.MergeTotals("dead", Totals{7, Counts{"south": 2}})
 	keeper.MergeTotals("holder", Totals{7, Counts{"north": 1}})
 	holder.RecordRequest(7, "north")
-	srv := httptest.NewServer(&Handler{Ledger: keeper, Own: "keeper"})
+	srv := httptest.NewServer(&Handler{Ledger: keeper, Process: "keeper"})
 	t.Cleanup(srv.Close)
 	gone := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(gone.Close)
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -214,7 +214,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET "+configsync.Path, &n.share)
 	mux.Handle("GET "+cachesync.Path, &cachesync.Handler{Planner: n.planner})
-	mux.Handle("GET "+usage.Path, &usage.Handler{Ledger: n.usage, Own: n.process()})
+	mux.Handle("GET "+usage.Path, &usage.Handler{Ledger: n.usage, Process: n.process()})
 	return mux
 }
 
