--- a/internal/usage/share.go
+++ b/internal/usage/share.go
@@ -51,7 +51,7 @@
 // Gatherer asks other VMs for what they know: a VM that is dealt the duty may not have
 // been told what those counted that have stopped since.
 type Gatherer struct {
-	Book  *Ledger
+	Ledger  *Ledger
 	Own   string          // name of this process
 	VMs   func() []string // addresses of those that may know
 	peers *peerhttp.Client
@@ -59,7 +59,7 @@
 
 // NewGatherer returns a gatherer for b.
 func NewGatherer(b *Ledger, own string, vms func() []string) *Gatherer {
-	return &Gatherer{Book: b, Own: own, VMs: vms, peers: peerhttp.New()}
+	return &Gatherer{Ledger: b, Own: own, VMs: vms, peers: peerhttp.New()}
 }
 
 // Gather asks all of them once.
@@ -89,7 +89,7 @@
 		}
 		for _, p := range book.GetProcesses() {
 			if p.GetProcess() != g.Own {
-				g.Book.MergeWindows(p.GetProcess(), p.GetWindows())
+				g.Ledger.MergeWindows(p.GetProcess(), p.GetWindows())
 			}
 		}
 		return nil
