--- a/internal/usage/share.go
+++ b/internal/usage/share.go
@@ -52,14 +52,14 @@
 // been told what those counted that have stopped since.
 type Gatherer struct {
 	Ledger  *Ledger
-	Own   string          // name of this process
+	Process   string          // name of this process
 	VMs   func() []string // addresses of those that may know
 	peers *peerhttp.Client
 }
 
 // NewGatherer returns a gatherer for b.
 func NewGatherer(b *Ledger, own string, vms func() []string) *Gatherer {
-	return &Gatherer{Ledger: b, Own: own, VMs: vms, peers: peerhttp.New()}
+	return &Gatherer{Ledger: b, Process: own, VMs: vms, peers: peerhttp.New()}
 }
 
 // Gather asks all of them once.
@@ -88,7 +88,7 @@
 			return err
 		}
 		for _, p := range book.GetProcesses() {
-			if p.GetProcess() != g.Own {
+			if p.GetProcess() != g.Process {
 				g.Ledger.MergeWindows(p.GetProcess(), p.GetWindows())
 			}
 		}
