--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -47,7 +47,7 @@
 // before the first report: holders that follow each other, or that don't know whether
 // their writing or their report arrived, report the same counts.
 type Reporter struct {
-	Book    *Ledger
+	Ledger    *Ledger
 	Records Records
 	Billing Billing
 	Clock   clock.Clock
@@ -104,7 +104,7 @@
 // forget drops what is known of windows before first, and logs those that were missed.
 func (r *Reporter) forget(first int64) {
 	for w := first - keptWindows/2; w < first; w++ {
-		if !r.reported[w] && w > r.missed && len(r.Book.Sum(w)) > 0 {
+		if !r.reported[w] && w > r.missed && len(r.Ledger.Sum(w)) > 0 {
 			log.WithField("window", w).Warn("usage not reported in time")
 			r.missed = w
 		}
@@ -147,7 +147,7 @@
 	if i := slices.IndexFunc(decided, func(t Totals) bool { return t.Window == window }); i >= 0 {
 		return decided[i], true
 	}
-	t := Totals{window, r.Book.Sum(window)}
+	t := Totals{window, r.Ledger.Sum(window)}
 	if len(t.Counts) == 0 {
 		return t, true
 	}
