--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -57,9 +57,9 @@
 	May func() (fence int64, ok bool)
 	// Gather takes over what other VMs know, when this one comes to act.
 	Gather func(ctx context.Context)
-	// Window is the length of a window, and Due how long after its end it must have
+	// Window is the length of a window, and ReportDeadline how long after its end it must have
 	// been reported.
-	Window, Due time.Duration
+	Window, ReportDeadline time.Duration
 
 	acting   bool
 	reported map[int64]bool
@@ -89,7 +89,7 @@
 		r.acting = true
 	}
 	now := r.TrueTime(r.Clock.Now())
-	first := WindowOf(now.Add(giveUp-r.Due), r.Window)
+	first := WindowOf(now.Add(giveUp-r.ReportDeadline), r.Window)
 	r.forget(first)
 	for w := first; w < WindowOf(now.Add(-settle), r.Window); w++ {
 		if r.reported[w] {
