--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -53,8 +53,8 @@
 	Clock   clock.Clock
 	// TrueTime returns the time of day at a reading of the clock.
 	TrueTime func(clock.Time) time.Time
-	// May returns the fencing token to act with, and whether this process may act.
-	May func() (fence int64, ok bool)
+	// MayAct returns the fencing token to act with, and whether this process may act.
+	MayAct func() (fence int64, ok bool)
 	// Gather takes over what other VMs know, when this one comes to act.
 	Gather func(ctx context.Context)
 	// Window is the length of a window, and ReportDeadline how long after its end it must have
@@ -80,7 +80,7 @@
 
 // look reports the windows that are due, the oldest first.
 func (r *Reporter) look(ctx context.Context) {
-	if _, ok := r.May(); !ok {
+	if _, ok := r.MayAct(); !ok {
 		r.acting = false
 		return
 	}
@@ -121,7 +121,7 @@
 	if len(t.Counts) == 0 {
 		return true // nobody knows of any request
 	}
-	fence, ok := r.May()
+	fence, ok := r.MayAct()
 	if !ok {
 		return false
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -176,7 +176,7 @@
 func (p *platform) reporter(b *Ledger, may func() bool) *Reporter {
 	return &Reporter{
 		Ledger: b, Records: p, Billing: p, Clock: p.clock, TrueTime: func(at clock.Time) time.Time { return start.Add(time.Duration(at)) },
-		May: func() (int64, bool) { return 4, may() }, Gather: func(context.Context) {}, Window: 5 * time.Second, ReportDeadline: 10 * time.Second, reported: map[int64]bool{},
+		MayAct: func() (int64, bool) { return 4, may() }, Gather: func(context.Context) {}, Window: 5 * time.Second, ReportDeadline: 10 * time.Second, reported: map[int64]bool{},
 	}
 }
 
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -19,7 +19,7 @@
 	if u := n.o.Usage; u.Window > 0 {
 		units = append(units, &usage.Reporter{
 			Ledger: n.usage, Records: n.adapter.UsageRecords(), Billing: n.adapter.Billing(), Clock: n.clock,
-			TrueTime: n.time.At, May: n.may, Window: u.Window, ReportDeadline: u.ReportDeadline,
+			TrueTime: n.time.At, MayAct: n.may, Window: u.Window, ReportDeadline: u.ReportDeadline,
 			Gather: usage.NewGatherer(n.usage, n.process(), n.members.ResponsiveActive).Gather,
 		})
 	}
