--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -47,8 +47,8 @@
 	DecodeConfig(data []byte) (*catalog.Config, error)
 	// DecodeEndpoint reads a record of Endpoints.
 	DecodeEndpoint(id string, data []byte) (*catalog.Endpoint, error)
-	// Duty keeps the VM that gave orders last.
-	Duty() authority.Record
+	// LeaderRecord keeps the VM that gave orders last.
+	LeaderRecord() authority.Record
 	// Engine gives orders over connections of pool.
 	Engine(pool *exchange.Pool) orders.Engine
 	// Caches asks engines what they have cached, over connections of pool.
@@ -196,7 +196,7 @@
 	units := []kernel.Unit{
 		n.gossip,
 		gossip.NewRegistration(n.adapter, n.members, n.renewed),
-		&authority.Keeper{Authority: n.duty, Record: n.adapter.Duty(), Clock: n.clock, VM: n.o.Self.Peer},
+		&authority.Keeper{Authority: n.duty, Record: n.adapter.LeaderRecord(), Clock: n.clock, VM: n.o.Self.Peer},
 		n.orders,
 		&follower{n},
 		n.cachesUnit(),
