--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -64,12 +64,12 @@
 
 // Unit is the kernel unit.
 type Unit struct {
-	Clock   clock.Clock
-	Planner *place.Planner
-	Catalog *catalog.Store
-	Members Members
-	Engines CacheLister
-	OwnAddress     string // this VM's address among Members
+	Clock      clock.Clock
+	Planner    *place.Planner
+	Catalog    *catalog.Store
+	Members    Members
+	Engines    CacheLister
+	OwnAddress string // this VM's address among Members
 	// FirstStart tells that the whole deployment starts for the first time.
 	FirstStart bool
 	// Announce passes a message on to the other VMs.
--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -32,18 +32,18 @@
 
 // Route says how the requests below one path prefix of a host are served.
 type Route struct {
-	Name        string
-	Host        string
-	PathPrefix  string // begins and ends with a slash
-	Kind        Kind
-	Resumable   bool          // a stream may go on at another endpoint
-	Timeout     time.Duration // longest time a caller is kept waiting, zero for none
-	LatencyTarget      time.Duration // time to the answer or the first event that callers hope for
-	EventGapTarget         time.Duration // longest pause between events that callers hope for
-	Priority    int           // 0 is the most urgent
-	MaxAttempts int           // endpoints that one request may be sent to
-	Anonymous   bool          // no key is needed
-	Shares      []Share
+	Name           string
+	Host           string
+	PathPrefix     string // begins and ends with a slash
+	Kind           Kind
+	Resumable      bool          // a stream may go on at another endpoint
+	Timeout        time.Duration // longest time a caller is kept waiting, zero for none
+	LatencyTarget  time.Duration // time to the answer or the first event that callers hope for
+	EventGapTarget time.Duration // longest pause between events that callers hope for
+	Priority       int           // 0 is the most urgent
+	MaxAttempts    int           // endpoints that one request may be sent to
+	Anonymous      bool          // no key is needed
+	Shares         []Share
 }
 
 // Retryable tells whether a request of the route may be sent again after it
@@ -87,7 +87,7 @@
 // Scaling says how many endpoints of a service may be ordered, and what they cost.
 type Scaling struct {
 	Min, Max int           // endpoints of a zone, spot ones included
-	BootTime     time.Duration // from the order to the first request
+	BootTime time.Duration // from the order to the first request
 	// SpotPrice is the price of a spot endpoint as a share of that of another one of
 	// its zone, zero where there are none.
 	SpotPrice  float64
@@ -103,9 +103,9 @@
 
 // Config is one version of the operators' configuration.
 type Config struct {
-	Version  uint64
-	Services map[string]*Service
-	MaxBodyBytes  int64 // bytes of a request's body, zero for no limit
+	Version      uint64
+	Services     map[string]*Service
+	MaxBodyBytes int64 // bytes of a request's body, zero for no limit
 	// Workspaces are those whose keys requests must bear; it is nil where requests
 	// bear none.
 	Workspaces *workspace.Directory
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -47,7 +47,7 @@
 // before the first report: holders that follow each other, or that don't know whether
 // their writing or their report arrived, report the same counts.
 type Reporter struct {
-	Ledger    *Ledger
+	Ledger  *Ledger
 	Records Records
 	Billing Billing
 	Clock   clock.Clock
--- a/internal/usage/share.go
+++ b/internal/usage/share.go
@@ -28,8 +28,8 @@
 
 // Handler is an http.Handler that gives the known totals to other VMs.
 type Handler struct {
-	Ledger *Ledger
-	Process  string // name of this process
+	Ledger  *Ledger
+	Process string // name of this process
 }
 
 // ServeHTTP implements http.Handler.
@@ -52,9 +52,9 @@
 // been told what those counted that have stopped since.
 type Gatherer struct {
 	Ledger  *Ledger
-	Process   string          // name of this process
-	VMs   func() []string // addresses of those that may know
-	peers *peerhttp.Client
+	Process string          // name of this process
+	VMs     func() []string // addresses of those that may know
+	peers   *peerhttp.Client
 }
 
 // NewGatherer returns a gatherer for b.
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -67,8 +67,8 @@
 
 // Usage says how the requests of workspaces are reported.
 type Usage struct {
-	Window time.Duration // zero if they aren't
-	ReportDeadline    time.Duration // after a window's end
+	Window         time.Duration // zero if they aren't
+	ReportDeadline time.Duration // after a window's end
 }
 
 // Options of a VM's process, as they hold for its whole life: a VM with other
