--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -13,7 +13,7 @@
 	return NewConfig(version, routes, []*Service{{Name: "labels"}})
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchReturnsTheLongestPrefixOfTheHost(t *testing.T) {
 	c := config(1,
 		&Route{Name: "all", Host: "a.example", PathPrefix: "/x/"},
 		&Route{Name: "part", Host: "a.example", PathPrefix: "/x/y/"},
@@ -34,20 +34,19 @@
 	}
 }
 
-func TestSharesFollowTheirWeights(t *testing.T) {
+func TestServicesAreSelectedByWeight(t *testing.T) {
 	r := &Route{Shares: []Share{{"a", 90}, {"none", 0}, {"b", 10}}}
 	got := map[string]int{}
-	for draw := range uint64(100) {
-		got[r.Service(draw)]++
+	for random := range uint64(100) {
+		got[r.Service(random)]++
 	}
 	assert.DeepEqual(t, got, map[string]int{"a": 90, "b": 10})
 	assert.Equal(t, (&Route{}).Service(7), "")
 }
 
-// A VM reads version 9 from the store and serves callers by it. Then an older
-// copy arrives by a slower way. Callers would see a route vanish that they have
-// just used, if the older one came into force again.
-func TestAConfigurationNeverGoesBack(t *testing.T) {
+// Guards against an older version, which arrives by a slower path, replacing version 9 that the VM
+// already serves callers by: a route that they have just used would disappear.
+func TestOlderConfigurationsAreRejected(t *testing.T) {
 	s := NewStore(&clock.Manual{})
 	assert.Assert(t, s.SetConfig(config(9)))
 	assert.Assert(t, !s.SetConfig(config(7)))
@@ -68,7 +67,7 @@
 	return out
 }
 
-func TestDrainingEndpointsTakeNoNewWork(t *testing.T) {
+func TestDrainingEndpointsAreUnavailable(t *testing.T) {
 	s := NewStore(&clock.Manual{})
 	s.SetEndpoint(endpoint("b", 1, 1))
 	s.SetEndpoint(endpoint("a", 1, 1))
@@ -79,10 +78,9 @@
 	assert.DeepEqual(t, ids(s.View().All()), []string{"a", "b"})
 }
 
-// An endpoint says that it drains and ends. A report that it wrote before is
-// written late by the store's client and arrives last. Work would be sent to an
-// address where nobody listens, or where another service does.
-func TestAnOldReportDoesNotBringAnEndpointBack(t *testing.T) {
+// Guards against a delayed report restoring an endpoint that has drained and ended. Work would be
+// sent to an address where nothing listens, or another service does.
+func TestStaleReportsDoNotRestoreAnEndpoint(t *testing.T) {
 	s := NewStore(&clock.Manual{})
 	s.SetEndpoint(endpoint("a", 100, 5))
 	d := endpoint("a", 100, 6)
@@ -94,16 +92,15 @@
 	s.SetEndpoint(endpoint("a", 100, 5))
 	assert.Equal(t, len(s.View().All()), 0)
 
-	reborn := endpoint("a", 200, 1)
-	s.SetEndpoint(reborn)
+	restarted := endpoint("a", 200, 1)
+	s.SetEndpoint(restarted)
 	assert.DeepEqual(t, ids(s.View().Available("labels")), []string{"a"})
 }
 
-// The store is away for seconds. Live endpoints can't renew their entries, which
-// lapse, and write them again within two seconds of its return. A VM that took
-// the lapse at its word would refuse everything in between; one that never did
-// would go on sending to an endpoint that is gone.
-func TestEntriesThatLapseAroundAnOutageAreKeptForAWhile(t *testing.T) {
+// During an outage of the platform's store live endpoints can't renew their entries, which expire;
+// they write them again within two seconds after it. Guards against a VM that removes them at once,
+// and refuses all requests in between, and against one that keeps ended endpoints for good.
+func TestEntriesExpiredAroundAnOutageAreKeptForAGracePeriod(t *testing.T) {
 	c := &clock.Manual{T: clock.Time(time.Hour)}
 	s := NewStore(c)
 	s.SetEndpoint(endpoint("back", 1, 1))
@@ -118,15 +115,15 @@
 	s.SetEndpoint(endpoint("back", 1, 2))
 	s.RemoveExpired()
 	assert.Equal(t, len(s.View().Available("labels")), 2)
-	c.T = c.T.Add(returnGrace)
+	c.T = c.T.Add(outageGrace)
 	s.RemoveExpired()
 	assert.DeepEqual(t, ids(s.View().Available("labels")), []string{"back"})
 }
 
-// The store is away for four seconds, and entries of live endpoints lapse. The VM that
-// reads for all keeps them until they are written again. One that made no call
-// meanwhile only hears that they ended, and would be without endpoints for as long.
-func TestAVMThatSawNoOutageKeepsWhatTheReaderKeeps(t *testing.T) {
+// The platform's store is unavailable for four seconds, and entries of live endpoints expire. The
+// VM that reads for all VMs keeps the endpoints until they write again. Guards against a VM that made
+// no call meanwhile removing them when it receives the end of their entries.
+func TestAVMWithoutOutageKeepsWhatTheReaderKeeps(t *testing.T) {
 	c := &clock.Manual{T: clock.Time(time.Hour)}
 	reader, listener := NewStore(c), NewStore(c)
 	for _, s := range []*Store{reader, listener} {
@@ -138,7 +135,7 @@
 	for _, id := range []string{"back", "gone"} {
 		changed, kept := reader.RemoveEndpoint(id)
 		assert.Assert(t, changed)
-		assert.Equal(t, kept, returnGrace-500*time.Millisecond)
+		assert.Equal(t, kept, outageGrace-500*time.Millisecond)
 		assert.Assert(t, listener.ExpireAfter(id, kept))
 	}
 	assert.Assert(t, !listener.ExpireAfter("unknown", time.Second))
@@ -146,12 +143,12 @@
 	listener.SetEndpoint(endpoint("back", 1, 2))
 	listener.RemoveExpired()
 	assert.Equal(t, len(listener.View().Available("labels")), 2)
-	c.T = c.T.Add(returnGrace)
+	c.T = c.T.Add(outageGrace)
 	listener.RemoveExpired()
 	assert.DeepEqual(t, ids(listener.View().Available("labels")), []string{"back"})
 }
 
-func TestWithoutAnOutageAnEntryEndsAtOnce(t *testing.T) {
+func TestWithoutAnOutageAnEntryIsRemovedAtOnce(t *testing.T) {
 	c := &clock.Manual{T: clock.Time(time.Hour)}
 	s := NewStore(c)
 	s.SetEndpoint(endpoint("a", 1, 1))
--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -1,6 +1,8 @@
-// Package catalog holds what a gateway knows of its world: the configuration in
-// force with its routes and services, and the endpoints that serve them. One
-// goroutine owns the Store and publishes immutable Views; traffic only reads.
+// Package catalog holds the state that a gateway routes by: the configuration in force with its
+// routes and services, and the endpoints that serve them.
+//
+// The Store merges reports of both and publishes immutable Views. Requests only read the newest
+// View, without locks.
 package catalog
 
 import (
@@ -10,51 +12,51 @@
 	"fescuestand/internal/workspace"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether requests of a route may run more than once.
 type Kind uint8
 
-// The kinds. The zero value is the one that promises least.
+// The kinds. The zero value is the one with the fewest guarantees.
 const (
 	NonIdempotent Kind = iota // runs at most once for each request
 	Idempotent                // may run more than once
-	Stream                    // answers with a series of events
+	Stream                    // is answered with a series of events
 )
 
 func (k Kind) String() string {
 	return [...]string{"non-idempotent", "idempotent", "stream"}[k]
 }
 
-// Share is a service's part of a route's requests.
+// Share is the weight with which a service gets a route's requests.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says how the requests below one path prefix of a host are served.
+// Route says how requests under one path prefix of a host are served.
 type Route struct {
 	Name           string
 	Host           string
 	PathPrefix     string // begins and ends with a slash
 	Kind           Kind
-	Resumable      bool          // a stream may go on at another endpoint
-	Timeout        time.Duration // longest time a caller is kept waiting, zero for none
-	LatencyTarget  time.Duration // time to the answer or the first event that callers hope for
-	EventGapTarget time.Duration // longest pause between events that callers hope for
+	Resumable      bool          // another endpoint can continue a stream
+	Timeout        time.Duration // maximum time until the answer, zero for none
+	LatencyTarget  time.Duration // objective for the time to the answer or the first event
+	EventGapTarget time.Duration // objective for the time between two events
 	Priority       int           // 0 is the most urgent
-	MaxAttempts    int           // endpoints that one request may be sent to
+	MaxAttempts    int           // maximum number of endpoints that one request is sent to
 	Anonymous      bool          // no key is needed
 	Shares         []Share
 }
 
-// Retryable tells whether a request of the route may be sent again after it
-// may have run: it is idempotent, or a stream that another endpoint continues.
+// Retryable reports whether a request of the route may be sent again after it may have run: it is
+// idempotent, or a stream that another endpoint can continue.
 func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service returns the service that takes the request which draw, a random
-// number, stands for. It is empty if no share has a weight.
-func (r *Route) Service(draw uint64) string {
+// Service selects a service with a probability in proportion to its weight; random is a uniform
+// random number. The result is empty if no share has a weight.
+func (r *Route) Service(random uint64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
@@ -62,7 +64,7 @@
 	if total <= 0 {
 		return ""
 	}
-	at := int(draw % uint64(total))
+	at := int(random % uint64(total))
 	for _, s := range r.Shares {
 		if at < s.Weight {
 			return s.Service
@@ -72,47 +74,47 @@
 	return ""
 }
 
-// Engine is what a model service declares of its engines.
+// Engine describes the engines of a model service, as the configuration declares them.
 type Engine struct {
-	Slots       int // requests in one batch
-	CacheTokens int // tokens that the KV cache holds
-	// KVTransferPerToken is the time in which one token's KV cache goes to another
-	// engine of the zone, zero if not known.
+	Slots       int // maximum requests in one batch
+	CacheTokens int // capacity of the KV cache in tokens
+	// KVTransferPerToken is the time to transfer one token's KV cache to another engine of the
+	// zone, zero if unknown.
 	KVTransferPerToken time.Duration
-	// StageChangeTime is how long an engine is away for a change of its stage,
-	// zero if not known.
+	// StageChangeTime is how long an engine is unavailable during a change of its stage, zero if
+	// unknown.
 	StageChangeTime time.Duration
 }
 
-// Scaling says how many endpoints of a service may be ordered, and what they cost.
+// Scaling holds how many endpoints of a service may be rented from the provider, and their prices.
 type Scaling struct {
-	Min, Max int           // endpoints of a zone, spot ones included
-	BootTime time.Duration // from the order to the first request
-	// SpotPrice is the price of a spot endpoint as a share of that of another one of
-	// its zone, zero where there are none.
+	Min, Max int           // endpoints per zone, including spot endpoints
+	BootTime time.Duration // from renting an endpoint to its first request
+	// SpotPrice is the price of a spot endpoint as a share of the price of a regular one in its
+	// zone, zero if there are no spot endpoints.
 	SpotPrice  float64
-	ZonePrices map[string]float64 // of an endpoint's second, by availability zone
+	ZonePrices map[string]float64 // price of one endpoint for one second, by availability zone
 }
 
 // Service is a set of endpoints that do the same work.
 type Service struct {
 	Name    string
 	Engine  *Engine  // nil for a plain service
-	Scaling *Scaling // nil if the endpoints aren't ordered by this system
+	Scaling *Scaling // nil if this system doesn't scale the service
 }
 
 // Config is one version of the operators' configuration.
 type Config struct {
 	Version      uint64
 	Services     map[string]*Service
-	MaxBodyBytes int64 // bytes of a request's body, zero for no limit
-	// Workspaces are those whose keys requests must bear; it is nil where requests
-	// bear none.
+	MaxBodyBytes int64 // limit of a request body, zero for none
+	// Workspaces finds a request's workspace by its API key; it is nil where requests carry no
+	// keys.
 	Workspaces *workspace.Directory
 	routes     map[string][]*Route
 }
 
-// NewConfig returns a configuration with the routes in force for their hosts.
+// NewConfig returns a configuration with the given routes, indexed by host, and services.
 func NewConfig(version uint64, routes []*Route, services []*Service) *Config {
 	c := &Config{Version: version, Services: make(map[string]*Service, len(services)), routes: map[string][]*Route{}}
 	for _, s := range services {
@@ -125,7 +127,7 @@
 	return c
 }
 
-// RouteCount returns how many routes the configuration has.
+// RouteCount returns the number of routes.
 func (c *Config) RouteCount() int {
 	n := 0
 	for _, list := range c.routes {
@@ -145,7 +147,7 @@
 	return best
 }
 
-// hostName drops a port and folds case, as host names compare.
+// hostName removes a port and lowers the case, since host names are case-insensitive.
 func hostName(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
--- a/internal/catalog/fleet.go
+++ b/internal/catalog/fleet.go
@@ -5,35 +5,35 @@
 	"slices"
 )
 
-// Stage is the part of a model request that an engine does.
+// Stage is the part of a model request that an engine executes.
 type Stage uint8
 
-// The stages. A plain service's endpoint is Whole.
+// The stages. An endpoint of a plain service is Whole.
 const (
 	Whole   Stage = iota // prefills and decodes
-	Prefill              // prefills and hands the KV cache over
-	Decode               // decodes; prefills too, more slowly
+	Prefill              // prefills and transfers the KV cache to a decode engine
+	Decode               // decodes; can also prefill, but more slowly
 )
 
 func (s Stage) String() string { return [...]string{"whole", "prefill", "decode"}[s] }
 
-// Endpoint is one start of one process that runs work.
+// Endpoint is one incarnation of an endpoint's process, as it reports itself.
 type Endpoint struct {
 	ID       string
-	Born     int64 // Unix milliseconds of its start, zero if it doesn't say
-	Sequence int64 // grows with each change that the endpoint reports
+	Born     int64 // Unix milliseconds of its start, zero if not reported
+	Sequence int64 // increases with each change that the endpoint reports
 	Service  string
 	Address  string // host:port
 	Zone     string
 	Slots    int
 	Stage    Stage
-	Draining bool // takes no new work
+	Draining bool // accepts no new work
 	Spot     bool // may be reclaimed at short notice
 }
 
-// supersedes tells whether e says something newer than old of the same id. An
-// older process's report can reach the store after its successor's, and must
-// not bring back a draining state that is over or an address that is gone.
+// supersedes reports whether e is at least as new as old, a report of the same id. A report of an
+// older process can reach the store after one of its successor; it must not restore a draining
+// state that has ended or an address that is no longer served.
 func (e *Endpoint) supersedes(old *Endpoint) bool {
 	if e.Born != old.Born {
 		return e.Born > old.Born
@@ -41,49 +41,49 @@
 	return e.Sequence >= old.Sequence
 }
 
-// draining returns e as one that takes no new work.
-func (e *Endpoint) draining() *Endpoint {
+// asDraining returns a copy of e that accepts no new work.
+func (e *Endpoint) asDraining() *Endpoint {
 	c := *e
 	c.Draining = true
 	return &c
 }
 
-// View is an immutable state of the catalog.
+// View is an immutable snapshot of the catalog.
 type View struct {
 	Config    *Config // nil before the first one
 	endpoints map[string][]*Endpoint
 	all       []*Endpoint
 }
 
-// Available returns the endpoints of a service that take work, in order of their ids.
+// Available returns the endpoints of a service that accept new work, in order of their ids.
 func (v *View) Available(service string) []*Endpoint { return v.endpoints[service] }
 
-// AvailableCount is how many endpoints take work.
+// AvailableCount returns the number of endpoints that accept new work, of all services.
 func (v *View) AvailableCount() int {
 	n := 0
-	for _, open := range v.endpoints {
-		n += len(open)
+	for _, available := range v.endpoints {
+		n += len(available)
 	}
 	return n
 }
 
-// All returns every endpoint, those that drain too, in order of their ids.
+// All returns all endpoints, including draining ones, in order of their ids.
 func (v *View) All() []*Endpoint { return v.all }
 
-// IsAvailable tells whether the view has e as it is and lets it take new work.
+// IsAvailable reports whether the view has the same process of endpoint e, accepting new work.
 func (v *View) IsAvailable(e *Endpoint) bool {
-	open := v.endpoints[e.Service]
-	i, found := slices.BinarySearchFunc(open, e.ID, func(o *Endpoint, id string) int { return cmp.Compare(o.ID, id) })
-	return found && open[i].Born == e.Born
+	available := v.endpoints[e.Service]
+	i, found := slices.BinarySearchFunc(available, e.ID, func(o *Endpoint, id string) int { return cmp.Compare(o.ID, id) })
+	return found && available[i].Born == e.Born
 }
 
-// newView returns the view of the reported endpoints. Those whose lifetime is in leaving drain
-// whatever they report: their answers are newer.
-func newView(c *Config, known map[string]*Endpoint, leaving map[string]notice) *View {
-	v := &View{Config: c, endpoints: map[string][]*Endpoint{}, all: make([]*Endpoint, 0, len(known))}
-	for _, e := range known {
-		if n, left := leaving[e.ID]; left && n.born == e.Born && !e.Draining {
-			e = e.draining()
+// newView returns a view of the reported endpoints. A process that has a notice in leaving counts as
+// draining whatever its report says, since it sent the notice later.
+func newView(c *Config, reported map[string]*Endpoint, leaving map[string]leavingNotice) *View {
+	v := &View{Config: c, endpoints: map[string][]*Endpoint{}, all: make([]*Endpoint, 0, len(reported))}
+	for _, e := range reported {
+		if n, found := leaving[e.ID]; found && n.born == e.Born && !e.Draining {
+			e = e.asDraining()
 		}
 		v.all = append(v.all, e)
 	}
--- a/internal/catalog/hold_test.go
+++ b/internal/catalog/hold_test.go
@@ -9,9 +9,9 @@
 	"fescuestand/internal/clock"
 )
 
-// Guards against a start that takes the square of the number of endpoints: each of
-// thousands made a view of all.
-func TestABatchMakesOneView(t *testing.T) {
+// Guards against a start in time quadratic in the number of endpoints: each of thousands of changes
+// built a view of all endpoints.
+func TestABatchPublishesOneView(t *testing.T) {
 	s := NewStore(&clock.Manual{T: 1})
 	before, changed := s.View(), s.Changed()
 	s.BeginBatch()
@@ -23,8 +23,8 @@
 	<-changed
 	assert.Equal(t, len(s.View().All()), 100)
 
-	at := s.View()
+	view := s.View()
 	s.BeginBatch()
 	s.EndBatch()
-	assert.Assert(t, s.View() == at, "nothing has changed")
+	assert.Assert(t, s.View() == view, "an empty batch publishes no view")
 }
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -10,33 +10,33 @@
 	"fescuestand/internal/clock"
 )
 
-// returnGrace is how long an entry that lapsed around an outage of its store is
-// kept after the store's return. Endpoints write again within about two
-// seconds of the return; one that is still missing then is gone.
-const returnGrace = 2500 * time.Millisecond
-
-// forgetAfter is how long the last report of a removed endpoint is remembered,
-// so that a report which was under way while it was removed doesn't bring it
-// back: ten times the longest delay seen of a write.
-const forgetAfter = time.Minute
-
-// Store folds reports of the configuration and the endpoints into Views. Its
-// methods may be called from any goroutine; View never blocks.
+// outageGrace is how long an entry that expired around an outage of the platform's store is kept
+// after the store is available again. Live endpoints write their entries again within about two
+// seconds; one that is still missing after that has ended.
+const outageGrace = 2500 * time.Millisecond
+
+// tombstoneTTL is how long the last report of a removed endpoint is kept, so that a report that was
+// delayed until after the removal doesn't restore the endpoint. It is ten times the longest write
+// delay that was observed.
+const tombstoneTTL = time.Minute
+
+// Store merges reports of the configuration and the endpoints into Views. It is safe for concurrent
+// use; View never blocks.
 type Store struct {
 	clock clock.Clock
 	view  atomic.Pointer[View]
 
-	mu       sync.Mutex
-	config   *Config
-	known    map[string]*Endpoint
-	removed  map[string]tombstone
-	leaving  map[string]notice     // of endpoints whose answers said that they leave
-	lapsing  map[string]clock.Time // entries to be removed, and when
-	outageAt clock.Time            // last moment at which the store was away
-	outage   bool                  // the store has been away at all
-	changed  chan struct{}
-	holds    int  // batches that are being applied
-	held     bool // a view is due when they end
+	mu             sync.Mutex
+	config         *Config
+	reported       map[string]*Endpoint
+	removed        map[string]tombstone
+	leaving        map[string]leavingNotice // of endpoints that announced in an answer that they leave
+	expiring       map[string]clock.Time    // when to remove expired entries that are kept for now
+	lastOutage     clock.Time               // last time at which the platform's store was unavailable
+	hadOutage      bool                     // lastOutage is set
+	changed        chan struct{}
+	openBatches    int
+	publishPending bool // publish a view when the last batch ends
 }
 
 type tombstone struct {
@@ -44,8 +44,8 @@
 	at   clock.Time
 }
 
-// notice is what an endpoint's answer said of its lifetime.
-type notice struct {
+// leavingNotice is an endpoint's announcement that the process started at born leaves.
+type leavingNotice struct {
 	born int64
 	at   clock.Time
 }
@@ -53,25 +53,25 @@
 // NewStore returns a store without a configuration.
 func NewStore(c clock.Clock) *Store {
 	s := &Store{
-		clock: c, known: map[string]*Endpoint{}, removed: map[string]tombstone{}, leaving: map[string]notice{},
-		lapsing: map[string]clock.Time{}, changed: make(chan struct{}),
+		clock: c, reported: map[string]*Endpoint{}, removed: map[string]tombstone{}, leaving: map[string]leavingNotice{},
+		expiring: map[string]clock.Time{}, changed: make(chan struct{}),
 	}
 	s.view.Store(newView(nil, nil, nil))
 	return s
 }
 
-// View returns the state in force.
+// View returns the newest view.
 func (s *Store) View() *View { return s.view.Load() }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the next view is published.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// SetConfig puts c in force unless it is older than what is in force: a process
-// that has shown callers a version never goes back to one before it.
+// SetConfig puts c in force and returns true, unless its version isn't newer than the one in force:
+// a process that has served callers by a version must never go back to an earlier one.
 func (s *Store) SetConfig(c *Config) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,130 +84,131 @@
 	return true
 }
 
-// SetEndpoint takes an endpoint's report of itself. It returns whether the report
-// changes anything.
+// SetEndpoint merges an endpoint's report of itself. It returns whether the report changes the view.
 func (s *Store) SetEndpoint(e *Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t, ok := s.removed[e.ID]; ok && e.Born <= t.last.Born && e.Sequence <= t.last.Sequence {
 		return false
 	}
-	old := s.known[e.ID]
+	old := s.reported[e.ID]
 	if old != nil && !e.supersedes(old) {
 		return false
 	}
-	delete(s.lapsing, e.ID)
-	if old != nil && sameButSequence(old, e) {
-		s.known[e.ID] = e // views keep the old one, which says the same of the work
+	delete(s.expiring, e.ID)
+	if old != nil && equalExceptSequence(old, e) {
+		s.reported[e.ID] = e // views keep the old report, which differs in the sequence number only
 		return false
 	}
 	delete(s.removed, e.ID)
-	s.known[e.ID] = e
+	s.reported[e.ID] = e
 	log.WithField("endpoint", e.ID).WithField("service", e.Service).WithField("address", e.Address).
 		WithField("stage", e.Stage).WithField("draining", e.Draining).Info("endpoint reports")
 	s.publish()
 	return true
 }
 
-func sameButSequence(a, b *Endpoint) bool {
+func equalExceptSequence(a, b *Endpoint) bool {
 	c := *b
 	c.Sequence = a.Sequence
 	return c == *a
 }
 
-// SetLeaving takes an endpoint's own word, in an answer, that it leaves: the lifetime that began at
-// born takes no new work from then on, whatever its entry says. While the store is away the entry
-// can't say so. It returns whether that is new.
+// SetLeaving records that an endpoint announced in an answer that it leaves: the process started at
+// born gets no new work from then on, whatever its entry in the platform's store says. The endpoint
+// can't update its entry while that store is unavailable. SetLeaving returns whether the notice is
+// new.
 func (s *Store) SetLeaving(id string, born int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if old, ok := s.leaving[id]; ok && old.born >= born {
 		return false
 	}
-	s.leaving[id] = notice{born, s.clock.Now()}
-	log.WithField("endpoint", id).WithField("born", born).Info("endpoint says that it leaves")
-	if e := s.known[id]; e != nil && e.Born == born && !e.Draining {
+	s.leaving[id] = leavingNotice{born, s.clock.Now()}
+	log.WithField("endpoint", id).WithField("born", born).Info("endpoint is leaving")
+	if e := s.reported[id]; e != nil && e.Born == born && !e.Draining {
 		s.publish()
 	}
 	return true
 }
 
-// RemoveEndpoint takes the end of an endpoint's entry. Around an outage of the
-// store the entry is kept until returnGrace after the store's return, since
-// live endpoints couldn't renew theirs and will write again. It returns whether
-// that changes anything, and for how long the entry is kept.
+// RemoveEndpoint handles the end of an endpoint's entry in the platform's store. Around an outage of
+// that store the endpoint is kept until outageGrace after the store is available again, since live
+// endpoints couldn't renew their entries and will write them again. It returns whether the endpoint
+// existed, and for how long it is still kept.
 func (s *Store) RemoveEndpoint(id string) (changed bool, kept time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.known[id] == nil {
+	if s.reported[id] == nil {
 		return false, 0
 	}
 	now := s.clock.Now()
-	if s.outage && now.Sub(s.outageAt) < returnGrace {
-		return true, s.keep(id, s.outageAt.Add(returnGrace)).Sub(now)
+	if s.hadOutage && now.Sub(s.lastOutage) < outageGrace {
+		return true, s.scheduleRemoval(id, s.lastOutage.Add(outageGrace)).Sub(now)
 	}
 	s.remove(id, now)
 	s.publish()
 	return true, 0
 }
 
-// ExpireAfter takes the end of an entry from a VM that keeps it for a while. That VM has
-// seen the outage around which the entry lapsed; this one may not have called the
-// store meanwhile, and would drop endpoints that are alive.
+// ExpireAfter removes an endpoint once the time kept has passed, as the VM does that reported the
+// end of its entry. That VM has observed the outage around which the entry expired; this one may not
+// have called the platform's store meanwhile, and would remove live endpoints at once. ExpireAfter
+// returns whether the endpoint existed.
 func (s *Store) ExpireAfter(id string, kept time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.known[id] == nil {
+	if s.reported[id] == nil {
 		return false
 	}
-	s.keep(id, s.clock.Now().Add(kept))
+	s.scheduleRemoval(id, s.clock.Now().Add(kept))
 	return true
 }
 
-// keep has an entry removed at until, unless its end is set already, and returns
-// when that is.
-func (s *Store) keep(id string, until clock.Time) clock.Time {
-	if at, waits := s.lapsing[id]; waits {
+// scheduleRemoval schedules the removal of an endpoint for the time until, unless one is scheduled
+// already, and returns the time of the removal.
+func (s *Store) scheduleRemoval(id string, until clock.Time) clock.Time {
+	if at, scheduled := s.expiring[id]; scheduled {
 		return at
 	}
-	s.lapsing[id] = until
+	s.expiring[id] = until
 	return until
 }
 
 func (s *Store) remove(id string, now clock.Time) {
 	log.WithField("endpoint", id).Info("endpoint gone")
-	s.removed[id] = tombstone{s.known[id], now}
-	delete(s.known, id)
-	delete(s.lapsing, id)
+	s.removed[id] = tombstone{s.reported[id], now}
+	delete(s.reported, id)
+	delete(s.expiring, id)
 }
 
-// RecordOutage notes that the store does not answer now.
+// RecordOutage records that the platform's store is unavailable now.
 func (s *Store) RecordOutage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outage, s.outageAt = true, s.clock.Now()
+	s.hadOutage, s.lastOutage = true, s.clock.Now()
 }
 
-// RemoveExpired removes the entries whose grace is over. The owner calls it a few
-// times a second.
+// RemoveExpired removes endpoints whose grace period has ended, and old tombstones and notices. The
+// owner calls it a few times a second.
 func (s *Store) RemoveExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	changed := false
-	for id, until := range s.lapsing {
+	for id, until := range s.expiring {
 		if now >= until {
 			s.remove(id, now)
 			changed = true
 		}
 	}
 	for id, t := range s.removed {
-		if now.Sub(t.at) > forgetAfter {
+		if now.Sub(t.at) > tombstoneTTL {
 			delete(s.removed, id)
 		}
 	}
 	for id, n := range s.leaving {
-		if s.known[id] == nil && now.Sub(n.at) > forgetAfter {
+		if s.reported[id] == nil && now.Sub(n.at) > tombstoneTTL {
 			delete(s.leaving, id)
 		}
 	}
@@ -216,32 +217,32 @@
 	}
 }
 
-// BeginBatch puts off new views until Release: a view lists all endpoints, and the first read
-// of a large fleet changes each of them.
+// BeginBatch defers new views until EndBatch. A view lists all endpoints, and the first read of a
+// large fleet changes each of them: a view per change would take time quadratic in their number.
 func (s *Store) BeginBatch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.holds++
+	s.openBatches++
 }
 
-// EndBatch ends what Hold began.
+// EndBatch ends a batch and publishes its changes, if no other batch is open.
 func (s *Store) EndBatch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.holds--
-	if s.holds == 0 && s.held {
+	s.openBatches--
+	if s.openBatches == 0 && s.publishPending {
 		s.publish()
 	}
 }
 
-// publish is called with the lock held.
+// publish publishes a new view, or defers it to the end of the open batches. The caller holds mu.
 func (s *Store) publish() {
-	if s.holds > 0 {
-		s.held = true
+	if s.openBatches > 0 {
+		s.publishPending = true
 		return
 	}
-	s.held = false
-	s.view.Store(newView(s.config, s.known, s.leaving))
+	s.publishPending = false
+	s.view.Store(newView(s.config, s.reported, s.leaving))
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
