--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -13,30 +13,31 @@
 	"fescuestand/internal/workspace"
 )
 
-// duties returns the parts that only the holder of the duty acts in.
-func (n *Node) duties() []kernel.Unit {
+// leaderUnits returns the units that act only at the leader.
+func (n *Node) leaderUnits() []kernel.Unit {
 	var units []kernel.Unit
 	if u := n.o.Usage; u.Window > 0 {
 		units = append(units, &usage.Reporter{
-			Ledger: n.usage, Records: n.adapter.UsageRecords(), Billing: n.adapter.Billing(), Clock: n.clock,
-			TrueTime: n.time.At, MayAct: n.may, Window: u.Window, ReportDeadline: u.ReportDeadline,
-			Gather: usage.NewGatherer(n.usage, n.process(), n.members.ResponsiveActive).Gather,
+			Ledger: n.usageLedger, Records: n.adapter.UsageRecords(), Billing: n.adapter.Billing(), Clock: n.clock,
+			TrueTime: n.timeEstimator.At, MayAct: n.mayAct, Window: u.Window, ReportDeadline: u.ReportDeadline,
+			Gather: usage.NewGatherer(n.usageLedger, n.process(), n.members.ResponsiveActive).Gather,
 		})
 	}
 	if p := n.adapter.Provider(); p != nil {
-		units = append(units, &scaling.Unit{Catalog: n.catalog, Provider: p, Clock: n.clock, Need: n.need, May: n.may})
+		units = append(units, &scaling.Unit{Catalog: n.catalog, Provider: p, Clock: n.clock, Need: n.requiredEndpoints, May: n.mayAct})
 	}
 	return units
 }
 
-// process names this process among those that count requests.
+// process returns the name of this process in the usage ledger.
 func (n *Node) process() string { return gateway.ProcessName(n.o.Self.Peer, n.o.Self.Incarnation) }
 
-func (n *Node) may() (fence int64, ok bool) { return n.duty.May(n.clock.Now()) }
+// mayAct returns the fencing token to act with, and whether this process may act as leader now.
+func (n *Node) mayAct() (fence int64, ok bool) { return n.authority.May(n.clock.Now()) }
 
-// need is how many endpoints of a service the load keeps well busy, zero if it isn't
-// known.
-func (n *Node) need(service string) float64 {
+// requiredEndpoints returns how many endpoints of a service the current load requires, zero if that
+// is unknown.
+func (n *Node) requiredEndpoints(service string) float64 {
 	v := n.View()
 	s := v.Config.Services[service]
 	if s == nil || s.Engine == nil {
@@ -44,44 +45,48 @@
 	}
 	d := n.demand()
 	d.SlotsPerEngine = s.Engine.Slots
-	return measured(d, len(v.Available(service)))
+	return requiredIfMeasured(d, len(v.Available(service)))
 }
 
-// leastNeed is the share of the endpoints that must be needed for a load to count as
-// measured.
-const leastNeed = 0.1
+// minRequiredShare is the share of the endpoints that the load must require to count as measured.
+const minRequiredShare = 0.1
 
-func measured(d stages.Demand, endpoints int) float64 {
-	need := d.RequiredEngines()
-	if need < leastNeed*float64(endpoints) {
+// requiredIfMeasured returns the engines that d requires, or zero if d is too small to be a
+// measurement.
+func requiredIfMeasured(d stages.Demand, endpoints int) float64 {
+	required := d.RequiredEngines()
+	if required < minRequiredShare*float64(endpoints) {
 		return 0
 	}
-	return need
+	return required
 }
 
-// began counts a request for its workspace.
-func (n *Node) began(at clock.Time, w *workspace.Workspace) {
+// requestRunning counts a request for its workspace.
+func (n *Node) requestRunning(at clock.Time, w *workspace.Workspace) {
 	if n.o.Usage.Window > 0 {
-		n.usage.RecordRequest(usage.WindowOf(n.time.At(at), n.o.Usage.Window), w.Name)
+		n.usageLedger.RecordRequest(usage.WindowOf(n.timeEstimator.At(at), n.o.Usage.Window), w.Name)
 	}
 }
 
-// judgeKeys says whether keys can be judged by the configuration in force.
-func (n *Node) judgeKeys() freshness.Verdict {
-	if n.fresh == nil {
+// keyFreshness returns whether the configuration in force is new enough to accept or deny API keys
+// by it.
+func (n *Node) keyFreshness() freshness.Verdict {
+	if n.freshness == nil {
 		return freshness.AcceptOrDeny
 	}
-	return n.fresh.Verdict()
+	return n.freshness.Verdict()
 }
 
-// knowledge implements gossip.Knowledge.
-type knowledge struct{ n *Node }
+// configFreshness implements gossip.ConfigFreshness.
+type configFreshness struct{ n *Node }
 
-// Age implements gossip.Knowledge.
-func (k *knowledge) Age() (age time.Duration, version uint64, ok bool) { return k.n.fresh.Age() }
+// Age implements gossip.ConfigFreshness.
+func (f *configFreshness) Age() (age time.Duration, version uint64, ok bool) {
+	return f.n.freshness.Age()
+}
 
-// MergeAnswer implements gossip.Knowledge.
-func (k *knowledge) MergeAnswer(vm string, askedAt clock.Time, age time.Duration, version uint64) {
-	k.n.fresh.MergeAnswer(askedAt, age, version)
-	k.n.puller.ReceiveVersion(vm, version)
+// MergeAnswer implements gossip.ConfigFreshness.
+func (f *configFreshness) MergeAnswer(vm string, askedAt clock.Time, age time.Duration, version uint64) {
+	f.n.freshness.MergeAnswer(askedAt, age, version)
+	f.n.configPuller.ReceiveVersion(vm, version)
 }
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -13,78 +13,79 @@
 	"fescuestand/internal/keyedlog"
 )
 
-// ConfigKey is the operators' record among the Adapter's Configs.
+// ConfigKey is the key of the operators' configuration in the Adapter's Configs.
 const ConfigKey = "config"
 
 const (
-	// configWait is how long a VM that waits at the store for configurations
-	// does so in one read. A connection that has gone silent meanwhile shows by
-	// the peers that have the newer one.
-	configWait = 20 * time.Second
-	// readerWait replaces it where the VM reads the endpoints for all: the
-	// others learn from it, so that its read must end while a change can still
-	// come into force in time.
-	readerWait = 1200 * time.Millisecond
-	// freshWait replaces it where keys are judged by how new the configuration is.
-	freshWait = 600 * time.Millisecond
-	// confirmedAge is the age of what is known from which a read is overdue.
-	confirmedAge = 1500 * time.Millisecond
-	// configPause follows each read of the configuration: of versions that come
-	// in quick succession one is taken for several, a fifth of the time in which
-	// a change must be in force.
-	configPause = 400 * time.Millisecond
-	// settlePeriod is the time between two looks for lapsed entries.
-	settlePeriod = 250 * time.Millisecond
+	// configReadWait is how long one read of the store waits for a newer configuration. If its
+	// connection fails silently meanwhile, peers report the newer version.
+	configReadWait = 20 * time.Second
+	// readerReadWait replaces configReadWait at a VM that reads the endpoints for all VMs: the
+	// others get changes from it, so its read must end while a change can still come into force in
+	// time.
+	readerReadWait = 1200 * time.Millisecond
+	// freshReadWait replaces configReadWait at such a VM where API keys are accepted or denied by the
+	// age of the configuration.
+	freshReadWait = 600 * time.Millisecond
+	// maxConfirmedAge is the age of the configuration from which a read of the store is overdue.
+	maxConfirmedAge = 1500 * time.Millisecond
+	// configReadInterval is the pause after each read of the configuration, so that one read covers
+	// several versions published in quick succession. It is a fifth of the time in which a change
+	// must be in force.
+	configReadInterval = 400 * time.Millisecond
+	// periodicInterval is the time between two runs of runPeriodic's tasks.
+	periodicInterval = 250 * time.Millisecond
 )
 
-// followers makes what follows the platform's keyed logs.
-func (n *Node) followers() {
-	n.config = keyedlog.New("config", n.adapter.Configs())
-	n.config.Apply, n.config.OneKey = n.applyConfig, true
-	n.config.Wait, n.config.Pause, n.config.Clock = n.configWait, n.configPause, n.clock
-	if n.fresh != nil {
-		n.config.Read = n.fresh.RecordRead
-	}
-	n.puller = configsync.NewPuller(n.clock, n.version, n.config)
-	n.fleet = keyedlog.New("fleet", n.adapter.Endpoints())
-	n.fleet.Apply, n.fleet.Begin, n.fleet.End = n.applyEndpoint, n.catalog.BeginBatch, n.catalog.EndBatch
-	n.fleet.Pause, n.fleet.Lost = n.members.ReadInterval, n.catalog.RecordOutage
-	n.fleet.Read = func(clock.Time) {
+// initFollowers sets up the followers of the platform's keyed logs.
+func (n *Node) initFollowers() {
+	n.configFollower = keyedlog.New("config", n.adapter.Configs())
+	n.configFollower.Apply, n.configFollower.OneKey = n.applyConfig, true
+	n.configFollower.Wait, n.configFollower.Pause, n.configFollower.Clock = n.configReadWait, n.configReadInterval, n.clock
+	if n.freshness != nil {
+		n.configFollower.Read = n.freshness.RecordRead
+	}
+	n.configPuller = configsync.NewPuller(n.clock, n.version, n.configFollower)
+	n.endpointFollower = keyedlog.New("fleet", n.adapter.Endpoints())
+	n.endpointFollower.Apply, n.endpointFollower.Begin, n.endpointFollower.End = n.applyEndpoint, n.catalog.BeginBatch, n.catalog.EndBatch
+	n.endpointFollower.Pause, n.endpointFollower.Lost = n.members.ReadInterval, n.catalog.RecordOutage
+	n.endpointFollower.Read = func(clock.Time) {
 		n.members.RecordRead()
-		n.changes.RecordRead(n.fleet.Next())
+		n.endpointChanges.RecordRead(n.endpointFollower.Next())
 	}
-	n.changes = gateway.NewChanges(n.clock, n.fleet)
-	n.changes.IsReader = n.members.IsReader
+	n.endpointChanges = gateway.NewChanges(n.clock, n.endpointFollower)
+	n.endpointChanges.IsReader = n.members.IsReader
 }
 
-// configWait is how long a read of the configuration waits for a newer one.
-func (n *Node) configWait() time.Duration {
+// configReadWait returns how long a read of the configuration waits for a newer one.
+func (n *Node) configReadWait() time.Duration {
 	switch {
-	case n.confirms():
-		return freshWait
+	case n.isFreshReader():
+		return freshReadWait
 	case !n.members.IsConfigReader():
 		return 0
 	case n.members.IsReader():
-		return readerWait
+		return readerReadWait
 	}
-	return configWait
+	return configReadWait
 }
 
-// confirms tells whether this VM reads the store so often that others can judge keys by
-// what it knows. While the store is away its reads of the endpoints show the return.
-func (n *Node) confirms() bool {
-	return n.fresh != nil && n.members.IsReader() && n.members.HasFreshRead()
+// isFreshReader reports whether this VM reads the store so often that other VMs rely on its age of
+// the configuration to accept or deny keys. During an outage of the store it is false, and its reads
+// of the endpoints detect the end of the outage.
+func (n *Node) isFreshReader() bool {
+	return n.freshness != nil && n.members.IsReader() && n.members.HasFreshRead()
 }
 
-// configPause is the time between two reads of the configuration.
-func (n *Node) configPause() time.Duration {
-	if n.members.IsConfigReader() || n.confirms() {
-		return configPause
+// configReadInterval returns the time between two reads of the configuration.
+func (n *Node) configReadInterval() time.Duration {
+	if n.members.IsConfigReader() || n.isFreshReader() {
+		return configReadInterval
 	}
 	return n.members.IdleReadInterval()
 }
 
-// version is that of the configuration in force, zero if there is none.
+// version returns the version of the configuration in force, zero if there is none.
 func (n *Node) version() uint64 {
 	if c := n.View().Config; c != nil {
 		return c.Version
@@ -92,33 +93,35 @@
 	return 0
 }
 
-// follower keeps the catalog equal to the store. It is a kernel unit.
-type follower struct{ n *Node }
+// catalogUnit keeps the catalog up to date with the platform's store. It is a kernel unit.
+type catalogUnit struct{ n *Node }
 
 // Name implements kernel.Unit.
-func (f *follower) Name() string { return "catalog" }
+func (u *catalogUnit) Name() string { return "catalog" }
 
 // Run implements kernel.Runner.
-func (f *follower) Run(ctx context.Context) error {
+func (u *catalogUnit) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	n := f.n
-	group.Go(func() error { return n.config.Run(ctx) })
-	group.Go(func() error { return n.fleet.Run(ctx) })
+	n := u.n
+	group.Go(func() error { return n.configFollower.Run(ctx) })
+	group.Go(func() error { return n.endpointFollower.Run(ctx) })
 	group.Go(func() error { return n.gateway.FollowCatalog(ctx) })
-	group.Go(func() error { return f.settle(ctx) })
+	group.Go(func() error { return u.runPeriodic(ctx) })
 	return group.Wait()
 }
 
-// settle does what goes with time.
-func (f *follower) settle(ctx context.Context) error {
-	tick := time.NewTicker(settlePeriod)
+// runPeriodic runs periodic tasks until ctx ends: it removes expired endpoints, refreshes the
+// configuration, and updates whether this VM is ready and the number of VMs that share the retry
+// budget.
+func (u *catalogUnit) runPeriodic(ctx context.Context) error {
+	tick := time.NewTicker(periodicInterval)
 	defer tick.Stop()
 	for {
-		f.n.catalog.RemoveExpired()
-		f.n.confirmSoon()
-		f.n.members.SetReady(f.n.catalog.View().Config != nil)
-		if f.n.members.HasPeers() {
-			f.n.budget.SetMembers(f.n.members.Count())
+		u.n.catalog.RemoveExpired()
+		u.n.refreshConfig()
+		u.n.members.SetReady(u.n.catalog.View().Config != nil)
+		if u.n.members.HasPeers() {
+			u.n.retryBudget.SetMembers(u.n.members.Count())
 		}
 		select {
 		case <-ctx.Done():
@@ -128,16 +131,16 @@
 	}
 }
 
-// confirmSoon ends a read that waits for long at a VM that has become one on whose reads
-// the others rely.
-func (n *Node) confirmSoon() {
-	if !n.confirms() {
+// refreshConfig ends a long wait in a read of the configuration at a VM that has become one on whose
+// reads the others rely.
+func (n *Node) refreshConfig() {
+	if !n.isFreshReader() {
 		return
 	}
 	now := n.clock.Now()
-	if age, _, ok := n.fresh.Age(); ok && age > confirmedAge && now.Sub(n.nudgedAt) > confirmedAge {
-		n.nudgedAt = now
-		n.config.Nudge()
+	if age, _, ok := n.freshness.Age(); ok && age > maxConfirmedAge && now.Sub(n.lastNudge) > maxConfirmedAge {
+		n.lastNudge = now
+		n.configFollower.Nudge()
 	}
 }
 
@@ -147,44 +150,44 @@
 	}
 	c, err := n.adapter.DecodeConfig(e.Value)
 	if err != nil {
-		if n.fresh != nil {
-			n.fresh.RecordUnreadable()
+		if n.freshness != nil {
+			n.freshness.RecordUnreadable()
 		}
-		log.WithError(err).WithField("offset", e.Offset).Error("configuration not understood")
+		log.WithError(err).WithField("offset", e.Offset).Error("configuration decode failed")
 		return
 	}
 	if !n.catalog.SetConfig(c) {
 		return
 	}
-	if n.fresh != nil {
-		n.fresh.RecordInForce(c.Version)
+	if n.freshness != nil {
+		n.freshness.RecordInForce(c.Version)
 	}
-	n.share.Set(e)
+	n.configHandler.Set(e)
 	if !e.Heard {
-		n.gossip.SendEarly() // those that don't read the store wait for it
+		n.gossip.SendEarly() // VMs that don't read the store wait for the version
 	}
-	n.news()
+	n.pushUpdates()
 }
 
 func (n *Node) applyEndpoint(e keyedlog.Entry) {
 	if e.Value == nil {
-		n.endEndpoint(e)
+		n.applyRemoval(e)
 		return
 	}
 	ep, err := n.adapter.DecodeEndpoint(e.Key, e.Value)
 	if err != nil {
-		log.WithError(err).WithField("endpoint", e.Key).Warn("entry names no endpoint")
+		log.WithError(err).WithField("endpoint", e.Key).Warn("endpoint entry decode failed")
 		return
 	}
 	if n.catalog.SetEndpoint(ep) {
-		n.changes.RecordApplied(e)
-		n.news()
+		n.endpointChanges.RecordApplied(e)
+		n.pushUpdates()
 	}
 }
 
-// endEndpoint takes the end of an endpoint's entry; a VM that has heard of it goes by
-// what the VM that read it makes of it.
-func (n *Node) endEndpoint(e keyedlog.Entry) {
+// applyRemoval handles the end of an endpoint's entry. If another VM read it from the store and keeps
+// the endpoint for a while, this VM keeps it for as long.
+func (n *Node) applyRemoval(e keyedlog.Entry) {
 	changed := false
 	if e.Kept > 0 {
 		changed = n.catalog.ExpireAfter(e.Key, e.Kept)
@@ -192,7 +195,7 @@
 		changed, e.Kept = n.catalog.RemoveEndpoint(e.Key)
 	}
 	if changed {
-		n.changes.RecordApplied(e)
-		n.news()
+		n.endpointChanges.RecordApplied(e)
+		n.pushUpdates()
 	}
 }
--- a/internal/vm/reload.go
+++ b/internal/vm/reload.go
@@ -11,20 +11,19 @@
 	"github.com/apex/log"
 )
 
-// reloadPeriod is the time between two looks at the settings file, which may
-// change without a signal. A look costs three system calls.
-const reloadPeriod = 5 * time.Second
+// checkInterval is the time between two checks of the settings file, which may change without a
+// signal. A check costs three system calls.
+const checkInterval = 5 * time.Second
 
-// SettingsReloader takes changed settings over. It is a kernel unit.
+// SettingsReloader applies changes of the settings file. It is a kernel unit.
 //
-// Without it SIGHUP, by which the platform tells of a change, would end the
-// process.
+// Without it SIGHUP, which the platform sends after a change, would end the process.
 type SettingsReloader struct {
 	Path  string
 	Parse func(path string, text []byte) (Tunables, error)
 	Apply func(Tunables)
 
-	last []byte
+	lastText []byte
 }
 
 // Name implements kernel.Unit.
@@ -33,7 +32,7 @@
 // Provision implements kernel.Provisioner.
 func (r *SettingsReloader) Provision(context.Context) error {
 	var err error
-	r.last, err = os.ReadFile(r.Path)
+	r.lastText, err = os.ReadFile(r.Path)
 	return err
 }
 
@@ -42,36 +41,35 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	tick := time.NewTicker(reloadPeriod)
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-hup:
-			log.Info("told of changed settings")
+			log.Info("received SIGHUP")
 		case <-tick.C:
 		}
-		r.look()
+		r.reloadIfChanged()
 	}
 }
 
-// look takes the file over if it has changed. A file that can't be understood
-// changes nothing.
-func (r *SettingsReloader) look() {
+// reloadIfChanged applies the file if it has changed. An invalid file changes nothing.
+func (r *SettingsReloader) reloadIfChanged() {
 	b, err := os.ReadFile(r.Path)
-	if err != nil || bytes.Equal(b, r.last) {
+	if err != nil || bytes.Equal(b, r.lastText) {
 		if err != nil {
-			log.WithError(err).Warn("settings not read")
+			log.WithError(err).Warn("settings read failed")
 		}
 		return
 	}
-	r.last = b
+	r.lastText = b
 	t, err := r.Parse(r.Path, b)
 	if err != nil {
-		log.WithError(err).Warn("changed settings not understood")
+		log.WithError(err).Warn("settings are invalid")
 		return
 	}
 	r.Apply(t)
-	log.WithField("bytes", len(b)).Info("changed settings in force")
+	log.WithField("bytes", len(b)).Info("settings reloaded")
 }
--- a/internal/vm/reload_test.go
+++ b/internal/vm/reload_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// The settings file changes, once to something that is no settings file. The
-// process goes on with the last that it understood.
-func TestChangedSettingsAreTakenOver(t *testing.T) {
+// Checks that changed settings are applied, and that the process keeps the last valid ones when the
+// file becomes invalid.
+func TestChangedSettingsAreApplied(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	write := func(text string) { assert.NilError(t, os.WriteFile(path, []byte(text), 0o600)) }
 	write("first")
@@ -27,13 +27,13 @@
 		Apply: func(t Tunables) { sizes = append(sizes, t.MemoryBytes) },
 	}
 	assert.NilError(t, r.Provision(t.Context()))
-	r.look()
+	r.reloadIfChanged()
 	write("the second")
-	r.look()
-	r.look()
+	r.reloadIfChanged()
+	r.reloadIfChanged()
 	write("{")
-	r.look()
+	r.reloadIfChanged()
 	assert.NilError(t, os.Remove(path))
-	r.look()
+	r.reloadIfChanged()
 	assert.DeepEqual(t, sizes, []int64{10})
 }
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -1,7 +1,8 @@
-// Package vm wires the one process of a VM on the users' machines: the gateway
-// that serves callers, the catalog that it serves by, the gossip between VMs,
-// and the authority over engines. What speaks to the platform comes from an
-// Adapter, which translates and decides nothing.
+// Package vm assembles the process of one VM: the gateway that serves callers, the catalog that it
+// routes by, the gossip between VMs, and the authority over engines.
+//
+// An Adapter implements the protocols of the platform. It only translates; all decisions are made in
+// this process's units.
 package vm
 
 import (
@@ -34,79 +35,79 @@
 	"fescuestand/internal/wire"
 )
 
-// Adapter translates between the product and the platform that it runs on.
+// Adapter translates between this system and the platform that it runs on.
 type Adapter interface {
 	gossip.Group
-	// Codec reads and writes the headers of requests.
+	// Codec decodes and encodes the headers of requests.
 	Codec() gateway.Codec
-	// Configs is where operators publish, under ConfigKey.
+	// Configs is the log in which operators publish the configuration, under ConfigKey.
 	Configs() keyedlog.Source
-	// Endpoints is where endpoints report themselves, under their ids.
+	// Endpoints is the log in which endpoints report themselves, under their ids.
 	Endpoints() keyedlog.Source
-	// DecodeConfig reads a record of Configs.
+	// DecodeConfig decodes a record of Configs.
 	DecodeConfig(data []byte) (*catalog.Config, error)
-	// DecodeEndpoint reads a record of Endpoints.
+	// DecodeEndpoint decodes a record of Endpoints.
 	DecodeEndpoint(id string, data []byte) (*catalog.Endpoint, error)
-	// LeaderRecord keeps the VM that gave orders last.
+	// LeaderRecord stores which VM acted as leader last.
 	LeaderRecord() authority.Record
-	// Engine gives orders over connections of pool.
+	// Engine sends orders to engines over connections of pool.
 	Engine(pool *exchange.Pool) orders.Engine
-	// Caches asks engines what they have cached, over connections of pool.
+	// Caches queries engines for what they have cached, over connections of pool.
 	Caches(pool *exchange.Pool) cachesync.CacheLister
-	// Readiness answers the platform's checks of this VM.
+	// Readiness answers the platform's readiness checks of this VM.
 	Readiness(m *gossip.Members) http.Handler
-	// Directory answers callers that ask where to connect.
+	// Directory answers callers that query for the addresses of VMs.
 	Directory(m *gossip.Members) http.Handler
-	// UsageRecords keeps the windows of usage that are decided, and Billing takes the
-	// reports.
+	// UsageRecords stores the decided usage windows, and Billing receives the reports.
 	UsageRecords() usage.Records
 	Billing() usage.Billing
-	// Provider rents endpoints out. It is nil where none are ordered.
+	// Provider rents out endpoints. It is nil if this system doesn't scale services.
 	Provider() scaling.Provider
 }
 
-// Usage says how the requests of workspaces are reported.
+// Usage holds how requests of workspaces are reported to billing.
 type Usage struct {
-	Window         time.Duration // zero if they aren't
-	ReportDeadline time.Duration // after a window's end
+	Window         time.Duration // length of a window, zero if requests aren't reported
+	ReportDeadline time.Duration // from a window's end
 }
 
-// Options of a VM's process, as they hold for its whole life: a VM with other
-// addresses is another VM.
+// Options are the settings of a VM's process. Except for Tunables they are constant for its lifetime:
+// a process with other addresses is another VM.
 type Options struct {
 	Self      gossip.Node
 	Addresses Addresses
-	// MinLeaderChangeInterval is the time within which two processes must not give orders by turns.
+	// MinLeaderChangeInterval is the time within which two processes must not act as leader
+	// alternately.
 	MinLeaderChangeInterval time.Duration
-	// FirstStart tells that the whole deployment starts for the first time.
+	// FirstStart means that the whole deployment starts for the first time.
 	FirstStart bool
-	// Keys bound the age of the configuration by which API keys are judged. It is nil
-	// where requests bear none.
+	// Keys bounds the age of the configuration by which API keys are accepted or denied. It is nil
+	// where requests carry no keys.
 	Keys  *freshness.Limits
 	Usage Usage
-	// Linger is how long a VM that was told to stop still takes requests.
+	// Linger is how long a VM still accepts requests after it was asked to stop.
 	Linger time.Duration
-	// DrainTimeout is how long it has to finish those in hand.
+	// DrainTimeout bounds the time to finish the requests in progress after that.
 	DrainTimeout time.Duration
 	Tunables
 }
 
-// Addresses that the process listens on over TCP, IP:port.
+// Addresses are the TCP addresses that the process listens on, as IP:port.
 type Addresses struct {
-	Callers   string // requests
-	Ready     string // the platform's checks
-	Directory string // callers that ask where to connect
+	Callers   string // requests of callers
+	Ready     string // the platform's readiness checks
+	Directory string // callers' queries for the addresses of VMs
 	Metrics   string // counters for operators
 }
 
 // Tunables are the settings that may change while the process runs.
 type Tunables struct {
-	MemoryBytes int64 // that the VM lets the process have
+	MemoryBytes int64 // memory limit of the process
 	Budget      repeat.Config
 }
 
 const (
-	// memoryShare of the VM's limit is the garbage collector's target.
+	// memoryShare is the share of the memory limit that the garbage collector may use.
 	memoryShare = 0.6
 	// gcPercent trades processor time for memory: the live heap is a few MB.
 	gcPercent = 100
@@ -114,107 +115,107 @@
 
 // Node is the process of a VM.
 type Node struct {
-	o        Options
-	adapter  Adapter
-	clock    clock.Clock
-	catalog  *catalog.Store
-	members  *gossip.Members
-	planner  *place.Planner
-	budget   *repeat.Budget
-	crashes  *crash.Register
-	pressure *backpressure.Tracker
-	gateway  *gateway.Gateway
-	gossip   *gossip.Unit
-	exchange *gateway.GossipContent
-	pool     *exchange.Pool
-	duty     *authority.Authority
-	orders   *orders.Unit
-	config   *keyedlog.Follower
-	fleet    *keyedlog.Follower
-	changes  *gateway.Changes
-	puller   *configsync.Puller
-	share    configsync.Handler
-	fresh    *freshness.Tracker // nil where requests bear no keys
-	nudgedAt clock.Time         // when a read of the configuration was hurried
-	time     *truetime.Estimator
-	usage    *usage.Ledger
+	o                Options
+	adapter          Adapter
+	clock            clock.Clock
+	catalog          *catalog.Store
+	members          *gossip.Members
+	planner          *place.Planner
+	retryBudget      *repeat.Budget
+	crashes          *crash.Register
+	backpressure     *backpressure.Tracker
+	gateway          *gateway.Gateway
+	gossip           *gossip.Unit
+	gossipContent    *gateway.GossipContent
+	pool             *exchange.Pool
+	authority        *authority.Authority
+	orders           *orders.Unit
+	configFollower   *keyedlog.Follower
+	endpointFollower *keyedlog.Follower
+	endpointChanges  *gateway.Changes
+	configPuller     *configsync.Puller
+	configHandler    configsync.Handler
+	freshness        *freshness.Tracker // nil where requests carry no keys
+	lastNudge        clock.Time         // when refreshConfig last ended the wait of a read
+	timeEstimator    *truetime.Estimator
+	usageLedger      *usage.Ledger
 }
 
-// New wires a process. Its units do nothing until the kernel runs them.
+// New assembles a process. Its units do nothing until the kernel runs them.
 func New(o Options, a Adapter) *Node {
 	c := clock.Boot{}
-	n := &Node{o: o, adapter: a, clock: c, catalog: catalog.NewStore(c), crashes: crash.New(), pressure: backpressure.New(seedOf(o.Self.Incarnation))}
+	n := &Node{o: o, adapter: a, clock: c, catalog: catalog.NewStore(c), crashes: crash.New(), backpressure: backpressure.New(seedOf(o.Self.Incarnation))}
 	n.members = gossip.NewMembers(c, o.Self)
 	n.pool = exchange.NewPool()
-	n.duty = authority.New(o.MinLeaderChangeInterval, o.FirstStart, c.Now())
+	n.authority = authority.New(o.MinLeaderChangeInterval, o.FirstStart, c.Now())
 	n.planner = place.New(o.Self.Zone, seedOf(o.Self.Incarnation))
-	n.budget = repeat.New(o.Budget)
+	n.retryBudget = repeat.New(o.Budget)
 	n.orders = &orders.Unit{
-		Catalog: n.catalog, Authority: n.duty, Engine: a.Engine(n.pool), Clock: c,
-		Load: n.planner.Running, Demand: n.demand, Ordered: n.ordered,
+		Catalog: n.catalog, Authority: n.authority, Engine: a.Engine(n.pool), Clock: c,
+		Load: n.planner.Running, Demand: n.demand, Ordered: n.stageChangeOrdered,
 	}
 	if o.Keys != nil {
-		n.fresh = freshness.New(c, *o.Keys)
+		n.freshness = freshness.New(c, *o.Keys)
 	}
-	n.time, n.usage = truetime.New(c, time.Now), usage.NewLedger()
-	n.followers()
+	n.timeEstimator, n.usageLedger = truetime.New(c, time.Now), usage.NewLedger()
+	n.initFollowers()
 	n.gateway = gateway.New(gateway.Options{
-		Codec: a.Codec(), Catalog: n.catalog, Planner: n.planner, Budget: n.budget, Crashes: n.crashes,
-		Pressure: n.pressure, Pool: n.pool, Clock: c, Leaving: n.members.Leaving,
-		VMs: n.members.AdvertisedCount, OnPrefillSent: n.sent, OnPrefixCached: n.cached, OnCrash: n.crashed, OnEndpointLeaving: n.leaves,
-		KeyFreshness: n.judgeKeys, OnRequestRunning: n.began,
+		Codec: a.Codec(), Catalog: n.catalog, Planner: n.planner, Budget: n.retryBudget, Crashes: n.crashes,
+		Pressure: n.backpressure, Pool: n.pool, Clock: c, Leaving: n.members.Leaving,
+		VMs: n.members.AdvertisedCount, OnPrefillSent: n.prefillSent, OnPrefixCached: n.prefixCached, OnCrash: n.endpointCrashed, OnEndpointLeaving: n.endpointLeaving,
+		KeyFreshness: n.keyFreshness, OnRequestRunning: n.requestRunning,
 	})
-	n.planner.Admits = n.pressure.Admits
-	n.pressure.Self = o.Self.Peer
-	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.RequestRate, n.members.AdvertisedCount
-	n.orders.Leaves = n.leaves
-	n.exchange = &gateway.GossipContent{
-		Clock: c, Planner: n.planner, Pressure: n.pressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.changes,
-		RequestRate: n.gateway.RequestRate, OnOrder: n.orders.Heard, OnPeerConfigVersion: n.puller.ReceiveVersion, OnChange: n.news,
+	n.planner.Admits = n.backpressure.Admits
+	n.backpressure.Self = o.Self.Peer
+	n.backpressure.RequestRate, n.backpressure.VMCount = n.gateway.RequestRate, n.members.AdvertisedCount
+	n.orders.Leaves = n.endpointLeaving
+	n.gossipContent = &gateway.GossipContent{
+		Clock: c, Planner: n.planner, Pressure: n.backpressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.endpointChanges,
+		RequestRate: n.gateway.RequestRate, OnOrder: n.orders.Heard, OnPeerConfigVersion: n.configPuller.ReceiveVersion, OnChange: n.pushUpdates,
 	}
 	if o.Usage.Window > 0 {
-		n.exchange.Time, n.exchange.Usage = n.time, n.usage
+		n.gossipContent.Time, n.gossipContent.Usage = n.timeEstimator, n.usageLedger
 	}
-	n.gossip = gossip.NewUnit(n.members, n.exchange)
-	n.pressure.OnChange = n.gossip.SendEarly
-	if n.fresh != nil {
-		n.gossip.Freshness = &knowledge{n}
+	n.gossip = gossip.NewUnit(n.members, n.gossipContent)
+	n.backpressure.OnChange = n.gossip.SendEarly
+	if n.freshness != nil {
+		n.gossip.Freshness = &configFreshness{n}
 	}
 	return n
 }
 
-// Tune takes over what may change while the process runs.
+// Tune applies the settings that may change while the process runs.
 func (n *Node) Tune(t Tunables) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryShare * float64(t.MemoryBytes)))
-	n.budget.SetConfig(t.Budget)
+	n.retryBudget.SetConfig(t.Budget)
 }
 
-// Units returns the parts that the kernel runs.
+// Units returns the units that the kernel runs.
 func (n *Node) Units() []kernel.Unit {
 	at, linger := n.o.Addresses, n.o.Linger
 	units := []kernel.Unit{
 		n.gossip,
-		gossip.NewRegistration(n.adapter, n.members, n.renewed),
-		&authority.Keeper{Authority: n.duty, Record: n.adapter.LeaderRecord(), Clock: n.clock, VM: n.o.Self.Peer},
+		gossip.NewRegistration(n.adapter, n.members, n.leadershipRenewed),
+		&authority.Keeper{Authority: n.authority, Record: n.adapter.LeaderRecord(), Clock: n.clock, VM: n.o.Self.Peer},
 		n.orders,
-		&follower{n},
+		&catalogUnit{n},
 		n.cachesUnit(),
 		gateway.NewServer("front", at.Callers, n.gateway, linger),
 		gateway.NewServer("ready", at.Ready, n.adapter.Readiness(n.members), linger),
 		gateway.NewServer("directory", at.Directory, n.adapter.Directory(n.members), linger),
-		gateway.NewServer("peers", n.o.Self.Peer, n.forPeers(), 0),
+		gateway.NewServer("peers", n.o.Self.Peer, n.peerHandler(), 0),
 		gateway.NewServer("metrics", at.Metrics, expvar.Handler(), 0),
 	}
-	return append(units, n.duties()...)
+	return append(units, n.leaderUnits()...)
 }
 
-// forPeers answers other VMs.
-func (n *Node) forPeers() http.Handler {
+// peerHandler returns the handler for queries of other VMs.
+func (n *Node) peerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("GET "+configsync.Path, &n.share)
+	mux.Handle("GET "+configsync.Path, &n.configHandler)
 	mux.Handle("GET "+cachesync.Path, &cachesync.Handler{Planner: n.planner})
-	mux.Handle("GET "+usage.Path, &usage.Handler{Ledger: n.usage, Process: n.process()})
+	mux.Handle("GET "+usage.Path, &usage.Handler{Ledger: n.usageLedger, Process: n.process()})
 	return mux
 }
 
@@ -228,35 +229,35 @@
 	}
 }
 
-// KernelOptions returns what the kernel needs to know of the process.
+// KernelOptions returns the options of the kernel that runs the process's units.
 func (n *Node) KernelOptions() kernel.Options { return kernel.Options{LongestDrain: n.o.DrainTimeout} }
 
-// View returns what the process serves by.
+// View returns the catalog's newest view.
 func (n *Node) View() *catalog.View { return n.catalog.View() }
 
-// Metrics are a process's counters and what it serves by, for expvar.
+// Metrics are a process's counters and a summary of its catalog, for expvar.
 type Metrics struct {
 	gateway.Snapshot
 	ConfigVersion uint64
 	Endpoints     int
-	VMs           int // that callers are sent to
-	Limited       int // endpoints that name a limit of requests
-	Draining      int // endpoints that take no new work
+	VMs           int // advertised to callers
+	Limited       int // endpoints that announce a limit of requests
+	Draining      int // endpoints that accept no new work
 }
 
-// Metrics returns the counters as they are now.
+// Metrics returns the current values.
 func (n *Node) Metrics() Metrics {
 	v := n.View()
-	m := Metrics{Snapshot: n.gateway.Metrics().Snapshot(), Endpoints: len(v.All()), VMs: n.members.AdvertisedCount(), ConfigVersion: n.version(), Limited: n.pressure.LimitedCount(), Draining: len(v.All()) - v.AvailableCount()}
+	m := Metrics{Snapshot: n.gateway.Metrics().Snapshot(), Endpoints: len(v.All()), VMs: n.members.AdvertisedCount(), ConfigVersion: n.version(), Limited: n.backpressure.LimitedCount(), Draining: len(v.All()) - v.AvailableCount()}
 	return m
 }
 
-// urgentWork is the prefill work from which the other VMs are told at once: it
-// delays what they send by more than their predictions err.
-const urgentWork = 20 * time.Millisecond
+// minUrgentWork is the prefill work from which busy VMs are sent a beat early: it delays their requests
+// to the same engine by more than the error of their predictions.
+const minUrgentWork = 20 * time.Millisecond
 
-func (n *Node) sent(work time.Duration) {
-	if work >= urgentWork {
+func (n *Node) prefillSent(work time.Duration) {
+	if work >= minUrgentWork {
 		n.gossip.SendEarlyToBusy()
 	}
 }
@@ -266,39 +267,41 @@
 	return stages.Demand{Prefill: d.Prefill, Streams: d.Streams}
 }
 
-func (n *Node) ordered(id string) {
+func (n *Node) stageChangeOrdered(id string) {
 	n.planner.MarkChangingStage(n.clock.Now(), id)
 	n.gossip.QueueUpdate(func(b *wire.Beat) { b.Changing = append(b.Changing, id) })
 	n.gossip.SendEarly()
 }
 
-func (n *Node) cached(e *catalog.Endpoint, parts []place.Part) {
+func (n *Node) prefixCached(e *catalog.Endpoint, parts []place.Part) {
 	n.gossip.QueueUpdate(func(b *wire.Beat) { b.Cached = append(b.Cached, cachesync.Prefix(e, parts)) })
 }
 
-func (n *Node) crashed(fingerprint uint64, endpoint string) {
+func (n *Node) endpointCrashed(fingerprint uint64, endpoint string) {
 	if !n.crashes.RecordCrash(n.clock.Now(), fingerprint, endpoint) {
 		return
 	}
 	c := &wire.Crash{Request: fingerprint, Endpoint: endpoint}
 	n.gossip.QueueUpdate(func(b *wire.Beat) { b.Crashes = append(b.Crashes, c) })
 	n.gossip.SendEarly()
-	n.exchange.AnnounceCrash(c)
-	n.news()
+	n.gossipContent.AnnounceCrash(c)
+	n.pushUpdates()
 }
 
-// leaves takes an endpoint's own word that it leaves.
-func (n *Node) leaves(e *catalog.Endpoint) { n.exchange.AnnounceLeaving(e) }
+// endpointLeaving handles an endpoint's announcement that it leaves.
+func (n *Node) endpointLeaving(e *catalog.Endpoint) { n.gossipContent.AnnounceLeaving(e) }
 
-// news has something told that all VMs must know.
-func (n *Node) news() { n.gossip.PushUpdates() }
+// pushUpdates sends pending updates that all VMs must receive.
+func (n *Node) pushUpdates() { n.gossip.PushUpdates() }
 
-func (n *Node) renewed(sentAt clock.Time, h gossip.Assignment) {
-	n.members.SetLeader(h.Leader)
-	n.duty.Renewed(sentAt, h.Leader && !n.members.Leaving(), h.Generation)
+// leadershipRenewed handles a confirmed renewal of this VM's membership in the platform's group.
+func (n *Node) leadershipRenewed(sentAt clock.Time, a gossip.Assignment) {
+	n.members.SetLeader(a.Leader)
+	n.authority.Renewed(sentAt, a.Leader && !n.members.Leaving(), a.Generation)
 }
 
-// seedOf makes the planners of different processes break ties differently.
+// seedOf derives a seed from an incarnation, so that the planners of different processes break ties
+// differently.
 func seedOf(incarnation string) uint64 {
 	var b [8]byte
 	copy(b[:], incarnation)
