--- a/internal/cachesync/cachesync.go
+++ b/internal/cachesync/cachesync.go
@@ -1,13 +1,14 @@
-// Package cachesync tells a VM that has started what engines have cached.
+// Package cachesync initializes a VM's record of what engines have cached.
 //
-// A VM's beliefs about caches end with its process, while the engines keep what
-// they have. Load pattern: VMs are restarted one after the other, or all at once,
-// under full load. Without it a VM that has started takes every shared part for
-// cold: for seconds prompts go to engines that must read them again, just when
-// callers that were cut off come back.
+// A VM's record of the engines' caches is lost with its process, while the engines keep their
+// caches. Load pattern: VMs are restarted one after the other, or all at once, under full load.
+// Without this package a restarted VM assumes that no shared prompt part is cached anywhere: for
+// seconds it sends prompts to engines that must prefill them again, just when callers whose
+// connections were cut retry.
 //
-// A VM that starts asks one that knows. After a loss of all VMs nobody does: each
-// engine is then asked once for its own list, by one VM, which tells the others.
+// A starting VM copies the record of a VM that tracks the caches. After a restart of all VMs there
+// is none: then each engine is queried once for its list, by the VM that it is assigned to, which
+// sends the list to the other VMs.
 package cachesync
 
 import (
@@ -16,7 +17,7 @@
 	"fescuestand/internal/wire"
 )
 
-// Prefix tells that e has parts cached.
+// Prefix encodes that e has parts cached.
 func Prefix(e *catalog.Endpoint, parts []place.Part) *wire.CachedPrefix {
 	return encode(place.Cache{Endpoint: place.Key(e.ID), Parts: parts})
 }
@@ -30,7 +31,7 @@
 	return c
 }
 
-// Parts returns the parts of c; those without a size are left out.
+// Parts decodes the parts of c, except those without a size.
 func Parts(c *wire.CachedPrefix) []place.Part {
 	parts := make([]place.Part, 0, len(c.GetPart()))
 	for i, id := range c.GetPart() {
--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -18,13 +18,13 @@
 	"fescuestand/internal/wire"
 )
 
-// deployment is a set of VMs whose messages arrive at once, before engines that
-// count how often they are asked.
+// deployment is a set of VMs whose messages arrive immediately, with engines that count the queries
+// they get.
 type deployment struct {
-	mu    sync.Mutex
-	asked map[string]int
-	held  []place.Part
-	vms   []*vm
+	mu      sync.Mutex
+	queries map[string]int // by engine
+	cached  []place.Part   // at each engine
+	vms     []*vm
 }
 
 type vm struct {
@@ -41,11 +41,11 @@
 func (d *deployment) Cached(_ context.Context, e *catalog.Endpoint) ([]place.Part, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.asked[e.ID]++
+	d.queries[e.ID]++
 	if e.ID == "mute" {
 		return nil, errors.New("no answer")
 	}
-	return d.held, nil
+	return d.cached, nil
 }
 
 // CacheTrackers implements Members.
@@ -61,19 +61,19 @@
 	return out
 }
 
-// ResponsiveActive implements Members: one more VM is heard each hearStep.
+// ResponsiveActive implements Members: one more VM becomes responsive each beatInterval.
 func (v *vm) ResponsiveActive() []string {
 	out := []string{v.addr}
 	for _, other := range v.vms {
-		if other != v && len(out) <= int(time.Since(v.started)/hearStep) {
+		if other != v && len(out) <= int(time.Since(v.started)/beatInterval) {
 			out = append(out, other.addr)
 		}
 	}
 	return out
 }
 
-// hearStep is a beat's time.
-const hearStep = 35 * time.Millisecond
+// beatInterval is the time between two beats.
+const beatInterval = 35 * time.Millisecond
 
 // SetTracksCaches implements Members.
 func (v *vm) SetTracksCaches(informed bool) {
@@ -108,10 +108,10 @@
 	done.Wait()
 }
 
-// start starts n VMs that know the engines with the given ids.
-func start(t *testing.T, n int, first bool, held []place.Part, ids ...string) *deployment {
+// start starts n VMs whose catalog has the engines with the given ids.
+func start(t *testing.T, n int, first bool, cached []place.Part, ids ...string) *deployment {
 	t.Helper()
-	d := &deployment{asked: map[string]int{}, held: held}
+	d := &deployment{queries: map[string]int{}, cached: cached}
 	store := catalog.NewStore(clock.Boot{})
 	store.SetConfig(catalog.NewConfig(1, nil, []*catalog.Service{{Name: "m", Engine: &catalog.Engine{CacheTokens: 900_000}}, {Name: "plain"}}))
 	for _, id := range ids {
@@ -137,7 +137,7 @@
 	return d
 }
 
-// cachedAt tells whether v believes that all of parts are cached at the engine.
+// cachedAt reports whether v has recorded as many parts as cached at the engine.
 func (v *vm) cachedAt(engine string, parts []place.Part) bool {
 	for _, c := range v.planner.Caches() {
 		if c.Endpoint == place.Key(engine) {
@@ -155,92 +155,90 @@
 	return out
 }
 
-// Guards against engines that stand still because each VM which starts asks them for their
-// lists.
-func TestAfterALossOfAllVMsEachEngineIsAskedOnce(t *testing.T) {
-	held := parts(3*chunkParts + 1)
-	d := start(t, 7, false, held, "a", "b", "c", "d", "mute")
+// Guards against engines that are blocked because each starting VM queries them for their lists.
+func TestAfterARestartOfAllVMsEachEngineIsQueriedOnce(t *testing.T) {
+	cached := parts(3*chunkParts + 1)
+	d := start(t, 7, false, cached, "a", "b", "c", "d", "mute")
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
 	for _, v := range d.vms {
 		done.Go(func() { _ = v.unit.Run(ctx) })
 	}
-	for !d.allAsked(5) {
+	for !d.allQueried(5) {
 		assert.Assert(t, clock.Sleep(t.Context(), 10*time.Millisecond))
 	}
 	cancel()
 	done.Wait()
 	for _, id := range []string{"a", "b", "c", "d", "mute"} {
-		assert.Equal(t, d.asked[id], 1, id)
+		assert.Equal(t, d.queries[id], 1, id)
 		for _, v := range d.vms {
-			assert.Equal(t, v.cachedAt(id, held), id != "mute", id)
+			assert.Equal(t, v.cachedAt(id, cached), id != "mute", id)
 		}
 	}
-	assert.Equal(t, d.asked["call"], 0)
+	assert.Equal(t, d.queries["call"], 0)
 }
 
-func (d *deployment) allAsked(n int) bool {
+func (d *deployment) allQueried(n int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.asked) == n
+	return len(d.queries) == n
 }
 
-// Guards against engines being asked for what another VM knows.
-func TestAVMThatStartsAsksOneThatKnows(t *testing.T) {
+// Guards against a VM querying engines for lists that another VM has.
+func TestAStartingVMCopiesFromATrackingVM(t *testing.T) {
 	d := start(t, 3, false, nil, "a", "b")
-	known, fresh := d.vms[1], d.vms[0]
-	known.informed = true
+	informed, started := d.vms[1], d.vms[0]
+	informed.informed = true
 	for i, id := range []string{"a", "b"} {
-		known.planner.RecordCached(place.Key(id), parts(10+i))
+		informed.planner.RecordCached(place.Key(id), parts(10+i))
 	}
-	fresh.run(t)
-	assert.Equal(t, len(d.asked), 0, fmt.Sprint(d.asked))
-	assert.Assert(t, fresh.cachedAt("a", parts(10)) && fresh.cachedAt("b", parts(11)))
+	started.run(t)
+	assert.Equal(t, len(d.queries), 0, fmt.Sprint(d.queries))
+	assert.Assert(t, started.cachedAt("a", parts(10)) && started.cachedAt("b", parts(11)))
 }
 
-func TestNobodyIsAskedAtTheFirstStart(t *testing.T) {
+func TestNoEngineIsQueriedAtTheFirstStart(t *testing.T) {
 	d := start(t, 2, true, parts(1), "a")
 	d.vms[0].run(t)
-	assert.Equal(t, len(d.asked), 0)
+	assert.Equal(t, len(d.queries), 0)
 }
 
-// Guards against hundreds of VMs that stand by and ask for what only those need that
-// place requests; and against one that becomes active again with what it knew
-// before.
-func TestAVMLearnsWhenItBecomesActive(t *testing.T) {
+// Guards against hundreds of standby VMs querying for what only VMs that place requests need, and
+// against a VM that becomes active again with its outdated record.
+func TestAVMLoadsCachesWhenItBecomesActive(t *testing.T) {
 	d := start(t, 2, true, nil, "a")
-	known, fresh := d.vms[1], d.vms[0]
-	known.informed = true
-	known.planner.RecordCached(place.Key("a"), parts(10))
-	fresh.outside = true
+	informed, started := d.vms[1], d.vms[0]
+	informed.informed = true
+	informed.planner.RecordCached(place.Key("a"), parts(10))
+	started.outside = true
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
-	done.Go(func() { _ = fresh.unit.Run(ctx) })
-	turn := func(outside bool) {
+	done.Go(func() { _ = started.unit.Run(ctx) })
+	setOutside := func(outside bool) {
 		d.mu.Lock()
-		fresh.outside = outside
+		started.outside = outside
 		d.mu.Unlock()
-		for fresh.isInformed() == outside {
+		for started.isInformed() == outside {
 			assert.Assert(t, clock.Sleep(t.Context(), 10*time.Millisecond))
 		}
 	}
-	assert.Assert(t, clock.Sleep(t.Context(), 2*activePeriod))
-	assert.Assert(t, !fresh.isInformed())
-	turn(false)
-	assert.Assert(t, !fresh.cachedAt("a", parts(10)), "nothing is cached at the first start")
-	turn(true)
-	turn(false)
-	assert.Assert(t, fresh.cachedAt("a", parts(10)))
+	assert.Assert(t, clock.Sleep(t.Context(), 2*activeCheckPeriod))
+	assert.Assert(t, !started.isInformed())
+	setOutside(false)
+	assert.Assert(t, !started.cachedAt("a", parts(10)), "nothing is cached at the first start")
+	setOutside(true)
+	setOutside(false)
+	assert.Assert(t, started.cachedAt("a", parts(10)))
 	cancel()
 	done.Wait()
 }
 
-func TestWhatIsNoListOfCachesIsAnError(t *testing.T) {
+func TestMalformedCacheListIsAnError(t *testing.T) {
 	_, err := decode(strings.NewReader("\xff\xff"))
 	assert.Assert(t, err != nil)
 }
 
-// FuzzCaches feeds the answer of another VM: whatever it is, it is read or an error.
+// FuzzCaches checks that an arbitrary answer of another VM is decoded or rejected with an error.
 func FuzzCaches(f *testing.F) {
 	f.Add([]byte{10, 11, 13, 1, 0, 0, 0, 18, 0, 26, 1, 5})
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/cachesync/share.go
+++ b/internal/cachesync/share.go
@@ -11,34 +11,34 @@
 	"fescuestand/internal/wire"
 )
 
-// Path is where a VM answers for what it believes of caches.
+// Path is the HTTP path at which a VM serves its record of the engines' caches.
 const Path = "/caches"
 
-// Handler is an http.Handler that gives other VMs what this one believes.
+// Handler is an http.Handler that serves this VM's record of the engines' caches to other VMs.
 type Handler struct{ Planner *place.Planner }
 
 // ServeHTTP implements http.Handler.
-func (s *Handler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (h *Handler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	all := &wire.Caches{}
-	for _, c := range s.Planner.Caches() {
+	for _, c := range h.Planner.Caches() {
 		all.Engines = append(all.Engines, encode(c))
 	}
 	body, err := proto.Marshal(all)
 	if err != nil {
-		log.WithError(err).Error("caches not encoded")
+		log.WithError(err).Error("cache list encoding failed")
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	// A VM that has gone asks another one.
+	// A VM that couldn't read the answer queries another VM.
 	_, _ = w.Write(body)
 }
 
-// maxCaches bounds an answer: 4,300 engines with 300 parts each take 14 MB.
-const maxCaches = 32 << 20
+// maxAnswerBytes bounds an answer. 4,300 engines with 300 parts each take 14 MB.
+const maxAnswerBytes = 32 << 20
 
 func decode(rd io.Reader) (*wire.Caches, error) {
-	data, err := io.ReadAll(io.LimitReader(rd, maxCaches))
+	data, err := io.ReadAll(io.LimitReader(rd, maxAnswerBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -17,52 +17,54 @@
 )
 
 const (
-	// step is the time between two looks for a VM that knows.
-	step = 50 * time.Millisecond
-	// activePeriod is the time between two looks whether this VM is one of the active set,
-	// and awayFor how long it may be none and still be told all that the active set is.
-	activePeriod = 250 * time.Millisecond
-	awayFor      = time.Second
-	// patience is how long a VM that knows is waited for, once the engines are
-	// known and no other VM was heard for the first time, mostPatience at most.
-	// VMs that start together hear of each other within a few beats; before that
-	// each would take most engines for its own to ask.
-	patience     = 150 * time.Millisecond
-	mostPatience = 300 * time.Millisecond
-	// learnFor is how long a VM counts as one that doesn't know after it has asked
-	// engines: the others' lists are under way to it.
-	learnFor = 2 * time.Second
-	// callTimeout bounds a question to a VM or to an engine.
+	// pollPeriod is the time between two searches for a VM that tracks caches.
+	pollPeriod = 50 * time.Millisecond
+	// activeCheckPeriod is the time between two checks whether this VM is in the active set, and
+	// inactiveTimeout how long it may be outside and still receive all updates that the active set
+	// gets.
+	activeCheckPeriod = 250 * time.Millisecond
+	inactiveTimeout   = time.Second
+	// A VM that finds no VM that tracks caches queries the engines once the number of VMs from
+	// which it receives beats hasn't grown for peersStableFor, or after maxPeerWait from when it
+	// has the list of engines. VMs that start together discover each other within a few beats;
+	// before that each would assign most engines to itself.
+	peersStableFor = 150 * time.Millisecond
+	maxPeerWait    = 300 * time.Millisecond
+	// propagationTime is how long a VM that has queried engines still doesn't count as tracking
+	// caches: the lists that other VMs got from engines are in transit to it.
+	propagationTime = 2 * time.Second
+	// callTimeout bounds a query to a VM or to an engine.
 	callTimeout = 800 * time.Millisecond
-	// chunkParts is how many parts of an engine's list one message to the others
-	// carries, a few hundred bytes, and chunksAtOnce how many go out before a
-	// pause, so that they fit a datagram beside the load.
-	chunkParts   = 32
-	chunksAtOnce = 8
-	chunkPause   = 150 * time.Millisecond
+	// chunkParts is how many parts of an engine's list one message to the other VMs carries, which
+	// is a few hundred bytes, and chunksPerBurst how many messages are sent before a pause of
+	// chunkPause, so that they fit into a datagram together with the load reports.
+	chunkParts     = 32
+	chunksPerBurst = 8
+	chunkPause     = 150 * time.Millisecond
 )
 
-// CacheLister asks engines.
+// CacheLister queries engines.
 type CacheLister interface {
-	// Cached returns what e has cached.
+	// Cached returns the prompt parts that e has cached.
 	Cached(ctx context.Context, e *catalog.Endpoint) ([]place.Part, error)
 }
 
 // Members are the VMs of the deployment.
 type Members interface {
-	// CacheTrackers returns the addresses of the VMs that know what engines have
-	// cached, the nearest first.
+	// CacheTrackers returns the addresses of the VMs that track what engines have cached, the
+	// nearest first.
 	CacheTrackers() []string
-	// ResponsiveActive returns the addresses of the VMs that are heard, with this one's.
+	// ResponsiveActive returns the addresses of the active VMs that send beats, including this
+	// one's.
 	ResponsiveActive() []string
-	// SetTracksCaches tells the others whether this VM knows.
+	// SetTracksCaches announces to the other VMs whether this VM tracks what engines have cached.
 	SetTracksCaches(informed bool)
-	// IsActive tells whether this VM places requests, or is one of those that will
-	// next.
+	// IsActive reports whether this VM places requests, or is among those that will next.
 	IsActive() bool
 }
 
-// Unit is the kernel unit.
+// Unit initializes the Planner's record of cached parts each time the VM becomes active. It is a
+// kernel unit.
 type Unit struct {
 	Clock      clock.Clock
 	Planner    *place.Planner
@@ -70,94 +72,96 @@
 	Members    Members
 	Engines    CacheLister
 	OwnAddress string // this VM's address among Members
-	// FirstStart tells that the whole deployment starts for the first time.
+	// FirstStart means that the whole deployment starts for the first time: no engine has anything
+	// cached.
 	FirstStart bool
-	// Announce passes a message on to the other VMs.
+	// Announce sends a message to the other VMs.
 	Announce func(c *wire.CachedPrefix)
 }
 
 // Name implements kernel.Unit.
 func (u *Unit) Name() string { return "caches" }
 
-// Run implements kernel.Runner. A VM learns when it becomes active, and what it
-// knew counts for nothing once it has been away from it.
+// Run implements kernel.Runner. A VM loads the record when it becomes active, and again when it
+// becomes active after an absence, during which it missed updates.
 func (u *Unit) Run(ctx context.Context) error {
-	learnt := u.FirstStart
+	loaded := u.FirstStart
 	for {
 		for !u.Members.IsActive() {
-			if !clock.Sleep(ctx, activePeriod) {
+			if !clock.Sleep(ctx, activeCheckPeriod) {
 				return ctx.Err()
 			}
 		}
-		if !learnt && !u.learn(ctx) {
+		if !loaded && !u.load(ctx) {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
 			continue
 		}
 		u.Members.SetTracksCaches(true)
-		if !u.stay(ctx) {
+		if !u.waitInactive(ctx) {
 			return ctx.Err()
 		}
 		u.Members.SetTracksCaches(false)
-		learnt = false
+		loaded = false
 	}
 }
 
-// stay returns true once this VM has left the active set for a while.
-func (u *Unit) stay(ctx context.Context) bool {
-	seen := u.Clock.Now()
-	for clock.Sleep(ctx, activePeriod) {
+// waitInactive waits until this VM has been outside the active set for more than inactiveTimeout. It
+// returns false if ctx ended first.
+func (u *Unit) waitInactive(ctx context.Context) bool {
+	lastActive := u.Clock.Now()
+	for clock.Sleep(ctx, activeCheckPeriod) {
 		now := u.Clock.Now()
 		if u.Members.IsActive() {
-			seen = now
+			lastActive = now
 		}
-		if now.Sub(seen) > awayFor {
+		if now.Sub(lastActive) > inactiveTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// learn returns true once this VM knows what engines have cached, and false if it
-// left the active set before.
-func (u *Unit) learn(ctx context.Context) bool {
-	var w wait
-	for u.Members.IsActive() && clock.Sleep(ctx, step) {
+// load gets the engines' caches from another VM or from the engines. It returns false if this VM
+// left the active set, or ctx ended, first.
+func (u *Unit) load(ctx context.Context) bool {
+	var w peerWait
+	for u.Members.IsActive() && clock.Sleep(ctx, pollPeriod) {
 		engines := u.engines()
 		if len(engines) == 0 {
 			continue
 		}
-		if u.askVMs(ctx) {
+		if u.copyFromVM(ctx) {
 			return true
 		}
-		if w.over(u.Clock.Now(), len(u.Members.ResponsiveActive())) {
-			u.askEngines(ctx, engines)
-			return clock.Sleep(ctx, learnFor)
+		if w.done(u.Clock.Now(), len(u.Members.ResponsiveActive())) {
+			u.queryEngines(ctx, engines)
+			return clock.Sleep(ctx, propagationTime)
 		}
 	}
 	return false
 }
 
-// wait is that for a VM that knows.
-type wait struct {
-	since   clock.Time // when the engines were known
-	heard   int        // most VMs that were heard
-	grownAt clock.Time
+// peerWait is the wait for a VM that tracks caches.
+type peerWait struct {
+	since   clock.Time // when this VM first had a list of engines
+	maxVMs  int        // maximum number of responsive VMs so far
+	grownAt clock.Time // when maxVMs grew last
 }
 
-// over tells whether to wait no more, when heard VMs are heard now.
-func (w *wait) over(now clock.Time, heard int) bool {
+// done reports whether the wait is over; responsive is the number of responsive VMs now.
+func (w *peerWait) done(now clock.Time, responsive int) bool {
 	if w.since == 0 {
 		w.since = now
 	}
-	if heard > w.heard {
-		w.heard, w.grownAt = heard, now
+	if responsive > w.maxVMs {
+		w.maxVMs, w.grownAt = responsive, now
 	}
-	return now.Sub(w.grownAt) >= patience || now.Sub(w.since) >= mostPatience
+	return now.Sub(w.grownAt) >= peersStableFor || now.Sub(w.since) >= maxPeerWait
 }
 
-// engines returns those that are known.
+// engines returns the available engines of all services.
 func (u *Unit) engines() []*catalog.Endpoint {
 	v := u.Catalog.View()
 	var out []*catalog.Endpoint
@@ -172,11 +176,11 @@
 	return out
 }
 
-// askVMs takes over what another VM knows. It returns false if none does.
-func (u *Unit) askVMs(ctx context.Context) bool {
+// copyFromVM records what the first VM that answers has recorded. It returns false if none answers.
+func (u *Unit) copyFromVM(ctx context.Context) bool {
 	for _, addr := range u.Members.CacheTrackers() {
-		all, err := ask(ctx, addr)
-		log.WithError(err).WithField("vm", addr).WithField("engines", len(all.GetEngines())).Info("caches asked of a VM")
+		all, err := queryVM(ctx, addr)
+		log.WithError(err).WithField("vm", addr).WithField("engines", len(all.GetEngines())).Info("VM queried for cached parts")
 		if err != nil {
 			continue
 		}
@@ -188,7 +192,7 @@
 	return false
 }
 
-func ask(ctx context.Context, addr string) (*wire.Caches, error) {
+func queryVM(ctx context.Context, addr string) (*wire.Caches, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var all *wire.Caches
@@ -200,49 +204,49 @@
 	return all, err
 }
 
-// askEngines asks the engines that fall to this VM and tells the others. An engine
-// of which another VM has told a list isn't asked again.
-func (u *Unit) askEngines(ctx context.Context, engines []*catalog.Endpoint) {
+// queryEngines queries the engines that are assigned to this VM and announces their lists to the
+// other VMs. It skips an engine whose list another VM has announced.
+func (u *Unit) queryEngines(ctx context.Context, engines []*catalog.Endpoint) {
 	for _, e := range engines {
 		if ownerOf(e.ID, u.Members.ResponsiveActive()) != u.OwnAddress || u.Planner.CachedPartCount(e.ID) >= chunkParts {
 			continue
 		}
-		parts, err := u.list(ctx, e)
-		log.WithError(err).WithField("endpoint", e.ID).WithField("parts", len(parts)).Info("cache asked of an engine")
-		u.spread(ctx, e, parts)
+		parts, err := u.queryEngine(ctx, e)
+		log.WithError(err).WithField("endpoint", e.ID).WithField("parts", len(parts)).Info("engine queried for cached parts")
+		u.recordAndAnnounce(ctx, e, parts)
 	}
 }
 
-func (u *Unit) list(ctx context.Context, e *catalog.Endpoint) ([]place.Part, error) {
+func (u *Unit) queryEngine(ctx context.Context, e *catalog.Endpoint) ([]place.Part, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return u.Engines.Cached(ctx, e)
 }
 
-// spread believes parts to be cached at e, here and at the others.
-func (u *Unit) spread(ctx context.Context, e *catalog.Endpoint, parts []place.Part) {
+// recordAndAnnounce records parts as cached at e, and announces them to the other VMs in chunks.
+func (u *Unit) recordAndAnnounce(ctx context.Context, e *catalog.Endpoint, parts []place.Part) {
 	for sent := 1; len(parts) > 0; sent++ {
 		n := min(len(parts), chunkParts)
 		chunk := parts[:n]
 		parts = parts[n:]
 		u.Planner.RecordCached(place.Key(e.ID), chunk)
 		u.Announce(Prefix(e, chunk))
-		if sent%chunksAtOnce == 0 && !clock.Sleep(ctx, chunkPause) {
+		if sent%chunksPerBurst == 0 && !clock.Sleep(ctx, chunkPause) {
 			return
 		}
 	}
 }
 
-// ownerOf is the VM that asks an engine, by rendezvous hashing: where two VMs
-// differ on who is there, an engine is asked twice, or not at all until its
-// answers tell.
+// ownerOf returns the VM that queries an engine, by rendezvous hashing. If two VMs have different
+// lists of VMs, an engine may be queried twice, or not at all; then its answers to requests show what
+// it has cached.
 func ownerOf(engine string, vms []string) string {
 	id := xxhash.Sum64String(engine)
-	best, top := "", uint64(0)
+	owner, maxHash := "", uint64(0)
 	for _, vm := range vms {
-		if h := splitmix.Mix(id ^ xxhash.Sum64String(vm)); best == "" || h > top {
-			best, top = vm, h
+		if h := splitmix.Mix(id ^ xxhash.Sum64String(vm)); owner == "" || h > maxHash {
+			owner, maxHash = vm, h
 		}
 	}
-	return best
+	return owner
 }
