--- a/internal/configsync/configsync_test.go
+++ b/internal/configsync/configsync_test.go
@@ -18,27 +18,27 @@
 	"fescuestand/internal/keyedlog"
 )
 
-// awayLog is a store that counts the reads that it turns away.
-type awayLog struct{ reads atomic.Int32 }
+// emptyLog is a store without entries that counts the reads.
+type emptyLog struct{ reads atomic.Int32 }
 
-func (l *awayLog) Newest(context.Context) ([]keyedlog.Entry, int64, error) { return nil, 0, nil }
+func (l *emptyLog) Newest(context.Context) ([]keyedlog.Entry, int64, error) { return nil, 0, nil }
 
-func (l *awayLog) Read(context.Context, int64, time.Duration) ([]keyedlog.Entry, int64, error) {
+func (l *emptyLog) Read(context.Context, int64, time.Duration) ([]keyedlog.Entry, int64, error) {
 	l.reads.Add(1)
 	return nil, 0, nil
 }
 
-// vm is one that serves by a version and hears of others.
+// vm is a VM with a version in force that receives reports of other VMs' versions.
 type vm struct {
 	clock   *clock.Manual
 	version atomic.Uint64
 	puller  *Puller
-	store   *awayLog
+	store   *emptyLog
 }
 
 func newVM(t *testing.T) *vm {
 	t.Helper()
-	v := &vm{clock: &clock.Manual{T: clock.Time(time.Hour)}, store: &awayLog{}}
+	v := &vm{clock: &clock.Manual{T: clock.Time(time.Hour)}, store: &emptyLog{}}
 	f := keyedlog.New("config", v.store)
 	f.Pause = func() time.Duration { return time.Hour }
 	f.Apply = func(e keyedlog.Entry) { v.version.Store(uint64(len(e.Value))) }
@@ -50,20 +50,22 @@
 	return v
 }
 
-// hear gives the VM a peer's version, now and after a while.
-func (v *vm) hear(addr string, version uint64, after time.Duration) {
+// receive reports a peer's version to the VM, now and once more after the time after.
+func (v *vm) receive(addr string, version uint64, after time.Duration) {
 	v.puller.ReceiveVersion(addr, version)
 	v.clock.T = v.clock.T.Add(after)
 	v.puller.ReceiveVersion(addr, version)
 }
 
-func (v *vm) settled() bool {
+// idle reports whether no pull is in progress.
+func (v *vm) idle() bool {
 	v.puller.mu.Lock()
 	defer v.puller.mu.Unlock()
-	return !v.puller.busy
+	return !v.puller.pulling
 }
 
-func sharing(t *testing.T, h http.Handler) string {
+// serve starts a server for h and returns its address.
+func serve(t *testing.T, h http.Handler) string {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
@@ -80,57 +82,57 @@
 	}, poll.WithDelay(5*time.Millisecond), poll.WithTimeout(5*time.Second))
 }
 
-// The store turns a VM away and serves the others. A route that operators moved
-// would be served by the old endpoints there until it is let in again.
+// Guards against a VM whose calls the store rejects, but not those of other VMs, keeping an old
+// configuration: it would send requests of a route that operators moved to the old endpoints.
 func TestAVMThatTheStoreTurnsAwayGetsTheConfigurationFromAPeer(t *testing.T) {
-	share := &Handler{}
-	peer := sharing(t, share)
+	handler := &Handler{}
+	peer := serve(t, handler)
 	v := newVM(t)
 	for _, version := range []int{7, 9} {
-		share.Set(keyedlog.Entry{Key: "config", Value: make([]byte, version), Offset: int64(version)})
-		v.clock.T = v.clock.T.Add(pullPause)
-		v.hear(peer, uint64(version), pullAfter)
-		eventually(t, func() bool { return v.version.Load() == uint64(version) && v.settled() }, "the configuration in force")
+		handler.Set(keyedlog.Entry{Key: "config", Value: make([]byte, version), Offset: int64(version)})
+		v.clock.T = v.clock.T.Add(minPullInterval)
+		v.receive(peer, uint64(version), pullDelay)
+		eventually(t, func() bool { return v.version.Load() == uint64(version) && v.idle() }, "the configuration in force")
 	}
 	assert.Equal(t, v.store.reads.Load(), int32(0))
 }
 
-// A configuration is asked of a peer only when the store's answer should have
-// come, and not while another pull is under way.
+// Checks that a VM pulls from a peer only when the store's answer should have arrived, and not while
+// another pull is in progress.
 func TestPeersAreAskedOnceAndNotAtOnce(t *testing.T) {
-	asked := make(chan struct{}, 8)
-	hold := make(chan struct{})
-	peer := sharing(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		asked <- struct{}{}
-		<-hold
+	pulls := make(chan struct{}, 8)
+	unblock := make(chan struct{})
+	peer := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		pulls <- struct{}{}
+		<-unblock
 	}))
-	t.Cleanup(func() { close(hold) })
+	t.Cleanup(func() { close(unblock) })
 	v := newVM(t)
-	v.hear(peer, 5, pullAfter/2)
-	assert.Equal(t, len(asked), 0)
-	v.hear(peer, 5, pullAfter)
-	v.hear(peer, 5, pullAfter)
-	<-asked
-	assert.Equal(t, len(asked), 0)
+	v.receive(peer, 5, pullDelay/2)
+	assert.Equal(t, len(pulls), 0)
+	v.receive(peer, 5, pullDelay)
+	v.receive(peer, 5, pullDelay)
+	<-pulls
+	assert.Equal(t, len(pulls), 0)
 }
 
-// The peers that have a newer configuration can't be reached over TCP, only
-// their datagrams arrive. It is then read from the store.
+// Guards against a VM that stays behind when the peers with a newer configuration can't be reached
+// over TCP and only their datagrams arrive: it must read the configuration from the store.
 func TestTheStoreIsReadWhenNoPeerGivesTheConfiguration(t *testing.T) {
 	v := newVM(t)
-	empty := sharing(t, &Handler{})
-	v.hear(empty, 5, pullAfter)
-	eventually(t, v.settled, "the end of the pull")
-	v.clock.T = v.clock.T.Add(storeAfter)
+	empty := serve(t, &Handler{})
+	v.receive(empty, 5, pullDelay)
+	eventually(t, v.idle, "the end of the pull")
+	v.clock.T = v.clock.T.Add(storeReadDelay)
 	v.puller.ReceiveVersion(empty, 5)
 	eventually(t, func() bool { return v.store.reads.Load() == 1 }, "a read of the store")
 }
 
-func TestAVMWithTheNewestConfigurationAsksNobody(t *testing.T) {
+func TestAVMWithTheNewestConfigurationDoesNotPull(t *testing.T) {
 	v := newVM(t)
 	v.version.Store(5)
-	v.hear("127.0.0.1:1", 5, storeAfter)
-	assert.Assert(t, v.settled())
+	v.receive("127.0.0.1:1", 5, storeReadDelay)
+	assert.Assert(t, v.idle())
 	assert.Equal(t, v.store.reads.Load(), int32(0))
 }
 
@@ -142,14 +144,14 @@
 	assert.Equal(t, w.Code, http.StatusNotFound)
 }
 
-func TestAnAnswerThatIsNoConfigurationIsAnError(t *testing.T) {
-	_, err := unpack(strings.NewReader("nothing packed"))
+func TestMalformedConfigurationAnswerIsAnError(t *testing.T) {
+	_, err := decode(strings.NewReader("nothing packed"))
 	assert.Assert(t, err != nil)
 }
 
-// A configuration of 1,400 routes must fit the links of 10 Mbit/s that most VMs of
-// the largest deployment have: its answer is to take less than 50 ms.
-func TestALargeConfigurationIsPackedSmall(t *testing.T) {
+// Most VMs of the largest deployment have links of 10 Mbit/s: an answer with a configuration of 1,400
+// routes must take less than 50 ms there.
+func TestALargeConfigurationCompressesWell(t *testing.T) {
 	const routes = 1400
 	var b strings.Builder
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -158,9 +160,9 @@
 			`"targetLatencyMs":200,"priority":1,"service":"huvo11a","maxAttempts":1,"sticky":true,"resumable":false,"gapAimMs":200},`,
 			rng.Uint32()>>4, rng.Uint32()>>4)
 	}
-	packed, err := pack(&keyedlog.Entry{Key: "config", Value: []byte(b.String())})
+	compressed, err := encode(&keyedlog.Entry{Key: "config", Value: []byte(b.String())})
 	assert.NilError(t, err)
-	t.Logf("%d bytes packed to %d", b.Len(), len(packed))
-	const most = 10e6 / 8 * 0.05 // bytes in 50 ms
-	assert.Assert(t, len(packed) < most)
+	t.Logf("%d bytes compressed to %d", b.Len(), len(compressed))
+	const maxBytes = 10e6 / 8 * 0.05 // sent in 50 ms
+	assert.Assert(t, len(compressed) < maxBytes)
 }
--- a/internal/configsync/puller.go
+++ b/internal/configsync/puller.go
@@ -14,82 +14,85 @@
 )
 
 const (
-	// pullAfter is how long a peer may have a newer configuration before it is
-	// asked for it: VMs that wait for it at the store get it at the same time.
-	pullAfter = 100 * time.Millisecond
-	// pullPause is the time between two pulls: of versions that come in quick
-	// succession one is taken for several.
-	pullPause = 300 * time.Millisecond
-	// storeAfter is how long a peer may have a newer configuration before it is
-	// read from the store: the peers that have it can't be reached over TCP.
-	storeAfter = 800 * time.Millisecond
-	// pullTimeout bounds a pull: an answer of 18 kB takes 15 ms on links of
-	// 10 Mbit/s, and may wait behind a burst of prompts.
+	// pullDelay is how long a peer must have had a newer configuration before this VM pulls it: VMs
+	// with a waiting read at the store get it at the same time.
+	pullDelay = 100 * time.Millisecond
+	// minPullInterval is the minimum time between two pulls, so that one pull covers several
+	// versions published in quick succession.
+	minPullInterval = 300 * time.Millisecond
+	// storeReadDelay is how long a peer must have had a newer configuration before this VM reads it
+	// from the store: by then the peers that have it appear to be unreachable over TCP.
+	storeReadDelay = 800 * time.Millisecond
+	// pullTimeout bounds a pull. An answer of 18 kB takes 15 ms on links of 10 Mbit/s, and may queue
+	// behind a burst of prompts.
 	pullTimeout = 600 * time.Millisecond
 )
 
-// Puller gets newer configurations from the peers that tell of them. It is safe
-// for concurrent use.
+// Puller pulls newer configurations from the peers that report their versions. It is safe for
+// concurrent use.
 type Puller struct {
-	clock  clock.Clock
-	own    func() uint64 // version in force
-	config *keyedlog.Follower
-	peers  *peerhttp.Client
+	clock    clock.Clock
+	inForce  func() uint64 // version in force at this VM
+	follower *keyedlog.Follower
+	peers    *peerhttp.Client
 
-	mu     sync.Mutex
-	newest uint64     // version that a peer has told
-	behind clock.Time // since when a peer has had a newer one, zero if none
-	next   clock.Time // no pull begins before it
-	busy   bool       // a pull is under way
+	mu            sync.Mutex
+	newestAtPeers uint64     // newest version that a peer has reported
+	behindSince   clock.Time // since when a peer has had a newer version, zero if none has
+	nextPull      clock.Time // earliest time of the next pull
+	pulling       bool
 }
 
-// NewPuller returns a puller that feeds config; own returns the version in force.
-func NewPuller(c clock.Clock, own func() uint64, config *keyedlog.Follower) *Puller {
-	return &Puller{clock: c, own: own, config: config, peers: peerhttp.New()}
+// NewPuller returns a puller that passes configurations to follower; inForce returns the version in
+// force at this VM.
+func NewPuller(c clock.Clock, inForce func() uint64, follower *keyedlog.Follower) *Puller {
+	return &Puller{clock: c, inForce: inForce, follower: follower, peers: peerhttp.New()}
 }
 
-// ReceiveVersion takes the version that the VM at addr serves by.
+// ReceiveVersion handles a report that the VM at addr serves by the given version. It starts a pull,
+// or a read of the store, if this VM has been behind for long enough.
 func (p *Puller) ReceiveVersion(addr string, version uint64) {
-	own := p.own()
+	inForce := p.inForce()
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.newest = max(p.newest, version)
+	p.newestAtPeers = max(p.newestAtPeers, version)
 	switch {
-	case p.newest <= own:
-		p.behind = 0
+	case p.newestAtPeers <= inForce:
+		p.behindSince = 0
 		return
-	case p.behind == 0:
-		p.behind = now
-		go p.again(addr, version)
+	case p.behindSince == 0:
+		p.behindSince = now
+		go p.receiveAgain(addr, version)
 		return
-	case now.Sub(p.behind) >= storeAfter:
-		p.behind = now
-		p.config.Nudge()
+	case now.Sub(p.behindSince) >= storeReadDelay:
+		p.behindSince = now
+		p.follower.Nudge()
 	}
-	if version > own && !p.busy && now >= p.next && now.Sub(p.behind) >= pullAfter {
-		p.busy = true
+	if version > inForce && !p.pulling && now >= p.nextPull && now.Sub(p.behindSince) >= pullDelay {
+		p.pulling = true
 		go p.pull(addr)
 	}
 }
 
-// again looks once more after a while: it may take long until another VM tells.
-func (p *Puller) again(addr string, version uint64) {
-	time.Sleep(pullAfter)
+// receiveAgain handles the same report once more after pullDelay, since the next report may arrive
+// much later.
+func (p *Puller) receiveAgain(addr string, version uint64) {
+	time.Sleep(pullDelay)
 	p.ReceiveVersion(addr, version)
 }
 
-// pull gets the configuration of the VM at addr.
+// pull fetches the configuration of the VM at addr and passes it to the follower.
 func (p *Puller) pull(addr string) {
 	e, err := p.get(addr)
 	if err == nil {
-		p.config.Hear(e)
+		p.follower.Hear(e)
 	}
-	log.WithError(err).WithField("vm", addr).WithField("offset", e.Offset).WithField("version", p.own()).Info("configuration asked of a VM")
+	log.WithError(err).WithField("vm", addr).WithField("offset", e.Offset).WithField("version", p.inForce()).Info("VM queried for configuration")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.busy = false
-	p.next = p.clock.Now().Add(pullPause)
+	p.pulling = false
+	p.nextPull = p.clock.Now().Add(minPullInterval)
 }
 
 func (p *Puller) get(addr string) (keyedlog.Entry, error) {
@@ -98,7 +101,7 @@
 	var e keyedlog.Entry
 	err := p.peers.Get(ctx, addr, Path, func(body io.Reader) error {
 		var err error
-		e, err = unpack(body)
+		e, err = decode(body)
 		return err
 	})
 	return e, err
--- a/internal/configsync/share.go
+++ b/internal/configsync/share.go
@@ -1,9 +1,9 @@
-// Package configsync passes the newest configuration from VM to VM.
+// Package configsync distributes the newest configuration between VMs.
 //
-// A few VMs read the configuration from the store; beats tell its version, and
-// a VM that hears of a newer one asks the VM that has it. Without it each
-// version costs a call of the store for every VM, and a VM that the store turns
-// away keeps an old configuration though its peers have the new one.
+// A few VMs read the configuration from the store. Each VM sends its version with its beats, and a VM
+// that receives a newer version than its own fetches that configuration from the sender. Without
+// this, each version would cost one store call for every VM, and a VM whose calls the store rejects
+// would keep an old configuration although its peers have the new one.
 package configsync
 
 import (
@@ -20,53 +20,54 @@
 	"fescuestand/internal/wire"
 )
 
-// Path is where a VM answers for its configuration.
+// Path is the HTTP path at which a VM serves its configuration.
 const Path = "/configuration"
 
-// Handler is an http.Handler that gives the newest configuration to other VMs.
+// Handler is an http.Handler that serves the newest configuration to other VMs. It is safe for
+// concurrent use.
 type Handler struct {
-	mu     sync.Mutex
-	newest *keyedlog.Entry
-	packed []byte // newest on the wire, once somebody has asked for it
+	mu         sync.Mutex
+	newest     *keyedlog.Entry
+	compressed []byte // encoded newest, set by the first request for it
 }
 
-// Set replaces what is given.
-func (s *Handler) Set(e keyedlog.Entry) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.newest, s.packed = &e, nil
+// Set replaces the configuration to serve.
+func (h *Handler) Set(e keyedlog.Entry) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.newest, h.compressed = &e, nil
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := s.body()
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, err := h.body()
 	switch {
 	case r.URL.Path != Path, err == nil && body == nil:
 		w.WriteHeader(http.StatusNotFound)
 	case err != nil:
-		log.WithError(err).Error("configuration not encoded")
+		log.WithError(err).Error("configuration encoding failed")
 		w.WriteHeader(http.StatusInternalServerError)
 	default:
 		w.Header().Set("Content-Type", "application/octet-stream")
-		// A VM that has gone asks another one.
+		// A VM that couldn't read the answer queries another VM.
 		_, _ = w.Write(body)
 	}
 }
 
-// body packs the configuration once for all who ask: one of 1,400 routes shrinks
-// from 314 to 18 kB, which links of 10 Mbit/s need.
-func (s *Handler) body() ([]byte, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.packed != nil || s.newest == nil {
-		return s.packed, nil
+// body encodes and compresses the configuration once for all requests. Compression reduces one of
+// 1,400 routes from 314 to 18 kB, as links of 10 Mbit/s require.
+func (h *Handler) body() ([]byte, error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.compressed != nil || h.newest == nil {
+		return h.compressed, nil
 	}
 	var err error
-	s.packed, err = pack(s.newest)
-	return s.packed, err
+	h.compressed, err = encode(h.newest)
+	return h.compressed, err
 }
 
-func pack(e *keyedlog.Entry) ([]byte, error) {
+func encode(e *keyedlog.Entry) ([]byte, error) {
 	data, err := proto.Marshal(&wire.Change{Key: e.Key, Value: e.Value, Offset: uint64(e.Offset)})
 	if err != nil {
 		return nil, err
@@ -83,16 +84,16 @@
 	return out.Bytes(), err
 }
 
-// maxRecord bounds a configuration: several times that of a deployment with
-// thousands of routes.
-const maxRecord = 16 << 20
+// maxConfigBytes bounds a decompressed configuration. It is several times the size of that of a
+// deployment with thousands of routes.
+const maxConfigBytes = 16 << 20
 
-func unpack(rd io.Reader) (keyedlog.Entry, error) {
+func decode(rd io.Reader) (keyedlog.Entry, error) {
 	z, err := gzip.NewReader(rd)
 	if err != nil {
 		return keyedlog.Entry{}, err
 	}
-	data, err := io.ReadAll(io.LimitReader(z, maxRecord))
+	data, err := io.ReadAll(io.LimitReader(z, maxConfigBytes))
 	if err != nil {
 		return keyedlog.Entry{}, err
 	}
