--- a/internal/usage/book.go
+++ b/internal/usage/book.go
@@ -1,9 +1,9 @@
-// Package usage counts the requests of each workspace by windows of the time of day
-// and reports each window once.
+// Package usage counts the requests of each workspace by time-of-day windows and reports each window
+// to billing once.
 //
-// Each VM counts what it has served and tells the others its totals, so that what a VM
-// has counted outlives it. Totals replace older ones of the same process, so that a
-// message may be lost, late or repeated.
+// Each VM counts the requests that it has served and sends its totals to the other VMs, so that they
+// survive its process. The totals of a process only grow, and a receiver keeps the maximum: messages
+// may be lost, delayed or duplicated.
 package usage
 
 import (
@@ -14,33 +14,33 @@
 	"fescuestand/internal/clock"
 )
 
-// Counts are requests by the name of their workspace.
+// Counts holds numbers of requests by the name of the workspace.
 type Counts map[string]uint32
 
-// add adds c2 to c.
+// add adds the counts of c2 to those of c.
 func (c Counts) add(c2 Counts) {
 	for name, n := range c2 {
 		c[name] += n
 	}
 }
 
-// raise replaces counts by larger ones of c2.
-func (c Counts) raise(c2 Counts) {
+// mergeMax sets each count of c to the maximum of c and c2.
+func (c Counts) mergeMax(c2 Counts) {
 	for name, n := range c2 {
 		c[name] = max(c[name], n)
 	}
 }
 
 const (
-	// keptWindows of each process are remembered.
-	keptWindows = 8
-	// tellPeriod is the time between two tellings of totals. Those that have changed are
-	// told timesTold times, as a message may be lost.
-	tellPeriod = 500 * time.Millisecond
-	timesTold  = 2
+	// maxWindows is the number of newest windows that are kept of each process.
+	maxWindows = 8
+	// sendInterval is the minimum time between two sends of totals. Changed totals are sent
+	// sendCount times, as a message may be lost.
+	sendInterval = 500 * time.Millisecond
+	sendCount    = 2
 )
 
-// Totals are what one process has counted in one window.
+// Totals holds the counts of one window, of one process or summed over all.
 type Totals struct {
 	Window int64
 	Counts Counts
@@ -48,115 +48,115 @@
 
 // Ledger holds the totals of all processes. It is safe for concurrent use.
 type Ledger struct {
-	mu     sync.Mutex
-	own    map[int64]Counts
-	untold map[int64]int // how often own windows are still to be told
-	others map[string]map[int64]Counts
-	newest int64
-	told   clock.Time
+	mu           sync.Mutex
+	own          map[int64]Counts            // by window
+	pendingSends map[int64]int               // how often to send each own window still
+	peers        map[string]map[int64]Counts // by process and window
+	newest       int64                       // window
+	lastSent     clock.Time
 }
 
-// NewLedger returns an empty book.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{own: map[int64]Counts{}, untold: map[int64]int{}, others: map[string]map[int64]Counts{}}
+	return &Ledger{own: map[int64]Counts{}, pendingSends: map[int64]int{}, peers: map[string]map[int64]Counts{}}
 }
 
-// RecordRequest counts a request of this process.
-func (b *Ledger) RecordRequest(window int64, workspace string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.begin(window)
-	c := b.own[window]
+// RecordRequest counts a request that this process serves for a workspace.
+func (l *Ledger) RecordRequest(window int64, workspace string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.advance(window)
+	c := l.own[window]
 	if c == nil {
 		c = Counts{}
-		b.own[window] = c
+		l.own[window] = c
 	}
 	c[workspace]++
-	b.untold[window] = timesTold
+	l.pendingSends[window] = sendCount
 }
 
-// begin drops the oldest windows when a newer one begins.
-func (b *Ledger) begin(window int64) {
-	if window <= b.newest {
+// advance evicts windows that are too old once window is the newest.
+func (l *Ledger) advance(window int64) {
+	if window <= l.newest {
 		return
 	}
-	b.newest = window
-	old := func(w int64, _ Counts) bool { return w <= window-keptWindows }
-	maps.DeleteFunc(b.own, old)
-	for source, windows := range b.others {
+	l.newest = window
+	old := func(w int64, _ Counts) bool { return w <= window-maxWindows }
+	maps.DeleteFunc(l.own, old)
+	for process, windows := range l.peers {
 		maps.DeleteFunc(windows, old)
 		if len(windows) == 0 {
-			delete(b.others, source)
+			delete(l.peers, process)
 		}
 	}
 }
 
-// DueTotals returns the own totals that are due to be told.
-func (b *Ledger) DueTotals(now clock.Time) []Totals {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if now.Sub(b.told) < tellPeriod {
+// DueTotals returns this process's totals that are due to be sent, and counts them as sent.
+func (l *Ledger) DueTotals(now clock.Time) []Totals {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now.Sub(l.lastSent) < sendInterval {
 		return nil
 	}
-	b.told = now
+	l.lastSent = now
 	var out []Totals
-	for w, times := range b.untold {
-		if c := b.own[w]; c != nil {
+	for w, sends := range l.pendingSends {
+		if c := l.own[w]; c != nil {
 			out = append(out, Totals{w, maps.Clone(c)})
 		}
-		b.untold[w] = times - 1
-		if times <= 1 {
-			delete(b.untold, w)
+		l.pendingSends[w] = sends - 1
+		if sends <= 1 {
+			delete(l.pendingSends, w)
 		}
 	}
 	return out
 }
 
-// TotalsByProcess returns the totals that are known, by process. own names this one.
-func (b *Ledger) TotalsByProcess(own string) map[string][]Totals {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	all := make(map[string][]Totals, len(b.others)+1)
+// TotalsByProcess returns the totals of all processes; own is the name of this process.
+func (l *Ledger) TotalsByProcess(own string) map[string][]Totals {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	all := make(map[string][]Totals, len(l.peers)+1)
 	add := func(process string, windows map[int64]Counts) {
 		for w, c := range windows {
 			all[process] = append(all[process], Totals{w, maps.Clone(c)})
 		}
 	}
-	for process, windows := range b.others {
+	for process, windows := range l.peers {
 		add(process, windows)
 	}
-	add(own, b.own)
+	add(own, l.own)
 	return all
 }
 
-// MergeTotals takes totals that another process has told.
-func (b *Ledger) MergeTotals(process string, t Totals) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if t.Window <= b.newest-keptWindows {
+// MergeTotals merges totals of another process, unless their window is too old.
+func (l *Ledger) MergeTotals(process string, t Totals) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if t.Window <= l.newest-maxWindows {
 		return
 	}
-	b.begin(t.Window)
-	windows := b.others[process]
+	l.advance(t.Window)
+	windows := l.peers[process]
 	if windows == nil {
 		windows = map[int64]Counts{}
-		b.others[process] = windows
+		l.peers[process] = windows
 	}
 	c := windows[t.Window]
 	if c == nil {
 		c = Counts{}
 		windows[t.Window] = c
 	}
-	c.raise(t.Counts)
+	c.mergeMax(t.Counts)
 }
 
-// Sum returns the totals of all processes in a window.
-func (b *Ledger) Sum(window int64) Counts {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Sum returns the counts of a window, summed over all processes.
+func (l *Ledger) Sum(window int64) Counts {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	sum := Counts{}
-	sum.add(b.own[window])
-	for _, windows := range b.others {
+	sum.add(l.own[window])
+	for _, windows := range l.peers {
 		sum.add(windows[window])
 	}
 	return sum
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -12,61 +12,59 @@
 )
 
 const (
-	// period is the time between two looks for windows to report.
-	period = 300 * time.Millisecond
-	// settle is how long after its end a window is decided: the totals of all VMs
-	// have been told at least twice.
-	settle = 1500 * time.Millisecond
-	// giveUp is how long before it is due a window that could not be reported is
-	// given up.
-	giveUp = 100 * time.Millisecond
-	// callTimeout bounds a call; a report must have left within the time that the
-	// authority counts a call as under way.
+	// checkPeriod is the time between two checks for windows to report.
+	checkPeriod = 300 * time.Millisecond
+	// settleTime is how long after its end a window is decided: by then all VMs have sent their
+	// totals at least twice.
+	settleTime = 1500 * time.Millisecond
+	// abandonMargin is how long before its deadline a window that couldn't be reported is abandoned.
+	abandonMargin = 100 * time.Millisecond
+	// callTimeout bounds a call. A report must end within the time for which the authority assumes a
+	// permitted call to be in flight.
 	callTimeout = 800 * time.Millisecond
 )
 
-// Records keeps the windows that are decided, where each holder of the duty sees them.
+// Records stores the decided counts of windows, where each leader can read them.
 type Records interface {
-	// Decided returns the newest windows that are decided, and the version of the
-	// records.
+	// Decided returns the newest decided windows, and the version of the records.
 	Decided(ctx context.Context) (decided []Totals, version int64, err error)
-	// Decide adds a window if the records still have that version.
+	// Decide adds a window, on the condition that the records still have the given version.
 	Decide(ctx context.Context, t Totals, version int64) error
 }
 
-// Billing takes reports.
+// Billing is the platform's receiver of reports.
 type Billing interface {
-	// ReportUsage reports a window. A report that is repeated with the same counts
-	// changes nothing.
+	// ReportUsage reports a window. It is idempotent for equal counts. fence is the leader's fencing
+	// token.
 	ReportUsage(ctx context.Context, t Totals, fence int64) error
 }
 
-// Reporter reports each window while its process holds the duty. It is a kernel unit.
+// Reporter reports each window while its process is the leader. It is a kernel unit.
 //
-// The counts of a window are decided by a record that is written under a condition
-// before the first report: holders that follow each other, or that don't know whether
-// their writing or their report arrived, report the same counts.
+// The counts of a window are decided by a conditional write of a record before the first report. So
+// successive leaders, and a leader that doesn't know whether its write or its report arrived, report
+// the same counts.
 type Reporter struct {
 	Ledger  *Ledger
 	Records Records
 	Billing Billing
 	Clock   clock.Clock
-	// TrueTime returns the time of day at a reading of the clock.
+	// TrueTime returns the time of day at a reading of Clock.
 	TrueTime func(clock.Time) time.Time
-	// MayAct returns the fencing token to act with, and whether this process may act.
+	// MayAct returns the fencing token to act with, and whether this process may act as leader.
 	MayAct func() (fence int64, ok bool)
-	// Gather takes over what other VMs know, when this one comes to act.
+	// Gather merges the totals that other VMs have, when this process becomes leader.
 	Gather func(ctx context.Context)
-	// Window is the length of a window, and ReportDeadline how long after its end it must have
-	// been reported.
+	// Window is the length of a window, and ReportDeadline the time after its end within which it
+	// must be reported.
 	Window, ReportDeadline time.Duration
 
-	acting   bool
-	reported map[int64]bool
-	missed   int64 // newest window that was given up
+	leading    bool
+	reported   map[int64]bool
+	lastMissed int64 // newest window that was abandoned
 }
 
-// WindowOf returns the number of the window of a time of day.
+// WindowOf returns the number of the window that contains a time of day.
 func WindowOf(at time.Time, length time.Duration) int64 { return at.UnixNano() / int64(length) }
 
 // Name implements kernel.Unit.
@@ -75,51 +73,51 @@
 // Run implements kernel.Runner.
 func (r *Reporter) Run(ctx context.Context) error {
 	r.reported = map[int64]bool{}
-	return clock.Every(ctx, period, func() { r.look(ctx) })
+	return clock.Every(ctx, checkPeriod, func() { r.reportDue(ctx) })
 }
 
-// look reports the windows that are due, the oldest first.
-func (r *Reporter) look(ctx context.Context) {
+// reportDue reports the windows that are due, the oldest first.
+func (r *Reporter) reportDue(ctx context.Context) {
 	if _, ok := r.MayAct(); !ok {
-		r.acting = false
+		r.leading = false
 		return
 	}
-	if !r.acting {
+	if !r.leading {
 		r.Gather(ctx)
-		r.acting = true
+		r.leading = true
 	}
 	now := r.TrueTime(r.Clock.Now())
-	first := WindowOf(now.Add(giveUp-r.ReportDeadline), r.Window)
-	r.forget(first)
-	for w := first; w < WindowOf(now.Add(-settle), r.Window); w++ {
+	first := WindowOf(now.Add(abandonMargin-r.ReportDeadline), r.Window)
+	r.evictBefore(first)
+	for w := first; w < WindowOf(now.Add(-settleTime), r.Window); w++ {
 		if r.reported[w] {
 			continue
 		}
 		if !r.report(ctx, w) {
-			return // the next look begins with it
+			return // the next check retries it first
 		}
 	}
 }
 
-// forget drops what is known of windows before first, and logs those that were missed.
-func (r *Reporter) forget(first int64) {
-	for w := first - keptWindows/2; w < first; w++ {
-		if !r.reported[w] && w > r.missed && len(r.Ledger.Sum(w)) > 0 {
-			log.WithField("window", w).Warn("usage not reported in time")
-			r.missed = w
+// evictBefore logs windows before first that weren't reported, and deletes the state of old ones.
+func (r *Reporter) evictBefore(first int64) {
+	for w := first - maxWindows/2; w < first; w++ {
+		if !r.reported[w] && w > r.lastMissed && len(r.Ledger.Sum(w)) > 0 {
+			log.WithField("window", w).Warn("usage report missed its deadline")
+			r.lastMissed = w
 		}
 	}
-	maps.DeleteFunc(r.reported, func(w int64, _ bool) bool { return w < first-keptWindows })
+	maps.DeleteFunc(r.reported, func(w int64, _ bool) bool { return w < first-maxWindows })
 }
 
-// report decides and reports one window, and returns whether that is done.
+// report decides and reports one window, and returns whether it is done.
 func (r *Reporter) report(ctx context.Context, window int64) bool {
 	t, ok := r.decide(ctx, window)
 	if !ok {
 		return false
 	}
 	if len(t.Counts) == 0 {
-		return true // nobody knows of any request
+		return true // no VM has counted a request
 	}
 	fence, ok := r.MayAct()
 	if !ok {
@@ -134,14 +132,14 @@
 	return err == nil
 }
 
-// decide returns the counts of a window as the records have them, where they are put
-// if they aren't there yet. A window without requests isn't decided.
+// decide returns the decided counts of a window. If the records have none, it writes the sum of all
+// totals there first, unless the window has no requests.
 func (r *Reporter) decide(ctx context.Context, window int64) (Totals, bool) {
 	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
 	decided, version, err := r.Records.Decided(ctx)
 	if err != nil {
-		log.WithError(err).WithField("window", window).Warn("usage records not read")
+		log.WithError(err).WithField("window", window).Warn("usage records read failed")
 		return Totals{}, false
 	}
 	if i := slices.IndexFunc(decided, func(t Totals) bool { return t.Window == window }); i >= 0 {
@@ -152,7 +150,7 @@
 		return t, true
 	}
 	if err := r.Records.Decide(ctx, t, version); err != nil {
-		log.WithError(err).WithField("window", window).Warn("usage not decided")
+		log.WithError(err).WithField("window", window).Warn("usage decision failed")
 		return Totals{}, false
 	}
 	log.WithField("window", window).WithField("requests", t.requests()).Info("usage decided")
--- a/internal/usage/share.go
+++ b/internal/usage/share.go
@@ -14,72 +14,72 @@
 	"fescuestand/internal/wire"
 )
 
-// Path is where a VM answers for the totals that it knows.
+// Path is the HTTP path at which a VM serves its ledger.
 const Path = "/usage"
 
 const (
-	// gatherTimeout bounds the question to one VM, and gatherers how many are asked
-	// at a time.
-	gatherTimeout = 600 * time.Millisecond
-	gatherers     = 8
-	// maxBook bounds an answer.
-	maxBook = 4 << 20
+	// gatherTimeout bounds the query to one VM, and maxConcurrentQueries how many VMs are queried at
+	// a time.
+	gatherTimeout        = 600 * time.Millisecond
+	maxConcurrentQueries = 8
+	// maxAnswerBytes bounds the answer of a VM.
+	maxAnswerBytes = 4 << 20
 )
 
-// Handler is an http.Handler that gives the known totals to other VMs.
+// Handler is an http.Handler that serves the totals of all processes to other VMs.
 type Handler struct {
 	Ledger  *Ledger
 	Process string // name of this process
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Handler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (h *Handler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	book := &wire.UsageBook{}
-	for process, windows := range s.Ledger.TotalsByProcess(s.Process) {
+	for process, windows := range h.Ledger.TotalsByProcess(h.Process) {
 		book.Processes = append(book.Processes, &wire.UsageTotals{Process: process, Windows: Encode(windows)})
 	}
 	data, err := proto.Marshal(book)
 	if err != nil {
-		log.WithError(err).Error("usage not encoded")
+		log.WithError(err).Error("usage encoding failed")
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	// A VM that has gone needs no answer.
+	// The querying VM logs a failed read.
 	_, _ = w.Write(data)
 }
 
-// Gatherer asks other VMs for what they know: a VM that is dealt the duty may not have
-// been told what those counted that have stopped since.
+// Gatherer merges the ledgers of other VMs: a VM that becomes leader may not have received the last
+// totals of VMs that have stopped since.
 type Gatherer struct {
 	Ledger  *Ledger
 	Process string          // name of this process
-	VMs     func() []string // addresses of those that may know
+	VMs     func() []string // addresses of the VMs to query
 	peers   *peerhttp.Client
 }
 
-// NewGatherer returns a gatherer for b.
-func NewGatherer(b *Ledger, own string, vms func() []string) *Gatherer {
-	return &Gatherer{Ledger: b, Process: own, VMs: vms, peers: peerhttp.New()}
+// NewGatherer returns a gatherer that merges into l; process is the name of this process.
+func NewGatherer(l *Ledger, process string, vms func() []string) *Gatherer {
+	return &Gatherer{Ledger: l, Process: process, VMs: vms, peers: peerhttp.New()}
 }
 
-// Gather asks all of them once.
+// Gather queries all VMs once and merges their answers.
 func (g *Gatherer) Gather(ctx context.Context) {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(gatherers)
+	group.SetLimit(maxConcurrentQueries)
 	for _, vm := range g.VMs() {
 		group.Go(func() error {
-			g.ask(ctx, vm)
+			g.query(ctx, vm)
 			return nil
 		})
 	}
-	_ = group.Wait() // what one doesn't tell another may
+	_ = group.Wait() // other VMs may have the totals of a VM that didn't answer
 }
 
-func (g *Gatherer) ask(ctx context.Context, vm string) {
+func (g *Gatherer) query(ctx context.Context, vm string) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
 	err := g.peers.Get(ctx, vm, Path, func(body io.Reader) error {
-		data, err := io.ReadAll(io.LimitReader(body, maxBook))
+		data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 		if err != nil {
 			return err
 		}
@@ -95,11 +95,11 @@
 		return nil
 	})
 	if err != nil {
-		log.WithError(err).WithField("vm", vm).Warn("usage not gathered")
+		log.WithError(err).WithField("vm", vm).Warn("usage query failed")
 	}
 }
 
-// Encode writes totals as VMs tell them.
+// Encode returns totals as VMs send them to each other.
 func Encode(totals []Totals) []*wire.UsageWindow {
 	out := make([]*wire.UsageWindow, 0, len(totals))
 	for _, t := range totals {
@@ -113,8 +113,8 @@
 	return out
 }
 
-// MergeWindows takes totals as another process has told them.
-func (b *Ledger) MergeWindows(process string, windows []*wire.UsageWindow) {
+// MergeWindows merges totals of another process, as VMs send them to each other.
+func (l *Ledger) MergeWindows(process string, windows []*wire.UsageWindow) {
 	for _, w := range windows {
 		requests := w.GetRequests()
 		counts := make(Counts, len(requests))
@@ -123,6 +123,6 @@
 				counts[name] = requests[i]
 			}
 		}
-		b.MergeTotals(process, Totals{w.GetWindow(), counts})
+		l.MergeTotals(process, Totals{w.GetWindow(), counts})
 	}
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -18,7 +18,8 @@
 	"fescuestand/internal/clock"
 )
 
-// Guards against counts that are lost, doubled or taken back by messages that are lost, repeated or late.
+// Guards against totals that are lost, doubled or reduced by messages that are lost, duplicated or
+// delayed.
 func TestTotalsAreMergedByProcess(t *testing.T) {
 	b := NewLedger()
 	b.RecordRequest(7, "north")
@@ -31,62 +32,62 @@
 	assert.DeepEqual(t, b.Sum(6), Counts{})
 }
 
-// Guards against the last totals of a window that are lost with one message.
-func TestTotalsAreToldTwiceAfterTheirLastChange(t *testing.T) {
+// Guards against losing the last totals of a window with one lost message.
+func TestTotalsAreSentTwiceAfterTheirLastChange(t *testing.T) {
 	b := NewLedger()
 	now := clock.Time(time.Minute)
 	b.RecordRequest(7, "north")
 	assert.Equal(t, len(b.DueTotals(now)), 1)
-	assert.Equal(t, len(b.DueTotals(now.Add(tellPeriod-1))), 0)
-	now = now.Add(tellPeriod)
+	assert.Equal(t, len(b.DueTotals(now.Add(sendInterval-1))), 0)
+	now = now.Add(sendInterval)
 	assert.DeepEqual(t, b.DueTotals(now), []Totals{{7, Counts{"north": 1}}})
-	now = now.Add(tellPeriod)
+	now = now.Add(sendInterval)
 	assert.Equal(t, len(b.DueTotals(now)), 0)
 }
 
-// Guards against counts of a VM that has died, which a new holder of the duty was never told.
-func TestAHolderGathersWhatOthersKnow(t *testing.T) {
-	keeper, holder := NewLedger(), NewLedger()
+// Guards against a report without the counts of a failed VM that the new leader never received.
+func TestANewLeaderGathersTotalsOfOtherVMs(t *testing.T) {
+	keeper, leader := NewLedger(), NewLedger()
 	keeper.RecordRequest(7, "north")
 	keeper.MergeTotals("dead", Totals{7, Counts{"south": 2}})
 	keeper.MergeTotals("holder", Totals{7, Counts{"north": 1}})
-	holder.RecordRequest(7, "north")
+	leader.RecordRequest(7, "north")
 	srv := httptest.NewServer(&Handler{Ledger: keeper, Process: "keeper"})
 	t.Cleanup(srv.Close)
-	gone := httptest.NewServer(http.NotFoundHandler())
-	t.Cleanup(gone.Close)
-	g := NewGatherer(holder, "holder", func() []string {
-		return []string{strings.TrimPrefix(gone.URL, "http://"), strings.TrimPrefix(srv.URL, "http://")}
+	failing := httptest.NewServer(http.NotFoundHandler())
+	t.Cleanup(failing.Close)
+	g := NewGatherer(leader, "holder", func() []string {
+		return []string{strings.TrimPrefix(failing.URL, "http://"), strings.TrimPrefix(srv.URL, "http://")}
 	})
 	for range 2 {
 		g.Gather(t.Context())
-		assert.DeepEqual(t, holder.Sum(7), Counts{"north": 2, "south": 2})
+		assert.DeepEqual(t, leader.Sum(7), Counts{"north": 2, "south": 2})
 	}
 }
 
-func TestOldWindowsAreForgotten(t *testing.T) {
+func TestOldWindowsAreEvicted(t *testing.T) {
 	b := NewLedger()
 	b.RecordRequest(7, "north")
 	b.MergeTotals("vm-2", Totals{7, Counts{"north": 1}})
-	b.RecordRequest(7+keptWindows, "north")
+	b.RecordRequest(7+maxWindows, "north")
 	b.MergeTotals("vm-3", Totals{7, Counts{"north": 1}})
 	assert.Equal(t, len(b.Sum(7)), 0)
 }
 
-// Guards against the memory of a VM that is told counts for days and serves nobody itself.
-func TestAVMThatOnlyHearsForgetsOldWindows(t *testing.T) {
+// Guards against unbounded memory at a VM that receives totals for days and serves no request itself.
+func TestReceivedTotalsEvictOldWindows(t *testing.T) {
 	b := NewLedger()
 	for w := range int64(1000) {
 		b.MergeTotals(fmt.Sprint("vm-", w/10), Totals{w + 1, Counts{"north": 1}})
 	}
-	assert.Assert(t, len(b.others) <= 2)
+	assert.Assert(t, len(b.peers) <= 2)
 	assert.DeepEqual(t, b.Sum(1000), Counts{"north": 1})
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
-// platform keeps the records and takes the reports. At times it fails, loses its
-// answers, or carries a write out later.
+// platform implements Records and Billing. With faults it sometimes fails, loses its answers, or
+// applies a write later.
 type platform struct {
 	rng      *rand.Rand
 	clock    *clock.Manual
@@ -106,8 +107,8 @@
 
 func (p *platform) fails(in int) bool { return p.faults && p.rng.IntN(in) == 0 }
 
-// settle carries out the late writes that are due.
-func (p *platform) settle() {
+// applyLateWrites applies the late writes that are due.
+func (p *platform) applyLateWrites() {
 	p.late = slices.DeleteFunc(p.late, func(w lateWrite) bool {
 		if w.at > p.clock.T {
 			return false
@@ -126,33 +127,33 @@
 }
 
 func (p *platform) Decided(context.Context) ([]Totals, int64, error) {
-	p.settle()
+	p.applyLateWrites()
 	if p.fails(4) {
-		return nil, 0, errAway
+		return nil, 0, errUnavailable
 	}
 	return p.records, int64(len(p.records)), nil
 }
 
 func (p *platform) Decide(_ context.Context, t Totals, version int64) error {
-	p.settle()
+	p.applyLateWrites()
 	switch {
 	case p.fails(4):
-		return errAway
+		return errUnavailable
 	case p.fails(4):
 		p.late = append(p.late, lateWrite{p.clock.T.Add(time.Duration(p.rng.IntN(5000)) * time.Millisecond), t, version})
-		return errAway
+		return errUnavailable
 	case !p.write(t, version):
 		return errors.New("another version")
 	case p.fails(4):
-		return errAway
+		return errUnavailable
 	}
 	return nil
 }
 
 func (p *platform) ReportUsage(_ context.Context, t Totals, fence int64) error {
-	p.settle()
+	p.applyLateWrites()
 	if p.fails(4) {
-		return errAway
+		return errUnavailable
 	}
 	if before, ok := p.reports[t.Window]; ok && !maps.Equal(before, t.Counts) {
 		p.conflict = true
@@ -160,7 +161,7 @@
 	p.reports[t.Window] = maps.Clone(t.Counts)
 	p.fences = append(p.fences, fence)
 	if p.fails(4) {
-		return errAway
+		return errUnavailable
 	}
 	return nil
 }
@@ -184,89 +185,91 @@
 	return WindowOf(start.Add(time.Duration(p.clock.T)), 5*time.Second)
 }
 
-func TestAWindowIsReportedOnceItHasSettled(t *testing.T) {
+func TestAWindowIsReportedOnceAfterSettleTime(t *testing.T) {
 	p := newPlatform(1)
 	b := NewLedger()
 	r := p.reporter(b, func() bool { return true })
 	w := p.window()
 	b.RecordRequest(w, "north")
-	p.clock.T = p.clock.T.Add(5*time.Second + settle - time.Millisecond)
-	r.look(t.Context())
+	p.clock.T = p.clock.T.Add(5*time.Second + settleTime - time.Millisecond)
+	r.reportDue(t.Context())
 	assert.Equal(t, len(p.reports), 0)
 	p.clock.T = p.clock.T.Add(2 * time.Millisecond)
-	r.look(t.Context())
-	r.look(t.Context())
+	r.reportDue(t.Context())
+	r.reportDue(t.Context())
 	assert.DeepEqual(t, p.reports, map[int64]Counts{w: {"north": 1}})
 	assert.DeepEqual(t, p.fences, []int64{4})
 }
 
-// Guards against a window whose requests are all unknown: a report of nothing would contradict one with counts.
-func TestAWindowWithoutKnownRequestsIsNotReported(t *testing.T) {
+// Guards against the report of an empty window: it would contradict another leader's report with
+// counts.
+func TestAWindowWithoutRequestsIsNotReported(t *testing.T) {
 	p := newPlatform(1)
 	r := p.reporter(NewLedger(), func() bool { return true })
 	p.clock.T = p.clock.T.Add(time.Minute)
-	r.look(t.Context())
+	r.reportDue(t.Context())
 	assert.Equal(t, len(p.records)+len(p.reports), 0)
 }
 
-// holders run three VMs for a minute, each with its own view of the counts; the duty moves,
-// and at times two believe that they hold it.
-func holders(t *testing.T, p *platform) {
+// runLeaders runs three VMs for a minute, each with its own ledger. The leadership moves, and at
+// times two VMs assume that they are the leader.
+func runLeaders(t *testing.T, p *platform) {
 	t.Helper()
-	var books []*Ledger
+	var ledgers []*Ledger
 	var reporters []*Reporter
-	owner, second := 0, 0
+	leader, secondLeader := 0, 0
 	for i := range 3 {
-		books = append(books, NewLedger())
-		reporters = append(reporters, p.reporter(books[i], func() bool { return owner == i || second == i }))
+		ledgers = append(ledgers, NewLedger())
+		reporters = append(reporters, p.reporter(ledgers[i], func() bool { return leader == i || secondLeader == i }))
 	}
 	for range 600 {
 		p.clock.T = p.clock.T.Add(100 * time.Millisecond)
 		if p.rng.IntN(20) == 0 {
-			second, owner = owner, p.rng.IntN(3)
+			secondLeader, leader = leader, p.rng.IntN(3)
 		}
 		from := p.rng.IntN(3)
-		books[from].RecordRequest(p.window(), fmt.Sprint("w", p.rng.IntN(3)))
-		for _, told := range books[from].DueTotals(p.clock.T) {
-			for i, b := range books {
+		ledgers[from].RecordRequest(p.window(), fmt.Sprint("w", p.rng.IntN(3)))
+		for _, sent := range ledgers[from].DueTotals(p.clock.T) {
+			for i, b := range ledgers {
 				if i != from && p.rng.IntN(3) > 0 {
-					b.MergeTotals(fmt.Sprint(from), told)
+					b.MergeTotals(fmt.Sprint(from), sent)
 				}
 			}
 		}
-		reporters[p.rng.IntN(3)].look(t.Context())
+		reporters[p.rng.IntN(3)].reportDue(t.Context())
 	}
 }
 
-// Guards against two reports of one window that differ, whatever is late, lost or repeated.
+// Guards against two reports of one window that differ, whichever messages and writes are delayed,
+// lost or repeated.
 func TestNoTwoReportsOfAWindowDiffer(t *testing.T) {
 	for seed := range uint64(300) {
 		p := newPlatform(seed)
 		p.faults = true
-		holders(t, p)
+		runLeaders(t, p)
 		assert.Assert(t, !p.conflict, "seed %d", seed)
 		assert.Assert(t, len(p.reports) > 5, "seed %d: %d windows", seed, len(p.reports))
 	}
 }
 
-// undecided reports what it knows without a record.
+// undecided is a platform without records: each leader reports its own sums.
 type undecided struct{ *platform }
 
 func (u undecided) Decided(context.Context) ([]Totals, int64, error) { return nil, 0, nil }
 func (u undecided) Decide(context.Context, Totals, int64) error      { return nil }
 
-// The check above fails where windows aren't decided before they are reported.
-func TestReportsDifferWithoutTheRecord(t *testing.T) {
+// The same check fails if windows aren't decided before they are reported.
+func TestReportsDifferWithoutRecords(t *testing.T) {
 	p := newPlatform(5)
 	b, c := NewLedger(), NewLedger()
 	w := p.window()
 	b.RecordRequest(w, "north")
 	c.RecordRequest(w, "south")
 	p.clock.T = p.clock.T.Add(8 * time.Second)
-	for _, book := range []*Ledger{b, c} {
-		r := p.reporter(book, func() bool { return true })
+	for _, ledger := range []*Ledger{b, c} {
+		r := p.reporter(ledger, func() bool { return true })
 		r.Records = undecided{p}
-		r.look(t.Context())
+		r.reportDue(t.Context())
 	}
 	assert.Assert(t, p.conflict)
 }
