--- a/internal/workspace/workspace.go
+++ b/internal/workspace/workspace.go
@@ -1,7 +1,7 @@
 // Package workspace finds the workspace that an API key belongs to.
 //
-// Keys are kept and compared as digests only, so that none can appear in a log, a
-// metric or a message.
+// Keys are stored and compared as digests only, so that no key can appear in a log, a metric or a
+// message.
 package workspace
 
 import (
@@ -12,7 +12,7 @@
 	"fmt"
 )
 
-// Digest stands for a key.
+// Digest is the SHA-256 digest of a key.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
@@ -21,7 +21,7 @@
 // Workspace is a group of callers who share keys.
 type Workspace struct {
 	Name string
-	// Priority replaces that of the route, 0 is the most urgent. It is nil if the
+	// Priority overrides the priority of the route; 0 is the most urgent. It is nil if the
 	// workspace has none.
 	Priority *int
 }
@@ -32,14 +32,14 @@
 	Keys []string
 }
 
-// Errors of NewDirectory. None of their texts holds a key.
+// Errors of NewDirectory. Their texts contain no keys.
 var (
 	ErrNoName    = errors.New("5005 bad-workspace: a workspace has no name")
 	ErrBadKey    = errors.New("5005 bad-workspace: a key is empty or has bytes that no header may hold")
 	ErrSharedKey = errors.New("5005 bad-workspace: two workspaces have one key")
 )
 
-// Directory finds workspaces by their keys. It doesn't change once it is built.
+// Directory finds workspaces by their keys. It is immutable, and so safe for concurrent use.
 type Directory struct {
 	entries map[uint64][]entry // by the first bytes of the digest
 	names   []string
@@ -50,7 +50,8 @@
 	workspace *Workspace
 }
 
-// NewDirectory returns a directory of the listed workspaces.
+// NewDirectory returns a directory of the listed workspaces, or an error if a workspace has no name,
+// a key can't be sent in a header, or two workspaces share a key.
 func NewDirectory(list []Entry) (*Directory, error) {
 	d := &Directory{entries: make(map[uint64][]entry, 2*len(list))}
 	for i := range list {
@@ -67,7 +68,7 @@
 
 func (d *Directory) add(w *Workspace, keys []string) error {
 	for _, key := range keys {
-		if !sendable(key) {
+		if !validHeaderValue(key) {
 			return ErrBadKey
 		}
 		digest := DigestOf(key)
@@ -80,8 +81,9 @@
 	return nil
 }
 
-// sendable tells whether a header can hold the key.
-func sendable(key string) bool {
+// validHeaderValue reports whether a header can hold the key: it is non-empty printable ASCII without
+// spaces.
+func validHeaderValue(key string) bool {
 	for i := range len(key) {
 		if key[i] <= ' ' || key[i] > '~' {
 			return false
@@ -92,8 +94,8 @@
 
 func prefix(d *Digest) uint64 { return binary.LittleEndian.Uint64(d[:]) }
 
-// Find returns the workspace that holds the key with the given digest, or nil. The
-// time that it takes doesn't tell how much of a digest fits.
+// Find returns the workspace that has the key with the given digest, or nil. Digests are compared in
+// constant time, so that its duration doesn't reveal how much of a digest matches.
 func (d *Directory) Find(digest Digest) *Workspace {
 	var found *Workspace
 	for _, e := range d.entries[prefix(&digest)] {
--- a/internal/workspace/workspace_test.go
+++ b/internal/workspace/workspace_test.go
@@ -23,7 +23,8 @@
 	assert.DeepEqual(t, d.Names(), []string{"north", "south", "idle"})
 }
 
-// Guards against a configuration whose keys don't tell workspaces apart, and against keys in error texts.
+// Guards against a configuration whose keys don't identify one workspace each, and against keys in
+// error texts.
 func TestBadWorkspacesAreRefusedWithoutTheirKeys(t *testing.T) {
 	for _, c := range []struct {
 		list []Entry
@@ -54,7 +55,7 @@
 	})
 }
 
-// manyWorkspaces have two keys each.
+// manyWorkspaces returns n workspaces with two keys each.
 func manyWorkspaces(n int) []Entry {
 	list := make([]Entry, n)
 	for i := range list {
