--- a/internal/catalog/hold_test.go
+++ b/internal/catalog/hold_test.go
@@ -9,22 +9,22 @@
 	"fescuestand/internal/clock"
 )
 
-// Guards against a start that takes the square of the number of endpoints: each of
-// thousands made a view of all.
-func TestABatchMakesOneView(t *testing.T) {
+// Guards against a start in time quadratic in the number of endpoints: each of thousands of changes
+// built a view of all endpoints.
+func TestABatchPublishesOneView(t *testing.T) {
 	s := NewStore(&clock.Manual{T: 1})
 	before, changed := s.View(), s.Changed()
-	s.Hold()
+	s.BeginBatch()
 	for i := range 100 {
 		s.SetEndpoint(&Endpoint{ID: fmt.Sprint(i), Service: "m"})
 	}
 	assert.Assert(t, s.View() == before)
-	s.Release()
+	s.EndBatch()
 	<-changed
 	assert.Equal(t, len(s.View().All()), 100)
 
-	at := s.View()
-	s.Hold()
-	s.Release()
-	assert.Assert(t, s.View() == at, "nothing has changed")
+	view := s.View()
+	s.BeginBatch()
+	s.EndBatch()
+	assert.Assert(t, s.View() == view, "an empty batch publishes no view")
 }
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -110,7 +110,7 @@
 			return false
 		}
 	case failed, lost:
-		if !x.route.Repeatable() || x.runs >= max(x.route.MaxAttempts, 1) {
+		if !x.route.Retryable() || x.runs >= max(x.route.MaxAttempts, 1) {
 			return false
 		}
 	default:
@@ -122,12 +122,12 @@
 	if x.arrivals == 0 {
 		return true // no arrival has been counted, so the next one is the request's first
 	}
-	return x.runs == 0 || x.route.Repeatable() && x.runs < max(x.route.MaxAttempts, 1)
+	return x.runs == 0 || x.route.Retryable() && x.runs < max(x.route.MaxAttempts, 1)
 }
 
 // openEndpoints returns the service's endpoints that accept requests, by the catalog's newest view.
 func (x *execution) openEndpoints() []*catalog.Endpoint {
-	return x.g.o.Catalog.View().Open(x.service)
+	return x.g.o.Catalog.View().Available(x.service)
 }
 
 // send sends the request to an endpoint and reads the response's header. It returns a response only
@@ -146,7 +146,7 @@
 	s.RemainingTime, s.UrgencyRank = x.remainingTime(), x.urgencyRank()
 	req := &exchange.Request{
 		Method: x.call.Method, Target: x.call.Target, Host: x.call.Host,
-		Header: x.g.o.Codec.Header(x.call, s), Body: x.call.Body, NoRetry: !x.route.Repeatable(),
+		Header: x.g.o.Codec.Header(x.call, s), Body: x.call.Body, NoRetry: !x.route.Retryable(),
 	}
 	sentAt := x.now()
 	resp, err := x.g.o.Pool.Do(ctx, s.Endpoint.Address, req)
@@ -191,7 +191,7 @@
 // The catalog or the limit may have changed since e was chosen, so it is called before each send.
 func (x *execution) acquireEndpoint(e *catalog.Endpoint) (result, bool) {
 	switch {
-	case !x.g.o.Catalog.View().Takes(e):
+	case !x.g.o.Catalog.View().IsAvailable(e):
 		return result{outcome: notSent, code: code.EndpointLeft, err: errEndpointLeft}, false
 	case !x.g.o.Pressure.TryAcquire(x.now(), e):
 		return result{outcome: notSent, code: code.EndpointsLimited, err: errEndpointsLimited}, false
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -35,7 +35,7 @@
 	// Time estimates the time of day, and Usage counts requests per window of that time. Both are
 	// nil where requests aren't counted.
 	Time  *truetime.Estimator
-	Usage *usage.Book
+	Usage *usage.Ledger
 
 	crashes announcements[*wire.Crash]
 	leaving announcements[*wire.LeavingEndpoint]
@@ -104,7 +104,7 @@
 	if x.Usage == nil {
 		return nil
 	}
-	return usage.Encode(x.Usage.Tell(x.Clock.Now()))
+	return usage.Encode(x.Usage.DueTotals(x.Clock.Now()))
 }
 
 // receiveTotals merges the time of day and the usage counts of another VM.
@@ -112,7 +112,7 @@
 	if b.GetWallMs() != 0 {
 		x.Time.ReceiveTime(from, time.UnixMilli(b.GetWallMs()))
 	}
-	x.Usage.HearAll(ProcessName(from, b.GetIncarnation()), b.GetUsage())
+	x.Usage.MergeWindows(ProcessName(from, b.GetIncarnation()), b.GetUsage())
 }
 
 // ProcessName returns a name that is unique to each process of a VM.
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -117,7 +117,7 @@
 	}
 	for name, s := range v.Config.Services {
 		if s.Engine != nil {
-			u.planService(ctx, name, s.Engine.Slots, v.Open(name))
+			u.planService(ctx, name, s.Engine.Slots, v.Available(name))
 		}
 	}
 }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -98,7 +98,7 @@
 	f := &fakeEngines{leaving: true}
 	u, _ := startUnit(t, f, true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if u.Catalog.View().Working() < 4 {
+		if u.Catalog.View().AvailableCount() < 4 {
 			return poll.Success()
 		}
 		return poll.Continue("no engine has reported that it is leaving")
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -146,7 +146,7 @@
 	for i, zone := range k.zones {
 		pools[i] = autoscale.ZonePool{Zone: zone, Price: cmp.Or(s.Scaling.ZonePrices[zone], 1)}
 	}
-	for _, e := range v.Open(s.Name) {
+	for _, e := range v.Available(s.Name) {
 		i := slices.Index(k.zones, e.Zone)
 		if e.Spot {
 			pools[i].Spot++
@@ -165,7 +165,7 @@
 	switch {
 	case !known && serving == o.Count:
 		return
-	case known && last.count == o.Count && (serving >= o.Count || now.Sub(last.at) < s.Scaling.Boot+retryMargin):
+	case known && last.count == o.Count && (serving >= o.Count || now.Sub(last.at) < s.Scaling.BootTime+retryMargin):
 		return
 	}
 	fence, ok := u.MayAct()
