--- a/scenarios/soak_faults_test.go
+++ b/scenarios/soak_faults_test.go
@@ -118,8 +118,8 @@
 		return func() { s.setStoreDown(false) }
 	}},
 	{"answers of the store lost", func(s *soak) func() {
-		s.store.SetLosing(true)
-		return func() { s.store.SetLosing(false) }
+		s.store.SetDropAnswers(true)
+		return func() { s.store.SetDropAnswers(false) }
 	}},
 	{"store's history gone", func(s *soak) func() { s.store.DropHistory("keyed.op"); s.store.DropHistory("keyed.servers"); return nothing }},
 	{"VM cut from the store", func(s *soak) func() { return harm(s.vm().link, s.rng.IntN(4)) }},
