--- a/scenarios/soak_notices_test.go
+++ b/scenarios/soak_notices_test.go
@@ -103,7 +103,7 @@
 	var leaving []*soakEndpoint
 	for _, service := range []string{"m", "s", "t"} {
 		e := s.serving(service)[0]
-		e.Leave()
+		e.AnnounceLeaving()
 		leaving = append(leaving, e)
 		s.left = append(s.left, e.Endpoint)
 	}
