--- a/scenarios/soak_proof_test.go
+++ b/scenarios/soak_proof_test.go
@@ -45,7 +45,7 @@
 			assert.NilError(t, e.Start("127.0.0.1:0", s.ledger))
 			t.Cleanup(e.Crash)
 			if tc.left > 0 {
-				e.LeaveSince(now.Add(-tc.left))
+				e.AnnounceLeavingSince(now.Add(-tc.left))
 				s.left = append(s.left, e)
 			}
 			for range tc.runs {
