--- a/scenarios/soak_notices_test.go
+++ b/scenarios/soak_notices_test.go
@@ -125,7 +125,7 @@
 func (s *soak) checkLeaving() {
 	said := map[string]time.Time{}
 	for _, e := range s.left {
-		if at := e.SaidLeaving(); !at.IsZero() {
+		if at := e.LeavingAnnouncedAt(); !at.IsZero() {
 			said[e.ID] = at
 		}
 	}
