--- a/scenarios/soak_notices_test.go
+++ b/scenarios/soak_notices_test.go
@@ -149,12 +149,12 @@
 	var named []*standin.Endpoint
 	for _, service := range []string{"m", "s", "t"} {
 		e := s.serving(service)[0]
-		e.SetAway(awayAsked)
+		e.SetRetryAfter(awayAsked)
 		named = append(named, e.Endpoint)
 	}
 	time.Sleep(awayFor)
 	for _, e := range named {
-		e.SetAway("")
+		e.SetRetryAfter("")
 		s.away = append(s.away, away{e.ID, from, from.Add(awayFor)})
 	}
 }
