--- a/internal/entry/dispatch/attempt.go
+++ b/internal/entry/dispatch/attempt.go
@@ -54,7 +54,7 @@
 		return fmt.Errorf("%w: engine %s left the sheet", driver.ErrNotSent, decision.Endpoint.Name)
 	}
 	s.attemptStart = s.assembler.Next()
-	release, ok := e.Hold()
+	release, ok := e.Acquire()
 	if !ok {
 		s.dispatcher.router.Done(s.dispatcher.clk.Now(), &decision.Dispatch, route.Canceled)
 		sleep(ctx, routingTableWait)
@@ -244,7 +244,7 @@
 	if e == nil {
 		return nil
 	}
-	release, ok := e.Hold()
+	release, ok := e.Acquire()
 	if !ok {
 		return nil
 	}
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -227,7 +227,7 @@
 	ctx := context.Background()
 	drain := &wire.Directive{Engine: "e0", Fence: 2, Seq: 1, Phase: wire.Phase_PHASE_DRAIN}
 	assert.Equal(t, d.fleet.Direct(ctx, drain), 0)
-	_, ok := d.fleet.Engine("e0").Hold()
+	_, ok := d.fleet.Engine("e0").Acquire()
 	assert.Assert(t, !ok)
 	_, err := generate(d, 3, time.Second)
 	assert.Equal(t, code.Of(err).Code, code.NoEndpoint, "%v", err)
@@ -237,7 +237,7 @@
 		{Engine: "e0", Fence: 2, Seq: 0, Phase: wire.Phase_PHASE_OPEN},
 	} {
 		d.fleet.Direct(ctx, stale)
-		_, ok = d.fleet.Engine("e0").Hold()
+		_, ok = d.fleet.Engine("e0").Acquire()
 		assert.Assert(t, !ok, "opened by %v", stale)
 	}
 	d.fleet.Direct(ctx, &wire.Directive{Engine: "e0", Fence: 3, Seq: 1, Phase: wire.Phase_PHASE_OPEN})
--- a/internal/entry/fleet/fleet.go
+++ b/internal/entry/fleet/fleet.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// Hold counts one attempt at the engine until release is called, or returns
+// Acquire counts one attempt at the engine until release is called, or returns
 // false if the engine takes no new work.
 //
 // Failure: a request is on its way between the choice of its engine and its
@@ -108,7 +108,7 @@
 // is in flight and changes the engine under the request. The count comes before
 // the look at closed, and the directive closes before it reads the count: one
 // of the two sees the other.
-func (e *Engine) Hold() (release func(), ok bool) {
+func (e *Engine) Acquire() (release func(), ok bool) {
 	e.inFlight.Add(1)
 	if e.closed.Load() {
 		e.inFlight.Add(-1)
--- a/internal/entry/fleet/fleet_test.go
+++ b/internal/entry/fleet/fleet_test.go
@@ -57,7 +57,7 @@
 	clk.T = clk.T.Add(directiveKept)
 	o.lapseDirectives()
 	assert.Equal(t, o.routed().State, route.Open)
-	_, ok := e.Hold()
+	_, ok := e.Acquire()
 	assert.Assert(t, ok)
 	assert.Assert(t, !isClosed(e.Moved()))
 	o.direct(1, 1, wire.Phase_PHASE_MOVE, "") // the holder is back
