--- a/internal/entry/dispatch/attempt.go
+++ b/internal/entry/dispatch/attempt.go
@@ -85,7 +85,7 @@
 func (s *session) streamAttempt(
 	ctx context.Context, decision *route.Decision, engine *fleet.Engine, exposure *crashExposure,
 ) error {
-	moved := engine.Moved()
+	moved := engine.MoveRequested()
 	req := &driver.GenerateRequest{
 		Attempt: s.dispatcher.newAttempt(),
 		Model:   s.req.Model, Version: s.req.Version, Adapter: s.req.Adapter,
--- a/internal/entry/fleet/fleet.go
+++ b/internal/entry/fleet/fleet.go
@@ -88,9 +88,9 @@
 	return ""
 }
 
-// Moved returns a channel that is closed once the engine's streams have to
+// MoveRequested returns a channel that is closed once the engine's streams have to
 // move elsewhere.
-func (e *Engine) Moved() <-chan struct{} { return *e.moved.Load() }
+func (e *Engine) MoveRequested() <-chan struct{} { return *e.moved.Load() }
 
 // Refresh asks for the engine's state soon.
 func (e *Engine) Refresh() {
@@ -122,7 +122,7 @@
 func (e *Engine) setPhase(p wire.Phase) {
 	e.closed.Store(p != wire.Phase_PHASE_OPEN)
 	leaves := p == wire.Phase_PHASE_MOVE || p == wire.Phase_PHASE_AWAY
-	moving := isClosed(e.Moved())
+	moving := isClosed(e.MoveRequested())
 	if leaves && !moving {
 		close(*e.moved.Load())
 	}
--- a/internal/entry/fleet/fleet_test.go
+++ b/internal/entry/fleet/fleet_test.go
@@ -47,7 +47,7 @@
 	clk := &clock.Manual{T: 1}
 	o, e := newTestOwner(clk)
 	o.direct(1, 1, wire.Phase_PHASE_MOVE, "")
-	assert.Assert(t, isClosed(e.Moved()))
+	assert.Assert(t, isClosed(e.MoveRequested()))
 	for range 5 {
 		clk.T = clk.T.Add(directiveKept / 2)
 		o.direct(1, 1, wire.Phase_PHASE_MOVE, "")
@@ -59,7 +59,7 @@
 	assert.Equal(t, o.routed().State, route.Open)
 	_, ok := e.Acquire()
 	assert.Assert(t, ok)
-	assert.Assert(t, !isClosed(e.Moved()))
+	assert.Assert(t, !isClosed(e.MoveRequested()))
 	o.direct(1, 1, wire.Phase_PHASE_MOVE, "") // the holder is back
 	assert.Equal(t, o.routed().State, route.Draining)
 }
