--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -226,7 +226,7 @@
 	d := startDispatcher(t, s, 1, withBudget())
 	ctx := context.Background()
 	drain := &wire.Directive{Engine: "e0", Fence: 2, Seq: 1, Phase: wire.Phase_PHASE_DRAIN}
-	assert.Equal(t, d.fleet.Direct(ctx, drain), 0)
+	assert.Equal(t, d.fleet.ApplyDirective(ctx, drain), 0)
 	_, ok := d.fleet.Engine("e0").Acquire()
 	assert.Assert(t, !ok)
 	_, err := generate(d, 3, time.Second)
@@ -236,11 +236,11 @@
 		{Engine: "e0", Fence: 1, Seq: 7, Phase: wire.Phase_PHASE_OPEN},
 		{Engine: "e0", Fence: 2, Seq: 0, Phase: wire.Phase_PHASE_OPEN},
 	} {
-		d.fleet.Direct(ctx, stale)
+		d.fleet.ApplyDirective(ctx, stale)
 		_, ok = d.fleet.Engine("e0").Acquire()
 		assert.Assert(t, !ok, "opened by %v", stale)
 	}
-	d.fleet.Direct(ctx, &wire.Directive{Engine: "e0", Fence: 3, Seq: 1, Phase: wire.Phase_PHASE_OPEN})
+	d.fleet.ApplyDirective(ctx, &wire.Directive{Engine: "e0", Fence: 3, Seq: 1, Phase: wire.Phase_PHASE_OPEN})
 	text, err := generate(d, 3, 2*time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, text, "0 1 2 ")
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -55,7 +55,7 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	u := cl.entries[0].unit
-	u.fleet.Direct(cl.ctx, &wire.Directive{Engine: "e0", Fence: 5, Seq: 1, Phase: wire.Phase_PHASE_MOVE})
+	u.fleet.ApplyDirective(cl.ctx, &wire.Directive{Engine: "e0", Fence: 5, Seq: 1, Phase: wire.Phase_PHASE_MOVE})
 	deadline := time.Now().Add(2 * time.Second)
 	for u.fleet.Engine("e0").InFlight() > 0 && time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
@@ -63,7 +63,7 @@
 	assert.Equal(t, u.fleet.Engine("e0").InFlight(), 0)
 	// A directive with an older fencing token, from a former holder of the engine's lease, must not
 	// open the engine.
-	u.fleet.Direct(cl.ctx, &wire.Directive{Engine: "e0", Fence: 4, Seq: 9, Phase: wire.Phase_PHASE_OPEN})
+	u.fleet.ApplyDirective(cl.ctx, &wire.Directive{Engine: "e0", Fence: 4, Seq: 9, Phase: wire.Phase_PHASE_OPEN})
 	for _, e := range u.Status().Endpoints {
 		assert.Assert(t, e.Name != "e0" || e.Phase == "draining", "%+v", e)
 	}
--- a/internal/entry/fleet/fleet.go
+++ b/internal/entry/fleet/fleet.go
@@ -180,9 +180,9 @@
 // SetEntries tells how many entries share the endpoints.
 func (f *Fleet) SetEntries(ctx context.Context, n int) { f.post(ctx, entriesChanged{n}) }
 
-// Direct takes a directive. The returned in-flight count is this entry's work
+// ApplyDirective takes a directive. The returned in-flight count is this entry's work
 // still on the engine.
-func (f *Fleet) Direct(ctx context.Context, d *wire.Directive) (inFlight int) {
+func (f *Fleet) ApplyDirective(ctx context.Context, d *wire.Directive) (inFlight int) {
 	done := make(chan struct{})
 	f.post(ctx, directed{d, done})
 	select {
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -246,7 +246,7 @@
 // Handle implements peer.Handler.
 func (u *Unit) Handle(ctx context.Context, _ *wire.Hello, req *wire.PeerRequest) *wire.PeerResponse {
 	if d := req.GetDirective(); d != nil {
-		n := u.fleet.Direct(ctx, d)
+		n := u.fleet.ApplyDirective(ctx, d)
 		return &wire.PeerResponse{Kind: &wire.PeerResponse_DirectiveAck{
 			DirectiveAck: &wire.DirectiveAck{Engine: d.GetEngine(), InFlight: uint32(n)},
 		}}
