--- a/internal/entry/fleet/fleet.go
+++ b/internal/entry/fleet/fleet.go
@@ -195,9 +195,9 @@
 	return 0
 }
 
-// Hint takes a directive that came by gossip, and drops it when the owner is
+// OfferDirective takes a directive that came by gossip, and drops it when the owner is
 // behind: it comes again.
-func (f *Fleet) Hint(d *wire.Directive) {
+func (f *Fleet) OfferDirective(d *wire.Directive) {
 	select {
 	case f.events <- directed{d, nil}:
 	default:
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -36,7 +36,7 @@
 // receiveGossip applies the directives and merges the crash evidence of a peer's gossip.
 func (u *Unit) receiveGossip(g *wire.Gossip) {
 	for _, d := range g.GetDirectives() {
-		u.fleet.Hint(d)
+		u.fleet.OfferDirective(d)
 	}
 	u.suspects.MergeFromPeer(u.opts.Clock.Now(), g.GetCrashes())
 }
