--- a/internal/entry/fleet/capacity_test.go
+++ b/internal/entry/fleet/capacity_test.go
@@ -11,8 +11,8 @@
 	"fescuestand/internal/sheet"
 )
 
-// BenchmarkPublish gives what the owner pays for one batch of polls that
-// changes nothing: it builds the endpoints anew and compares them.
+// BenchmarkPublish measures the cost of publish after polls that changed nothing: the owner
+// rebuilds the list of endpoints and compares it with the published one.
 func BenchmarkPublish(b *testing.B) {
 	for _, n := range []int{12, 120, 430, 4300} {
 		b.Run(fmt.Sprintf("runners=%d", n), func(b *testing.B) {
--- a/internal/entry/fleet/owner.go
+++ b/internal/entry/fleet/owner.go
@@ -22,33 +22,32 @@
 	endpoints  map[string]*endpoint
 	directives map[string]*directive
 	published  []route.Endpoint
-	dirty      bool            // the index has to be published too
-	acks       []chan struct{} // closed once the present events show in the table
+	indexDirty bool            // the index has changed and has to be published
+	acks       []chan struct{} // closed once the events applied so far are in the published table
 }
 
 // endpoint is one engine or endpoint of a plain service.
 type endpoint struct {
-	target  driver.Target
-	engine  *Engine // one of engine and service is set
-	service driver.Service
-	stop    context.CancelFunc
-	failed  int // polls in a row
-	slots   int // requests that it runs at once, as far as was seen
-	// lastFull is the batch of the last report, 0 if none waited behind it.
-	lastFull int
-	state    *driver.EngineState
-	stateAt  clock.Time    // when it was asked for
-	kick     chan struct{} // wakes the poller
-	report   *driver.LoadReport
+	target      driver.Target
+	engine      *Engine // one of engine and service is set
+	service     driver.Service
+	stop        context.CancelFunc
+	failedPolls int // consecutive failed polls
+	slots       int // estimated number of requests that it runs at once
+	// lastFullBatch is the batch size in the last report, 0 if no request was queued then.
+	lastFullBatch int
+	state         *driver.EngineState
+	stateAt       clock.Time    // time of the request for state
+	wake          chan struct{} // wakes the poller
+	report        *driver.LoadReport
 }
 
 func newOwner(ctx context.Context, f *Fleet) *owner {
 	return &owner{ctx: ctx, f: f, endpoints: map[string]*endpoint{}, directives: map[string]*directive{}}
 }
 
-// drainEvents applies what else is waiting, so that a round of polls makes one
-// table.
-func (o *owner) drainEvents() {
+// applyPendingEvents applies all queued events, so that a round of polls publishes one table.
+func (o *owner) applyPendingEvents() {
 	for {
 		select {
 		case e := <-o.f.events:
@@ -59,7 +58,7 @@
 	}
 }
 
-// acknowledge tells those who wait that their directive is in the table.
+// acknowledge wakes the callers of ApplyDirective, whose directives are now in the table.
 func (o *owner) acknowledge() {
 	for _, ch := range o.acks {
 		close(ch)
@@ -67,8 +66,8 @@
 	o.acks = nil
 }
 
-// entriesChanged tells how many entries share the endpoints. What each may have
-// outstanding follows from it, so the table is published anew.
+// entriesChanged sets the number of entries that share the endpoints. The limit of requests that
+// each entry may have outstanding depends on it, so the table is published again.
 type entriesChanged struct{ n int }
 
 func (e entriesChanged) apply(o *owner) {
@@ -85,11 +84,11 @@
 	if e.version < o.version {
 		return
 	}
-	o.sheet, o.version, o.dirty = e.sheet, e.version, true
+	o.sheet, o.version, o.indexDirty = e.sheet, e.version, true
 	wanted := map[string]driver.Target{}
 	for i := range e.sheet.Engines {
-		one := &e.sheet.Engines[i]
-		wanted[one.Name] = one.Target()
+		engine := &e.sheet.Engines[i]
+		wanted[engine.Name] = engine.Target()
 	}
 	for i := range e.sheet.Services {
 		s := &e.sheet.Services[i]
@@ -105,8 +104,8 @@
 	o.openAll(wanted)
 }
 
-// close ends the polls of an endpoint that the sheet no longer names. Its
-// driver stays usable for the streams that still run on it.
+// close stops polling an endpoint that the sheet no longer lists. Its driver stays usable for
+// the streams that still run on it.
 func (o *owner) close(name string, ep *endpoint) {
 	ep.stop()
 	delete(o.endpoints, name)
@@ -131,9 +130,9 @@
 		}
 	}
 	for i := range o.sheet.Services {
-		for _, one := range o.sheet.Services[i].Endpoints {
-			if o.endpoints[one.Name] == nil {
-				o.openService(one.Name, wanted[one.Name])
+		for _, s := range o.sheet.Services[i].Endpoints {
+			if o.endpoints[s.Name] == nil {
+				o.openService(s.Name, wanted[s.Name])
 			}
 		}
 	}
@@ -144,11 +143,11 @@
 	if err == nil {
 		var d driver.Engine
 		if d, err = open(t); err == nil {
-			e := &Engine{Engine: d, Name: name, kick: make(chan struct{}, 1)}
-			moved := make(chan struct{})
-			e.moved.Store(&moved)
+			e := &Engine{Engine: d, Name: name, wake: make(chan struct{}, 1)}
+			ch := make(chan struct{})
+			e.moveRequest.Store(&ch)
 			e.setPhase(o.directiveOf(name).GetPhase())
-			o.start(name, &endpoint{target: t, engine: e, kick: e.kick, slots: defaultSlots})
+			o.start(name, &endpoint{target: t, engine: e, wake: e.wake, slots: defaultSlots})
 			return
 		}
 	}
@@ -174,16 +173,16 @@
 	o.f.wg.Go(func() { o.f.poll(ctx, name, ep) })
 }
 
-// directed carries a directive of the control process that holds the engine.
-type directed struct {
+// directiveReceived is a directive of the control process that holds the engine's lease.
+type directiveReceived struct {
 	d    *wire.Directive
 	done chan struct{}
 }
 
-// apply ignores directives of a holder that has lost the engine to another, or
-// that come late: they would put work on an engine that is being changed, or
-// keep it away for ever.
-func (e directed) apply(o *owner) {
+// apply ignores directives of a process that has lost the lease to another one, and directives
+// that arrive out of order. They would send work to an engine that is being changed, or keep it
+// closed for ever.
+func (e directiveReceived) apply(o *owner) {
 	if e.done != nil {
 		o.acks = append(o.acks, e.done)
 	}
@@ -195,34 +194,34 @@
 		return
 	case e.d.GetFence() == old.d.GetFence() && e.d.GetSeq() < old.d.GetSeq():
 		return
-	case e.d.GetFence() == old.d.GetFence() && e.d.GetSeq() == old.d.GetSeq() && !old.lapsed:
-		old.heard = o.f.clk.Now()
+	case e.d.GetFence() == old.d.GetFence() && e.d.GetSeq() == old.d.GetSeq() && !old.expired:
+		old.lastReceived = o.f.clk.Now()
 		return
 	}
 	now := o.f.clk.Now()
-	o.directives[name] = &directive{d: e.d, came: now, heard: now}
+	o.directives[name] = &directive{d: e.d, firstReceived: now, lastReceived: now}
 	if ep := o.endpoints[name]; ep != nil && ep.engine != nil {
 		ep.engine.setPhase(e.d.GetPhase())
 		ep.engine.Refresh()
 	}
 }
 
-// directive is the newest one of an engine.
+// directive is the newest directive for an engine.
 type directive struct {
-	d      *wire.Directive
-	came   clock.Time // when it was first heard
-	heard  clock.Time
-	lapsed bool
+	d             *wire.Directive
+	firstReceived clock.Time // states requested earlier are outdated
+	lastReceived  clock.Time
+	expired       bool
 }
 
-// lapseDirectives opens engines whose holder has said nothing for long.
-func (o *owner) lapseDirectives() {
+// expireDirectives reopens engines whose directive was not repeated for directiveTimeout.
+func (o *owner) expireDirectives() {
 	for name, d := range o.directives {
-		if d.lapsed || d.d.GetPhase() == wire.Phase_PHASE_OPEN || o.f.clk.Now().Sub(d.heard) < directiveKept {
+		if d.expired || d.d.GetPhase() == wire.Phase_PHASE_OPEN || o.f.clk.Now().Sub(d.lastReceived) < directiveTimeout {
 			continue
 		}
-		d.lapsed = true
-		log.WithField("engine", name).WithField("phase", d.d.GetPhase()).Warn("directive lapsed, its sender is silent")
+		d.expired = true
+		log.WithField("engine", name).WithField("phase", d.d.GetPhase()).Warn("directive expired without renewal")
 		if ep := o.endpoints[name]; ep != nil && ep.engine != nil {
 			ep.engine.setPhase(wire.Phase_PHASE_OPEN)
 		}
@@ -232,16 +231,16 @@
 
 // directiveOf returns the directive in force, nil if there is none.
 func (o *owner) directiveOf(name string) *wire.Directive {
-	if d := o.directives[name]; d != nil && !d.lapsed {
+	if d := o.directives[name]; d != nil && !d.expired {
 		return d.d
 	}
 	return nil
 }
 
-// newState returns the engine's own state unless a directive came after it was
-// asked for: an engine that has just changed would be taken for what it was.
-func (o *owner) newState(name string, ep *endpoint) *driver.EngineState {
-	if d := o.directives[name]; d != nil && !d.lapsed && d.came > ep.stateAt {
+// freshState returns the engine's reported state, or nil if a directive arrived after the state
+// was requested: an engine that has just changed would still be routed by its old state.
+func (o *owner) freshState(name string, ep *endpoint) *driver.EngineState {
+	if d := o.directives[name]; d != nil && !d.expired && d.firstReceived > ep.stateAt {
 		return nil
 	}
 	return ep.state
--- a/internal/entry/fleet/poll.go
+++ b/internal/entry/fleet/poll.go
@@ -10,68 +10,68 @@
 	"fescuestand/internal/policy/route"
 )
 
-// poll asks one endpoint for its load and, if it is an engine, now and then for
-// its state and cache events, until ctx ends.
+// poll requests load reports from one endpoint until ctx ends and, if it is an engine, less often
+// its state and cache events.
 //
-// Polls are most of what an entry spends on control: each is a few hundred
-// bytes. Reports lag by themselves and are corrected by what was sent since, so
-// that one a second does: in the load test goodput stays the same up to one in
-// four seconds (docs/MEASUREMENTS.md). State is asked for when a directive or a
-// fault says that it changes, and rarely otherwise.
+// Polls are most of an entry's control traffic; each is a few hundred bytes. One poll a second is
+// enough, because the router corrects each report by the requests sent since: in the load test
+// goodput stays the same up to one poll in four seconds (docs/MEASUREMENTS.md). The state is
+// requested after a directive or a failed poll, and otherwise rarely.
 func (f *Fleet) poll(ctx context.Context, name string, ep *endpoint) {
-	p := &poller{f: f, name: name, ep: ep, state: true}
+	p := &poller{f: f, name: name, ep: ep, needState: true}
 	for n := 0; ctx.Err() == nil; n++ {
-		p.state = p.state || n%stateShare == 0
-		p.once(ctx, n%cacheShare == 0)
-		every := pollEvery
-		if n < learnPolls {
-			every = learnEvery
+		p.needState = p.needState || n%pollsPerStateRequest == 0
+		p.once(ctx, n%pollsPerCacheRead == 0)
+		interval := pollInterval
+		if n < initialPolls {
+			interval = initialPollInterval
 		}
-		// Entries that poll in step would find the endpoint busy together.
-		wait := time.NewTimer(every/2 + rand.N(every))
+		// The random wait keeps entries from polling the endpoint at the same time, which would
+		// make them find it busy together.
+		wait := time.NewTimer(interval/2 + rand.N(interval))
 		select {
 		case <-ctx.Done():
 		case <-wait.C:
-		case <-ep.kick:
-			p.state = true
+		case <-ep.wake:
+			p.needState = true
 		}
 		wait.Stop()
 	}
 }
 
 type poller struct {
-	f       *Fleet
-	name    string
-	ep      *endpoint
-	state   bool   // is asked for next
-	cacheAt uint64 // last cache event seen
-	life    string // incarnation that numbered it
+	f                *Fleet
+	name             string
+	ep               *endpoint
+	needState        bool   // the next poll also requests the state
+	lastCacheSeq     uint64 // last cache event seen
+	cacheIncarnation string // incarnation that numbered it
 }
 
-func (p *poller) once(outer context.Context, cache bool) {
+func (p *poller) once(outer context.Context, readCache bool) {
 	ctx, cancel := context.WithTimeout(outer, pollTimeout)
 	defer cancel()
-	got := polled{name: p.name, ep: p.ep, asked: p.f.clk.Now()}
+	result := pollResult{name: p.name, ep: p.ep, requestedAt: p.f.clk.Now()}
 	if p.ep.engine == nil {
-		got.report, got.err = p.ep.service.Report(ctx)
+		result.report, result.err = p.ep.service.Report(ctx)
 	} else {
-		got.report, got.err = p.ep.engine.Report(ctx)
-		if got.err == nil && p.state {
-			got.state, got.err = p.askState(ctx)
+		result.report, result.err = p.ep.engine.Report(ctx)
+		if result.err == nil && p.needState {
+			result.state, result.err = p.requestState(ctx)
 		}
 	}
-	// After a fault the endpoint may be another incarnation.
-	p.state = got.err != nil
-	if got.err == nil {
-		p.tellRouter(&got.report)
-		if cache && p.ep.engine != nil {
+	// After a failed poll the endpoint may have restarted as another incarnation.
+	p.needState = result.err != nil
+	if result.err == nil {
+		p.reportToRouter(&result.report)
+		if readCache && p.ep.engine != nil {
 			p.cacheEvents(ctx, p.ep.engine.Incarnation())
 		}
 	}
-	p.f.post(outer, got)
+	p.f.post(outer, result)
 }
 
-func (p *poller) askState(ctx context.Context) (*driver.EngineState, error) {
+func (p *poller) requestState(ctx context.Context) (*driver.EngineState, error) {
 	s, err := p.ep.engine.State(ctx)
 	if err != nil {
 		return nil, err
@@ -80,28 +80,28 @@
 	return &s, nil
 }
 
-func (p *poller) tellRouter(r *driver.LoadReport) {
+func (p *poller) reportToRouter(r *driver.LoadReport) {
 	p.f.router.ObserveReport(p.name, route.Report{
 		TakenAt: p.f.clk.Now().Add(-r.Age), Running: r.Running, Waiting: r.Queued, PrefillTokens: r.QueuedTokens,
 		StepTime: r.DecodeStep,
 	})
 }
 
-func (p *poller) cacheEvents(ctx context.Context, life string) {
+func (p *poller) cacheEvents(ctx context.Context, incarnation string) {
 	var out []route.CacheEvent
-	if p.life != life {
+	if p.cacheIncarnation != incarnation {
 		out = append(out, route.CacheEvent{Cleared: true})
-		p.life, p.cacheAt = life, 0
+		p.cacheIncarnation, p.lastCacheSeq = incarnation, 0
 	}
-	events, err := p.ep.engine.CacheEvents(ctx, p.cacheAt)
+	events, err := p.ep.engine.CacheEvents(ctx, p.lastCacheSeq)
 	if err != nil {
 		return
 	}
 	for _, e := range events {
-		if e.Incarnation != life || e.Seq <= p.cacheAt {
+		if e.Incarnation != incarnation || e.Seq <= p.lastCacheSeq {
 			continue
 		}
-		p.cacheAt = e.Seq
+		p.lastCacheSeq = e.Seq
 		out = append(out, route.CacheEvent{Seq: e.Seq, Piece: e.Piece, Evicted: e.Evicted})
 	}
 	if len(out) > 0 {
@@ -109,51 +109,51 @@
 	}
 }
 
-// polled is one poll's result.
-type polled struct {
-	name   string
-	ep     *endpoint
-	asked  clock.Time
-	report driver.LoadReport
-	state  *driver.EngineState // nil if it wasn't asked for
-	err    error
+// pollResult is the event with the result of one poll.
+type pollResult struct {
+	name        string
+	ep          *endpoint
+	requestedAt clock.Time
+	report      driver.LoadReport
+	state       *driver.EngineState // nil if it wasn't requested
+	err         error
 }
 
-func (e polled) apply(o *owner) {
+func (e pollResult) apply(o *owner) {
 	if o.endpoints[e.name] != e.ep {
 		return // replaced since
 	}
 	if e.err != nil {
-		e.ep.failed++
+		e.ep.failedPolls++
 		return
 	}
-	e.ep.failed = 0
+	e.ep.failedPolls = 0
 	e.ep.report = &e.report
-	e.ep.learnSlots(&e.report)
+	e.ep.estimateSlots(&e.report)
 	if e.state != nil {
-		e.ep.state, e.ep.stateAt = e.state, e.asked
+		e.ep.state, e.ep.stateAt = e.state, e.requestedAt
 	}
 }
 
-// learnSlots takes the size of a batch from reports that show requests waiting
-// behind it.
+// estimateSlots estimates how many requests the endpoint runs at once from reports that show
+// queued requests, as its batch is then full.
 //
-// Failure: an engine runs fewer requests at once than assumed. Its queue, not
-// the entry's, then holds the rest: they are admitted on a forecast that is
-// wrong by that factor, and end late. One report may catch a batch that is just
-// being filled, so that the size falls only by what two in a row show.
-func (ep *endpoint) learnSlots(r *driver.LoadReport) {
-	full := 0
+// If the endpoint runs fewer requests at once than assumed, the rest wait in its queue rather than
+// in the entry's. They are admitted on a prediction that is wrong by that factor and finish late.
+// A report may show a batch that is still being filled, so the estimate decreases only if two
+// consecutive reports show a smaller batch.
+func (ep *endpoint) estimateSlots(r *driver.LoadReport) {
+	fullBatch := 0
 	if r.Queued > 0 {
-		full = r.Running
+		fullBatch = r.Running
 	}
-	seen := max(full, ep.lastFull)
-	both := full > 0 && ep.lastFull > 0
-	ep.lastFull = full
+	largerBatch := max(fullBatch, ep.lastFullBatch)
+	fullTwice := fullBatch > 0 && ep.lastFullBatch > 0
+	ep.lastFullBatch = fullBatch
 	switch {
-	case r.Running > ep.slots && full > 0:
+	case r.Running > ep.slots && fullBatch > 0:
 		ep.slots = r.Running
-	case both && seen < ep.slots:
-		ep.slots = seen
+	case fullTwice && largerBatch < ep.slots:
+		ep.slots = largerBatch
 	}
 }
--- a/internal/entry/fleet/table.go
+++ b/internal/entry/fleet/table.go
@@ -12,67 +12,68 @@
 	"fescuestand/internal/wire"
 )
 
-// Figures of an engine before its first load report. They matter only for the
-// first seconds.
+// Assumed values of an endpoint before its first load report. They matter only for the first
+// seconds.
 const (
 	defaultSlots       = 32
 	defaultPrefillRate = 10_000 // tokens a second
 	defaultDecodeStep  = 20 * time.Millisecond
 	serviceSlots       = 32
 	serviceBase        = 10 * time.Millisecond
-	// engineBase is what a request takes at an idle engine besides its tokens:
-	// it waits for the decode step under way and takes one itself. Without it
-	// the concurrency limit compares a short question with its prefill alone,
-	// takes the idle engine for an overloaded one, and shrinks.
+	// engineBase is the time that a request takes at an idle engine besides processing its
+	// tokens: it waits for the running decode step and then takes one itself. Without it the
+	// concurrency limit would compare a short prompt with its prefill time alone, take an idle
+	// engine for an overloaded one, and shrink.
 	engineBase = 2 * defaultDecodeStep
 )
 
-// ServicePool is the name of the pool that a plain service's endpoints form.
+// ServicePool returns the name of the pool of a plain service's endpoints.
 func ServicePool(service string) string { return "service/" + service }
 
-// publish makes a new routing table if anything in it has changed.
+// publish publishes the index if it has changed, and a new routing table if any endpoint in it
+// has changed.
 func (o *owner) publish() {
 	if o.sheet == nil {
 		return
 	}
-	if o.dirty {
-		o.dirty = false
+	if o.indexDirty {
+		o.indexDirty = false
 		o.publishIndex()
 	}
-	eps := o.tableOf()
-	if reflect.DeepEqual(eps, o.published) {
+	endpoints := o.tableEndpoints()
+	if reflect.DeepEqual(endpoints, o.published) {
 		return
 	}
-	o.published = eps
-	o.f.router.Publish(o.f.clk.Now(), route.NewTable(o.f.cfg, eps))
+	o.published = endpoints
+	o.f.router.Publish(o.f.clk.Now(), route.NewTable(o.f.cfg, endpoints))
 }
 
 func (o *owner) publishIndex() {
-	x := &index{
+	idx := &index{
 		engines: map[string]*Engine{}, services: map[string]driver.Service{},
 		sheet: o.sheet, version: o.version,
 	}
 	for name, ep := range o.endpoints {
 		if ep.engine != nil {
-			x.engines[name] = ep.engine
+			idx.engines[name] = ep.engine
 		} else {
-			x.services[name] = ep.service
+			idx.services[name] = ep.service
 		}
 	}
-	o.f.index.Store(x)
+	o.f.index.Store(idx)
 }
 
-func (o *owner) tableOf() []route.Endpoint {
+func (o *owner) tableEndpoints() []route.Endpoint {
 	engines := map[string]*sheet.Engine{}
 	for i := range o.sheet.Engines {
 		engines[o.sheet.Engines[i].Name] = &o.sheet.Engines[i]
 	}
-	var eps []route.Endpoint
+	var endpoints []route.Endpoint
 	for i := range o.sheet.Pools {
 		p := &o.sheet.Pools[i]
 		for _, name := range p.Engines {
 			if e, ep := engines[name], o.endpoints[name]; e != nil && ep != nil {
-				eps = append(eps, o.engineOf(p, e, ep))
+				endpoints = append(endpoints, o.engineEndpoint(p, e, ep))
 			}
 		}
 	}
@@ -80,26 +81,26 @@
 		s := &o.sheet.Services[i]
 		for j := range s.Endpoints {
 			if ep := o.endpoints[s.Endpoints[j].Name]; ep != nil {
-				eps = append(eps, serviceOf(s, &s.Endpoints[j], ep))
+				endpoints = append(endpoints, serviceEndpoint(s, &s.Endpoints[j], ep))
 			}
 		}
 	}
-	slices.SortFunc(eps, func(a, b route.Endpoint) int { return strings.Compare(a.Name, b.Name) })
-	return eps
+	slices.SortFunc(endpoints, func(a, b route.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+	return endpoints
 }
 
-func serviceOf(s *sheet.Service, e *sheet.ServiceEndpoint, ep *endpoint) route.Endpoint {
+func serviceEndpoint(s *sheet.Service, e *sheet.ServiceEndpoint, ep *endpoint) route.Endpoint {
 	r := route.Endpoint{
 		Name: e.Name, Pool: ServicePool(s.Name), Zone: e.Zone, Slots: ep.slots, Base: serviceBase,
 	}
-	if ep.failed >= suspectAfter {
+	if ep.failedPolls >= maxFailedPolls {
 		r.State = route.Suspect
 	}
 	return r
 }
 
-func (o *owner) engineOf(p *sheet.Pool, e *sheet.Engine, ep *endpoint) route.Endpoint {
-	d, state := o.directiveOf(e.Name), o.newState(e.Name, ep)
+func (o *owner) engineEndpoint(p *sheet.Pool, e *sheet.Engine, ep *endpoint) route.Endpoint {
+	d, state := o.directiveOf(e.Name), o.freshState(e.Name, ep)
 	r := route.Endpoint{
 		Name: e.Name, Pool: p.Name, Zone: e.Zone, Slots: ep.slots,
 		Role: roleOf(p, e, state, d), State: stateOf(e, ep, state, d), Serves: servesOf(p, ep),
@@ -113,8 +114,8 @@
 
 func perToken(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
 
-// roundRate keeps small changes of a measured rate from making new tables: two
-// significant digits are more than routing can use.
+// roundRate rounds a measured rate down to two significant digits, which is precise enough for
+// routing, so that small changes don't publish new tables.
 func roundRate(rate float64) float64 {
 	scale := 1.0
 	for rate/scale >= 100 {
@@ -123,9 +124,9 @@
 	return max(1, float64(int(rate/scale))*scale)
 }
 
-// stateOf combines the sheet, the holder's directive and what the engine says.
-// A directive is newer than any poll: an engine that is about to change must
-// get no new work although it still answers as before.
+// stateOf combines the sheet, the directive and the engine's own report. A directive takes
+// precedence over polls: an engine that is about to change must get no new work although it still
+// answers as before.
 func stateOf(e *sheet.Engine, ep *endpoint, state *driver.EngineState, d *wire.Directive) route.State {
 	if e.Withdrawn {
 		return route.Draining
@@ -137,7 +138,7 @@
 		return route.Unavailable
 	}
 	switch {
-	case ep.failed >= suspectAfter:
+	case ep.failedPolls >= maxFailedPolls:
 		return route.Suspect
 	case state != nil && state.Changing:
 		return route.Unavailable
@@ -145,8 +146,8 @@
 	return route.Open
 }
 
-// roleOf takes the engine's own word once it was asked: the sheet and the
-// planner say what its role shall be, the engine what it is.
+// roleOf returns the role that the engine reports, if it has reported one. The sheet and the
+// directive only say which role the engine is to have.
 func roleOf(p *sheet.Pool, e *sheet.Engine, state *driver.EngineState, d *wire.Directive) route.Role {
 	role := p.Roles.Fixed[e.Name]
 	if d.GetRole() != "" {
@@ -164,24 +165,24 @@
 	return route.Mixed
 }
 
-// servesOf lists what the engine has loaded; an engine that names nothing
-// serves what the sheet says.
+// servesOf lists the artifacts that the engine reports as loaded. If it reports none, it is
+// assumed to serve those of the sheet.
 func servesOf(p *sheet.Pool, ep *endpoint) []route.Artifact {
-	var arts []route.Artifact
+	var artifacts []route.Artifact
 	if ep.state != nil && len(ep.state.Loaded) > 0 {
 		for _, l := range ep.state.Loaded {
-			arts = append(arts, artifactOf(p, l))
+			artifacts = append(artifacts, artifactOf(p, l))
 		}
-		return arts
+		return artifacts
 	}
-	arts = append(arts, route.Artifact{Model: p.Model, Version: p.Version})
+	artifacts = append(artifacts, route.Artifact{Model: p.Model, Version: p.Version})
 	for _, a := range p.Adapters {
-		arts = append(arts, route.Artifact{Model: p.Model, Version: p.Version, Adapter: a.Name})
+		artifacts = append(artifacts, route.Artifact{Model: p.Model, Version: p.Version, Adapter: a.Name})
 	}
-	return arts
+	return artifacts
 }
 
-// artifactOf is what requests ask for to get l. They name an adapter without
+// artifactOf returns the artifact by which requests address l. Requests name an adapter without
 // its version, on the model version that the sheet has for the pool.
 func artifactOf(p *sheet.Pool, l driver.Loaded) route.Artifact {
 	if l.Adapter == "" {
