--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -134,8 +134,8 @@
 	return l
 }
 
-// Forget closes the session to an address that left the VM list.
-func (p *Pool) Forget(addr string) {
+// CloseSession closes the session to an address that left the VM list.
+func (p *Pool) CloseSession(addr string) {
 	p.mu.Lock()
 	l, ok := p.links[addr]
 	delete(p.links, addr)
