--- a/internal/entry/forward/front.go
+++ b/internal/entry/forward/front.go
@@ -27,7 +27,7 @@
 	maxPeersTried = 3
 	// maxBodyBytes bounds the body of a forwarded request, which the peer protocol sends as part of
 	// one bounded message.
-	maxBodyBytes = peer.MaxMessage - 64<<10
+	maxBodyBytes = peer.MaxMessageBytes - 64<<10
 	// bodyTimeout is how long a caller may take to send the body.
 	bodyTimeout = 8 * time.Second
 )
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -8,10 +8,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxMessage bounds one message in bytes. The largest is a sheet: 4,300
+// MaxMessageBytes bounds one message in bytes. The largest is a sheet: 4,300
 // engines at about 200 bytes each stay under 1 MiB; 4 MiB leaves room for
 // forwarded bodies and still bounds what a broken peer can make us hold.
-const MaxMessage = 4 << 20
+const MaxMessageBytes = 4 << 20
 
 const headerBytes = 4
 
@@ -23,8 +23,8 @@
 		return err
 	}
 	size := len(b) - headerBytes
-	if size > MaxMessage {
-		return fmt.Errorf("message of %d bytes; allowed: %d", size, MaxMessage)
+	if size > MaxMessageBytes {
+		return fmt.Errorf("message of %d bytes; allowed: %d", size, MaxMessageBytes)
 	}
 	binary.BigEndian.PutUint32(b, uint32(size))
 	_, err = w.Write(b)
@@ -39,8 +39,8 @@
 		return err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size > MaxMessage {
-		return fmt.Errorf("message of %d bytes; allowed: %d", size, MaxMessage)
+	if size > MaxMessageBytes {
+		return fmt.Errorf("message of %d bytes; allowed: %d", size, MaxMessageBytes)
 	}
 	b := make([]byte, size)
 	if _, err := io.ReadFull(r, b); err != nil {
