--- a/internal/peerhttp/peerhttp.go
+++ b/internal/peerhttp/peerhttp.go
@@ -1,4 +1,5 @@
-// Package peerhttp asks other VMs over HTTP for what is too large for a beat.
+// Package peerhttp fetches data from other VMs over HTTP that is too large for a heartbeat
+// datagram (beat).
 package peerhttp
 
 import (
@@ -8,17 +9,18 @@
 	"net/http"
 )
 
-// Client asks other VMs. It is safe for concurrent use.
+// Client sends requests to other VMs. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
-// New returns a client without kept connections: one may have gone silent, and
-// questions are rare.
+// New returns a client without keep-alive connections: an idle connection may have failed
+// unnoticed, and requests are rare.
 func New() *Client {
 	return &Client{&http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}}
 }
 
-// Get returns the body that the VM at addr, IP:port, has at path; take reads it.
-func (c *Client) Get(ctx context.Context, addr, path string, take func(io.Reader) error) error {
+// Get requests path from the VM at addr, an IP:port, and passes the body of a 200 answer to
+// readBody. It returns the error of readBody.
+func (c *Client) Get(ctx context.Context, addr, path string, readBody func(io.Reader) error) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
 		return err
@@ -27,10 +29,10 @@
 	if err != nil {
 		return err
 	}
-	// What could go wrong has shown in the read.
+	// Errors of Close are ignored, as a failed read has already returned one.
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %d", resp.StatusCode)
 	}
-	return take(resp.Body)
+	return readBody(resp.Body)
 }
