--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -8,9 +8,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxMessageBytes bounds one message in bytes. The largest is a sheet: 4,300
-// engines at about 200 bytes each stay under 1 MiB; 4 MiB leaves room for
-// forwarded bodies and still bounds what a broken peer can make us hold.
+// MaxMessageBytes bounds the size of one message. The largest of the system's own messages is a
+// sheet: 4,300 engines at about 200 bytes each stay under 1 MiB. 4 MiB leaves room for forwarded
+// bodies and still bounds the memory that a faulty peer can make this process allocate.
 const MaxMessageBytes = 4 << 20
 
 const headerBytes = 4
@@ -31,8 +31,7 @@
 	return err
 }
 
-// readMessage reads one message. The length is checked before any memory is
-// taken for it.
+// readMessage reads one message. It checks the length before it allocates memory for the body.
 func readMessage(r io.Reader, m proto.Message) error {
 	var head [headerBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -13,14 +13,15 @@
 	"fescuestand/internal/wire"
 )
 
-type echo struct{ canceled chan struct{} }
+// echoHandler echoes requests. On the path /wait it blocks until the call is canceled.
+type echoHandler struct{ canceled chan struct{} }
 
-func (e *echo) Handle(_ context.Context, from *wire.Hello, req *wire.PeerRequest) *wire.PeerResponse {
+func (e *echoHandler) Handle(_ context.Context, from *wire.Hello, req *wire.PeerRequest) *wire.PeerResponse {
 	return &wire.PeerResponse{Detail: from.Vm, Kind: &wire.PeerResponse_Sheet{
 		Sheet: &wire.SheetBody{Version: req.GetGetSheet().GetAbove()}}}
 }
 
-func (e *echo) Forward(ctx context.Context, _ *wire.Hello, req *wire.Forward, send func(*wire.ForwardFrame) error) error {
+func (e *echoHandler) Forward(ctx context.Context, _ *wire.Hello, req *wire.Forward, send func(*wire.ForwardFrame) error) error {
 	if req.Path == "/wait" {
 		<-ctx.Done()
 		close(e.canceled)
@@ -36,12 +37,12 @@
 	return &wire.Hello{Protocol: Protocol, Deployment: "d", Vm: vm}
 }
 
-func serve(t *testing.T) (addr string, h *echo) {
+func serve(t *testing.T) (addr string, h *echoHandler) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	h = &echo{canceled: make(chan struct{})}
+	h = &echoHandler{canceled: make(chan struct{})}
 	done := make(chan error)
 	go func() { done <- NewServer(hello("server"), h).Serve(ctx, ln) }()
 	t.Cleanup(func() {
@@ -73,10 +74,10 @@
 	})
 }
 
-// A caller closes its connection to the first entry while the second one still
-// works on the passed-on request. Without a cancel that crosses the link the
-// engine would go on generating for nobody.
-func TestForwardIsCanceledWhenTheCallerGoes(t *testing.T) {
+// Guards against an engine that goes on generating after the caller has disconnected: the caller
+// closes its connection to the first entry while a second one still works on the forwarded
+// request. The cancellation must reach the second entry.
+func TestForwardIsCanceledWhenTheCallerDisconnects(t *testing.T) {
 	addr, h := serve(t)
 	p := NewPool(hello("client"))
 	defer func() { _ = p.Close() }()
@@ -86,7 +87,7 @@
 	<-h.canceled
 }
 
-func TestPeerOfAnotherProtocolIsRefusedWithItsNumber(t *testing.T) {
+func TestPeerOfAnotherProtocolVersionIsRejected(t *testing.T) {
 	addr, _ := serve(t)
 	other := hello("client")
 	other.Protocol = Protocol + 1
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -17,41 +17,41 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// Reconnects after failures wait between backoffMin and backoffMax, each
-	// wait drawn between half and the whole of the bound, so that the peers of
-	// a restarted VM do not dial it in step.
+	// Reconnects after failures back off exponentially from backoffMin to backoffMax. Each wait is
+	// random between half and the whole of the backoff, so that the peers of a restarted VM don't
+	// all dial it at the same time.
 	backoffMin = 50 * time.Millisecond
 	backoffMax = 2 * time.Second
 )
 
-// Pool keeps one session to each peer address that is called.
+// Pool keeps one session to each peer address that it calls. It is safe for concurrent use.
 type Pool struct {
 	hello *wire.Hello
 	mu    sync.Mutex
-	links map[string]*link
+	links map[string]*peerLink
 }
 
-type link struct {
-	mu       sync.Mutex
-	session  *yamux.Session
-	failures int
-	notUntil time.Time
+type peerLink struct {
+	mu         sync.Mutex
+	session    *yamux.Session
+	failures   int
+	nextDialAt time.Time
 }
 
 // NewPool returns a pool that introduces itself with hello.
 func NewPool(hello *wire.Hello) *Pool {
-	return &Pool{hello: hello, links: map[string]*link{}}
+	return &Pool{hello: hello, links: map[string]*peerLink{}}
 }
 
-// Call sends one request to the peer at addr and returns its answer. An error
-// of the transport is numbered PeerGone or PeerVersion.
+// Call sends one request to the peer at addr and returns its answer. Transport errors have the
+// code PeerGone or PeerVersion.
 func (p *Pool) Call(ctx context.Context, addr string, req *wire.PeerRequest) (*wire.PeerResponse, error) {
 	stream, err := p.open(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = stream.Close() }()
-	stop := closeAtEnd(ctx, stream)
+	stop := closeWhenDone(ctx, stream)
 	defer stop()
 	if err := writeMessage(stream, req); err != nil {
 		return nil, code.Wrap(code.PeerGone, err, "request to %s", addr)
@@ -69,25 +69,25 @@
 	stop   func() bool
 }
 
-// Next returns the next frame, or io.EOF after the last one.
+// Next returns the next frame. If the stream is closed instead, it returns io.ErrUnexpectedEOF.
 func (f *Frames) Next() (*wire.ForwardFrame, error) {
 	var frame wire.ForwardFrame
 	if err := readMessage(f.stream, &frame); err != nil {
 		if errors.Is(err, io.EOF) {
-			err = io.ErrUnexpectedEOF // the end is marked by a frame, not by the close
+			err = io.ErrUnexpectedEOF // a complete answer ends with an End frame
 		}
 		return nil, err
 	}
 	return &frame, nil
 }
 
-// Close ends the call at the peer if it still runs.
+// Close closes the stream, which cancels the call at the peer if it still runs.
 func (f *Frames) Close() error {
 	f.stop()
 	return f.stream.Close()
 }
 
-// Forward passes a caller's request on to the peer at addr.
+// Forward forwards a caller's request to the peer at addr.
 func (p *Pool) Forward(ctx context.Context, addr string, fwd *wire.Forward) (*Frames, error) {
 	stream, err := p.open(ctx, addr)
 	if err != nil {
@@ -98,18 +98,19 @@
 		_ = stream.Close()
 		return nil, code.Wrap(code.PeerGone, err, "forward to %s", addr).WithRun(code.Unknown)
 	}
-	return &Frames{stream: stream, stop: closeAtEnd(ctx, stream)}, nil
+	return &Frames{stream: stream, stop: closeWhenDone(ctx, stream)}, nil
 }
 
-// closeAtEnd ends a stream's blocked reads and writes when ctx ends.
-func closeAtEnd(ctx context.Context, stream *yamux.Stream) func() bool {
+// closeWhenDone closes the stream and aborts its blocked reads and writes when ctx ends. The
+// returned function stops it.
+func closeWhenDone(ctx context.Context, stream *yamux.Stream) func() bool {
 	return context.AfterFunc(ctx, func() {
 		_ = stream.SetDeadline(time.Unix(1, 0))
 		_ = stream.Close()
 	})
 }
 
-// Close ends every session.
+// Close closes all sessions.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,18 +124,19 @@
 	return nil
 }
 
-func (p *Pool) link(addr string) *link {
+func (p *Pool) link(addr string) *peerLink {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l, ok := p.links[addr]
 	if !ok {
-		l = &link{}
+		l = &peerLink{}
 		p.links[addr] = l
 	}
 	return l
 }
 
-// CloseSession closes the session to an address that left the VM list.
+// CloseSession removes the link to an address that is no longer in the list of VMs, and closes its
+// session.
 func (p *Pool) CloseSession(addr string) {
 	p.mu.Lock()
 	l, ok := p.links[addr]
@@ -163,21 +165,21 @@
 	return stream, nil
 }
 
-// connect returns the live session or dials a new one. While a backoff runs it
-// fails at once, so that callers choose another peer and do not queue here.
-func (l *link) connect(ctx context.Context, addr string, hello *wire.Hello) (*yamux.Session, error) {
+// connect returns the open session or dials a new one. During a backoff it fails at once, so that
+// its callers choose another peer instead of waiting here.
+func (l *peerLink) connect(ctx context.Context, addr string, hello *wire.Hello) (*yamux.Session, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.session != nil && !l.session.IsClosed() {
 		return l.session, nil
 	}
-	if wait := time.Until(l.notUntil); wait > 0 {
+	if wait := time.Until(l.nextDialAt); wait > 0 {
 		return nil, code.New(code.PeerGone, "%s failed %d times; next try in %s", addr, l.failures, wait.Round(time.Millisecond)).WithRetryAfter(wait)
 	}
 	session, err := dial(ctx, addr, hello)
 	if err != nil {
 		l.failures++
-		l.notUntil = time.Now().Add(backoff(l.failures))
+		l.nextDialAt = time.Now().Add(backoff(l.failures))
 		return nil, err
 	}
 	l.session, l.failures = session, 0
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,16 +12,16 @@
 	"fescuestand/internal/wire"
 )
 
-// MaxStreams bounds the streams served at once per session. A peer forwards at
-// most what it admitted itself; past this bound its streams are refused.
+// MaxStreams bounds the concurrent streams of a session; further streams are closed at once. A
+// peer forwards only requests that it has admitted itself, which bounds its streams too.
 const MaxStreams = 1024
 
-// Handler answers what peers ask.
+// Handler serves the requests of peers.
 type Handler interface {
 	// Handle answers one request.
 	Handle(ctx context.Context, from *wire.Hello, req *wire.PeerRequest) *wire.PeerResponse
-	// Forward serves a caller's request that a peer passed on. It calls send
-	// for each frame; an error of send means that the peer is gone.
+	// Forward serves a caller's request that a peer forwarded. It calls send for each frame of
+	// the answer. An error of send means that the peer has disconnected.
 	Forward(ctx context.Context, from *wire.Hello, req *wire.Forward, send func(*wire.ForwardFrame) error) error
 }
 
@@ -37,8 +37,8 @@
 	return &Server{hello: hello, handler: h}
 }
 
-// Serve accepts on ln until ctx ends, then closes ln and every session and
-// waits for their handlers.
+// Serve accepts sessions on ln until ctx ends. It then closes ln and all sessions, and waits for
+// their handlers.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
@@ -58,7 +58,7 @@
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
 	from, err := handshake(conn, s.hello)
 	if err != nil {
-		log.WithError(err).WithField("remote", conn.RemoteAddr()).Warn("peer refused")
+		log.WithError(err).WithField("remote", conn.RemoteAddr()).Warn("peer handshake failed")
 		_ = conn.Close()
 		return
 	}
@@ -111,8 +111,8 @@
 	}
 }
 
-// watchPeer cancels a forwarded call when the peer closes its side, which it
-// does when its own caller went away.
+// watchPeer cancels a forwarded call when the peer closes its side of the stream, which it does
+// when its caller has disconnected.
 func watchPeer(stream *yamux.Stream, cancel context.CancelFunc) {
 	var b [1]byte
 	_, _ = stream.Read(b[:])
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -1,11 +1,11 @@
-// Package peer carries the messages between the system's own processes: yamux
-// sessions over TCP, one protobuf request or one forwarded call per stream.
+// Package peer transports messages between the system's own processes. It uses yamux sessions
+// over TCP, with one protobuf request or one forwarded call per stream.
 //
-// A session opens with a Hello in both directions; a peer of another protocol
-// version or deployment is refused with a numbered code before anything else
-// is read from it. yamux keepalives notice a peer that vanished without closing
-// its connection; every call is bounded by its context as well, since a frozen
-// peer still acknowledges at the TCP level.
+// Both sides start a session with a Hello message. A peer of another protocol version or
+// deployment is rejected with a result code before anything else is read from it.
+//
+// yamux keepalives detect a peer that has failed without closing its connection. Every call is
+// bounded by its context as well, since the TCP stack of a frozen peer still acknowledges data.
 package peer
 
 import (
@@ -19,8 +19,8 @@
 	"fescuestand/internal/wire"
 )
 
-// Protocol is the version that Hello carries. Raise it on an incompatible
-// change of the messages.
+// Protocol is the protocol version sent in Hello. It must be incremented when the messages change
+// incompatibly.
 const Protocol = 1
 
 const (
@@ -28,7 +28,7 @@
 	keepAliveInterval = 5 * time.Second
 	writeTimeout      = 5 * time.Second
 	acceptBacklog     = 256
-	streamWindow      = 1 << 20 // bytes buffered per stream, yamux's own window
+	streamWindowBytes = 1 << 20 // bytes buffered per stream, yamux's own window
 )
 
 func yamuxConfig() *yamux.Config {
@@ -36,32 +36,32 @@
 	c.AcceptBacklog = acceptBacklog
 	c.KeepAliveInterval = keepAliveInterval
 	c.ConnectionWriteTimeout = writeTimeout
-	c.MaxStreamWindowSize = streamWindow
+	c.MaxStreamWindowSize = streamWindowBytes
 	c.LogOutput = io.Discard // every failure also reaches the caller as an error
 	return c
 }
 
-// handshake exchanges Hello messages on a fresh connection and checks the
-// peer's.
-func handshake(conn net.Conn, own *wire.Hello) (*wire.Hello, error) {
+// handshake exchanges Hello messages on a new connection, and checks that the peer has the same
+// protocol version and deployment.
+func handshake(conn net.Conn, local *wire.Hello) (*wire.Hello, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, err
 	}
 	sent := make(chan error, 1)
-	go func() { sent <- writeMessage(conn, own) }()
-	var theirs wire.Hello
-	readErr := readMessage(conn, &theirs)
+	go func() { sent <- writeMessage(conn, local) }()
+	var remote wire.Hello
+	readErr := readMessage(conn, &remote)
 	if err := <-sent; err != nil {
 		return nil, code.Wrap(code.PeerGone, err, "hello not sent")
 	}
 	if readErr != nil {
 		return nil, code.Wrap(code.PeerGone, readErr, "no hello")
 	}
-	if theirs.Protocol != own.Protocol {
-		return nil, code.New(code.PeerVersion, "peer %s speaks protocol %d, this process %d", theirs.Vm, theirs.Protocol, own.Protocol)
+	if remote.Protocol != local.Protocol {
+		return nil, code.New(code.PeerVersion, "peer %s speaks protocol %d, this process %d", remote.Vm, remote.Protocol, local.Protocol)
 	}
-	if theirs.Deployment != own.Deployment {
-		return nil, code.New(code.PeerVersion, "peer %s belongs to deployment %q, this process to %q", theirs.Vm, theirs.Deployment, own.Deployment)
+	if remote.Deployment != local.Deployment {
+		return nil, code.New(code.PeerVersion, "peer %s belongs to deployment %q, this process to %q", remote.Vm, remote.Deployment, local.Deployment)
 	}
-	return &theirs, conn.SetDeadline(time.Time{})
+	return &remote, conn.SetDeadline(time.Time{})
 }
