--- a/scenarios/soak_faults_test.go
+++ b/scenarios/soak_faults_test.go
@@ -121,7 +121,11 @@
 		s.store.SetDropAnswers(true)
 		return func() { s.store.SetDropAnswers(false) }
 	}},
-	{"store's history gone", func(s *soak) func() { s.store.DropHistory("keyed.op"); s.store.DropHistory("keyed.servers"); return nothing }},
+	{"store's history gone", func(s *soak) func() {
+		s.store.DropHistory("keyed.op")
+		s.store.DropHistory("keyed.servers")
+		return nothing
+	}},
 	{"VM cut from the store", func(s *soak) func() { return harm(s.vm().link, s.rng.IntN(4)) }},
 	{"endpoint cut off", func(s *soak) func() { return harm(s.endpoint().link, s.rng.IntN(4)) }},
 	{"endpoint crashed", (*soak).crash},
