--- a/internal/entry/fleet/owner.go
+++ b/internal/entry/fleet/owner.go
@@ -147,7 +147,7 @@
 			ch := make(chan struct{})
 			e.moveRequest.Store(&ch)
 			e.setPhase(o.directiveOf(name).GetPhase())
-			o.start(name, &endpoint{target: t, engine: e, wake: e.wake, slots: defaultSlots})
+			o.startPolling(name, &endpoint{target: t, engine: e, wake: e.wake, slots: defaultSlots})
 			return
 		}
 	}
@@ -159,14 +159,14 @@
 	if err == nil {
 		var d driver.Service
 		if d, err = open(t); err == nil {
-			o.start(name, &endpoint{target: t, service: d, slots: serviceSlots})
+			o.startPolling(name, &endpoint{target: t, service: d, slots: serviceSlots})
 			return
 		}
 	}
 	log.WithError(err).WithField("endpoint", name).Error("driver can't be opened")
 }
 
-func (o *owner) start(name string, ep *endpoint) {
+func (o *owner) startPolling(name string, ep *endpoint) {
 	ctx, cancel := context.WithCancel(o.ctx)
 	ep.stop = cancel
 	o.endpoints[name] = ep
--- a/internal/entry/fleet/poll.go
+++ b/internal/entry/fleet/poll.go
@@ -21,7 +21,7 @@
 	p := &poller{f: f, name: name, ep: ep, needState: true}
 	for n := 0; ctx.Err() == nil; n++ {
 		p.needState = p.needState || n%pollsPerStateRequest == 0
-		p.once(ctx, n%pollsPerCacheRead == 0)
+		p.pollOnce(ctx, n%pollsPerCacheRead == 0)
 		interval := pollInterval
 		if n < initialPolls {
 			interval = initialPollInterval
@@ -48,7 +48,7 @@
 	cacheIncarnation string // incarnation that numbered it
 }
 
-func (p *poller) once(outer context.Context, readCache bool) {
+func (p *poller) pollOnce(outer context.Context, readCache bool) {
 	ctx, cancel := context.WithTimeout(outer, pollTimeout)
 	defer cancel()
 	result := pollResult{name: p.name, ep: p.ep, requestedAt: p.f.clk.Now()}
--- a/internal/entry/fleet/table.go
+++ b/internal/entry/fleet/table.go
@@ -146,8 +146,8 @@
 	return route.Open
 }
 
-// roleOf returns the role that the engine reports, if it has reported one. The sheet and the
-// directive only say which role the engine is to have.
+// roleOf returns the role that the engine reports. If it has reported none, roleOf returns the role
+// that the directive, or else the sheet, assigns to it.
 func roleOf(p *sheet.Pool, e *sheet.Engine, state *driver.EngineState, d *wire.Directive) route.Role {
 	role := p.Roles.Fixed[e.Name]
 	if d.GetRole() != "" {
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -46,7 +46,7 @@
 // Call sends one request to the peer at addr and returns its answer. Transport errors have the
 // code PeerGone or PeerVersion.
 func (p *Pool) Call(ctx context.Context, addr string, req *wire.PeerRequest) (*wire.PeerResponse, error) {
-	stream, err := p.open(ctx, addr)
+	stream, err := p.openStream(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 
 // Forward forwards a caller's request to the peer at addr.
 func (p *Pool) Forward(ctx context.Context, addr string, fwd *wire.Forward) (*Frames, error) {
-	stream, err := p.open(ctx, addr)
+	stream, err := p.openStream(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -152,7 +152,7 @@
 	}
 }
 
-func (p *Pool) open(ctx context.Context, addr string) (*yamux.Stream, error) {
+func (p *Pool) openStream(ctx context.Context, addr string) (*yamux.Stream, error) {
 	session, err := p.link(addr).connect(ctx, addr, p.hello)
 	if err != nil {
 		return nil, err
