--- a/internal/entry/dispatch/attempt.go
+++ b/internal/entry/dispatch/attempt.go
@@ -54,7 +54,7 @@
 		return fmt.Errorf("%w: engine %s left the sheet", driver.ErrNotSent, decision.Endpoint.Name)
 	}
 	s.attemptStart = s.assembler.Next()
-	release, ok := e.Hold()
+	release, ok := e.Acquire()
 	if !ok {
 		s.dispatcher.router.Done(s.dispatcher.clk.Now(), &decision.Dispatch, route.Canceled)
 		sleep(ctx, routingTableWait)
@@ -85,7 +85,7 @@
 func (s *session) streamAttempt(
 	ctx context.Context, decision *route.Decision, engine *fleet.Engine, exposure *crashExposure,
 ) error {
-	moved := engine.Moved()
+	moved := engine.MoveRequested()
 	req := &driver.GenerateRequest{
 		Attempt: s.dispatcher.newAttempt(),
 		Model:   s.req.Model, Version: s.req.Version, Adapter: s.req.Adapter,
@@ -244,7 +244,7 @@
 	if e == nil {
 		return nil
 	}
-	release, ok := e.Hold()
+	release, ok := e.Acquire()
 	if !ok {
 		return nil
 	}
--- a/scenarios/soak_notices_test.go
+++ b/scenarios/soak_notices_test.go
@@ -103,7 +103,7 @@
 	var leaving []*soakEndpoint
 	for _, service := range []string{"m", "s", "t"} {
 		e := s.serving(service)[0]
-		e.Leave()
+		e.AnnounceLeaving()
 		leaving = append(leaving, e)
 		s.left = append(s.left, e.Endpoint)
 	}
@@ -125,7 +125,7 @@
 func (s *soak) checkLeaving() {
 	said := map[string]time.Time{}
 	for _, e := range s.left {
-		if at := e.SaidLeaving(); !at.IsZero() {
+		if at := e.LeavingAnnouncedAt(); !at.IsZero() {
 			said[e.ID] = at
 		}
 	}
@@ -149,12 +149,12 @@
 	var named []*standin.Endpoint
 	for _, service := range []string{"m", "s", "t"} {
 		e := s.serving(service)[0]
-		e.SetAway(awayAsked)
+		e.SetRetryAfter(awayAsked)
 		named = append(named, e.Endpoint)
 	}
 	time.Sleep(awayFor)
 	for _, e := range named {
-		e.SetAway("")
+		e.SetRetryAfter("")
 		s.away = append(s.away, away{e.ID, from, from.Add(awayFor)})
 	}
 }
