--- a/internal/fold/config.go
+++ b/internal/fold/config.go
@@ -150,7 +150,7 @@
 	doc, err := build()
 	if err != nil {
 		why := code.BadSheet
-		var bad *sheet.ErrPatch
+		var bad *sheet.PatchError
 		if errors.As(err, &bad) {
 			why = code.BadPatch
 		}
--- a/internal/sheet/document.go
+++ b/internal/sheet/document.go
@@ -42,14 +42,14 @@
 // Sheet returns the decoded sheet.
 func (d *Document) Sheet() *Sheet { return d.sheet }
 
-// ErrPatch wraps what is wrong with a patch itself.
-type ErrPatch struct{ Err error }
+// PatchError wraps what is wrong with a patch itself.
+type PatchError struct{ Err error }
 
 // Error implements error.
-func (e *ErrPatch) Error() string { return e.Err.Error() }
+func (e *PatchError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *ErrPatch) Unwrap() error { return e.Err }
+func (e *PatchError) Unwrap() error { return e.Err }
 
 // Patch returns the document changed by a patch; see ApplyPatch. The error is
 // an *ErrPatch, or a *settings.Problems if the result is no valid sheet.
@@ -59,7 +59,7 @@
 	}
 	body, err := ApplyPatch(d.body, patch)
 	if err != nil {
-		return nil, &ErrPatch{err}
+		return nil, &PatchError{err}
 	}
 	s, err := Parse("sheet", body)
 	if err != nil {
