--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -51,7 +51,7 @@
 	}
 	for i := range min(models, n) {
 		s.Pools = append(s.Pools, sheet.Pool{
-			Name: fmt.Sprintf("pool-%02d", i), Model: fmt.Sprintf("model-%02d", i), Version: "1", MaxAwayShare: 0.2,
+			Name: fmt.Sprintf("pool-%02d", i), Model: fmt.Sprintf("model-%02d", i), Version: "1", MaxUnavailableShare: 0.2,
 		})
 	}
 	for i := range n {
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -27,7 +27,7 @@
 // state, whose directives all entries have acknowledged.
 func newIdleState(n, entries int) *state {
 	view := &replica.View{Ready: true, Version: 1, Sheet: &sheet.Sheet{}}
-	pool := sheet.Pool{Name: "p", Model: "m", Version: "1", MaxAwayShare: 0.2}
+	pool := sheet.Pool{Name: "p", Model: "m", Version: "1", MaxUnavailableShare: 0.2}
 	for i := range n {
 		name := fmt.Sprintf("engine-%04d", i)
 		pool.Engines = append(pool.Engines, name)
--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -88,7 +88,7 @@
 func (s *state) planRoles(p *pool) {
 	cfg := roles.Config{
 		Self: s.opt.VM, ChangeCost: p.spec.Roles.ChangePrice, MaxChangesPerHour: p.spec.Roles.MaxChangesPerHour,
-		MaxUnavailableShare: p.spec.MaxAwayShare, ChangeDuration: defaultChangeDuration,
+		MaxUnavailableShare: p.spec.MaxUnavailableShare, ChangeDuration: defaultChangeDuration,
 	}
 	if p.planner == nil {
 		p.planner = &poolPlanner{roles: roles.NewPlanner(cfg), rates: map[string]entryRate{}}
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -64,7 +64,7 @@
 
 // changeAllowed reports whether one more engine of the pool may become unavailable.
 func (p *pool) changeAllowed() bool {
-	return p.counts.unavailable < reconcile.MaxUnavailable(p.counts.engines, p.spec.MaxAwayShare)
+	return p.counts.unavailable < reconcile.MaxUnavailable(p.counts.engines, p.spec.MaxUnavailableShare)
 }
 
 // role returns the desired role of an engine. An engine without a planned role keeps its current
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -85,7 +85,7 @@
 		directives: map[string]*wire.Directive{}, inFlight: map[string]uint32{}, processes: map[string]*process{},
 	}
 	s := &sheet.Sheet{Pools: []sheet.Pool{{
-		Name: "p", Model: "m", Version: "1", MaxAwayShare: 0.25, Roles: sheet.Roles{Fixed: map[string]driver.Role{}},
+		Name: "p", Model: "m", Version: "1", MaxUnavailableShare: 0.25, Roles: sheet.Roles{Fixed: map[string]driver.Role{}},
 	}}}
 	for i := range engines {
 		name := fmt.Sprint("e", i)
--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -45,9 +45,9 @@
 	Adapters []Adapter `json:"adapters,omitempty"`
 	Engines  []string  `json:"engines"`
 	Roles    Roles     `json:"roles"`
-	// MaxAwayShare is the largest share of the pool that planned changes may
+	// MaxUnavailableShare is the largest share of the pool that planned changes may
 	// take away at once, 0 < share <= 0.5. At least one engine may always go.
-	MaxAwayShare float64 `json:"max_away_share"`
+	MaxUnavailableShare float64 `json:"max_away_share"`
 }
 
 // Adapter is a version of an adapter on top of the pool's model.
--- a/internal/sheet/sheet_test.go
+++ b/internal/sheet/sheet_test.go
@@ -74,7 +74,7 @@
 	assert.Assert(t, s.Engines[0].Withdrawn)
 	assert.Equal(t, s.Engines[1].Name, "e3")
 	assert.Equal(t, s.Pools[0].Version, "2")
-	assert.Equal(t, s.Pools[0].MaxAwayShare, 0.5)
+	assert.Equal(t, s.Pools[0].MaxUnavailableShare, 0.5)
 }
 
 func TestPatchFollowsTheRFC(t *testing.T) {
--- a/internal/sheet/validate.go
+++ b/internal/sheet/validate.go
@@ -106,8 +106,8 @@
 		v.checkAdapters(at, pool.Adapters)
 		members := v.checkMembers(at, pool)
 		v.checkRoles(at+".roles", &pool.Roles, members)
-		if pool.MaxAwayShare <= 0 || pool.MaxAwayShare > maxAwayLimit {
-			v.bad(at+".max_away_share", "is %v; allowed: above 0 and up to %v", pool.MaxAwayShare, maxAwayLimit)
+		if pool.MaxUnavailableShare <= 0 || pool.MaxUnavailableShare > maxAwayLimit {
+			v.bad(at+".max_away_share", "is %v; allowed: above 0 and up to %v", pool.MaxUnavailableShare, maxAwayLimit)
 		}
 	}
 }
--- a/scenarios/setup_test.go
+++ b/scenarios/setup_test.go
@@ -156,7 +156,7 @@
 
 func (f *fleet) sheet(p plan) *sheet.Sheet {
 	s := &sheet.Sheet{Deployment: "scenario", Pools: []sheet.Pool{{
-		Name: "labels", Model: "m", Version: "v1", MaxAwayShare: 0.5, Engines: f.engines,
+		Name: "labels", Model: "m", Version: "v1", MaxUnavailableShare: 0.5, Engines: f.engines,
 		Roles: sheet.Roles{Planned: p.planned, MaxChangesPerHour: 60},
 	}}}
 	if p.planned {
