--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -87,7 +87,7 @@
 // planRoles runs the role planner on a pool and applies the planned changes.
 func (s *state) planRoles(p *pool) {
 	cfg := roles.Config{
-		Self: s.opt.VM, ChangeCost: p.spec.Roles.ChangePrice, MaxChangesPerHour: p.spec.Roles.MaxChangesPerHour,
+		Self: s.opt.VM, ChangeCost: p.spec.Roles.ChangeCost, MaxChangesPerHour: p.spec.Roles.MaxChangesPerHour,
 		MaxUnavailableShare: p.spec.MaxUnavailableShare, ChangeDuration: defaultChangeDuration,
 	}
 	if p.planner == nil {
--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -64,9 +64,9 @@
 	Planned    bool `json:"planned"`
 	MinPrefill int  `json:"min_prefill"`
 	MinDecode  int  `json:"min_decode"`
-	// ChangePrice is what one role change must earn, in complete on-time
+	// ChangeCost is what one role change must earn, in complete on-time
 	// answers; 0 means free.
-	ChangePrice float64 `json:"change_price"`
+	ChangeCost float64 `json:"change_price"`
 	// MaxChangesPerHour bounds planned role changes of the pool.
 	MaxChangesPerHour int `json:"max_changes_per_hour"`
 }
--- a/internal/sheet/validate.go
+++ b/internal/sheet/validate.go
@@ -168,8 +168,8 @@
 	v.atLeast(at+".min_prefill", r.MinPrefill, 0)
 	v.atLeast(at+".min_decode", r.MinDecode, 0)
 	v.atLeast(at+".max_changes_per_hour", r.MaxChangesPerHour, 0)
-	if r.ChangePrice < 0 {
-		v.bad(at+".change_price", "is %v; allowed: 0 or more", r.ChangePrice)
+	if r.ChangeCost < 0 {
+		v.bad(at+".change_price", "is %v; allowed: 0 or more", r.ChangeCost)
 	}
 	free := len(members) - len(r.Fixed)
 	if need := max(r.MinPrefill-prefill, 0) + max(r.MinDecode-decode, 0); need > max(free, 0) {
