--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -45,7 +45,7 @@
 			Objective: 0.95,
 		}},
 		Limits: sheet.Limits{
-			MaxBody: 1 << 20, MaxTokens: 4096, WorkspaceShare: 0.5, CommitWindow: settings.Duration(10 * time.Minute),
+			MaxBodyBytes: 1 << 20, MaxTokens: 4096, WorkspaceShare: 0.5, CommitWindow: settings.Duration(10 * time.Minute),
 			QueuePerEngine: 16,
 		},
 	}
--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -104,8 +104,8 @@
 func (b *backend) Limits() callerapi.Limits {
 	l := callerapi.Limits{MaxBodyBytes: defaultMaxBodyBytes, MaxTokens: defaultMaxTokens}
 	if s := b.view().Sheet; s != nil {
-		if s.Limits.MaxBody > 0 {
-			l.MaxBodyBytes = s.Limits.MaxBody
+		if s.Limits.MaxBodyBytes > 0 {
+			l.MaxBodyBytes = s.Limits.MaxBodyBytes
 		}
 		if s.Limits.MaxTokens > 0 {
 			l.MaxTokens = s.Limits.MaxTokens
--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -104,7 +104,7 @@
 
 // Limits bounds what callers may ask for.
 type Limits struct {
-	MaxBody        int               `json:"max_body"`         // bytes
+	MaxBodyBytes        int               `json:"max_body"`         // bytes
 	MaxTokens      int               `json:"max_tokens"`       // of one answer
 	WorkspaceShare float64           `json:"workspace_share"`  // of a pool's queue, 0 < share <= 1
 	CommitWindow   settings.Duration `json:"commit_window"`    // in which a repeated key is recognised
--- a/internal/sheet/validate_rest.go
+++ b/internal/sheet/validate_rest.go
@@ -59,7 +59,7 @@
 }
 
 func (v *validation) checkLimits(l *Limits) {
-	v.atLeast("limits.max_body", l.MaxBody, 1)
+	v.atLeast("limits.max_body", l.MaxBodyBytes, 1)
 	v.atLeast("limits.max_tokens", l.MaxTokens, 1)
 	v.atLeast("limits.queue_per_engine", l.QueuePerEngine, 1)
 	v.positive("limits.commit_window", l.CommitWindow)
--- a/scenarios/setup_test.go
+++ b/scenarios/setup_test.go
@@ -175,7 +175,7 @@
 		s.Services[0].Endpoints = append(s.Services[0].Endpoints, sheet.ServiceEndpoint{Name: name, Zone: zones[i%len(zones)], Address: f.reach(name)})
 	}
 	s.Classes = []sheet.Class{class("question", 2, 10*time.Second), class("draft", 1, 30*time.Second)}
-	s.Limits = sheet.Limits{MaxBody: 1 << 20, MaxTokens: 2000, WorkspaceShare: 1, QueuePerEngine: 32}
+	s.Limits = sheet.Limits{MaxBodyBytes: 1 << 20, MaxTokens: 2000, WorkspaceShare: 1, QueuePerEngine: 32}
 	_ = s.Limits.CommitWindow.UnmarshalText([]byte(p.commitWindow))
 	return s
 }
