--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -125,7 +125,7 @@
 	old := answer(t, r, start, "a")
 	next := objectives()
 	next[0].Limit = time.Second
-	r.FirstToken(start, "question", 500*time.Millisecond)
+	r.RecordFirstToken(start, "question", 500*time.Millisecond)
 	r.Answer(start, "question", true, time.Second)
 	assert.NilError(t, r.Apply(next))
 	f := burn.Merge([]burn.Answer{old, answer(t, r, start, "b")})
@@ -161,8 +161,8 @@
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(40*time.Minute)).Draw(rt, "pause")))
 			d := time.Duration(rapid.Int64Range(0, int64(20*time.Minute)).Draw(rt, "wait"))
 			vm := several[rapid.IntRange(0, 2).Draw(rt, "vm")]
-			one.FirstToken(now, "question", d)
-			vm.FirstToken(now, "question", d)
+			one.RecordFirstToken(now, "question", d)
+			vm.RecordFirstToken(now, "question", d)
 		}
 		var parts []burn.Answer
 		for _, r := range several {
@@ -247,11 +247,11 @@
 	if age < time.Hour {
 		wait *= 2
 	}
-	r.FirstToken(now, "question", wait)
+	r.RecordFirstToken(now, "question", wait)
 	r.BetweenTokens(now, "question", time.Duration(28+i%10)*time.Millisecond)
 	r.Answer(now, "question", i%200 > 0, time.Duration(5+i%7)*time.Second)
 	r.Commit(now, "commit", true)
-	r.FirstToken(now, "draft", time.Duration(2000+i%4*500)*time.Millisecond)
+	r.RecordFirstToken(now, "draft", time.Duration(2000+i%4*500)*time.Millisecond)
 	r.Answer(now, "draft", age > 4*time.Minute || i%8 > 0, time.Duration(12+i%9)*time.Second)
 	if age > 3*time.Hour || age < time.Hour {
 		r.Answer(now, "tag", i%300 > 0, time.Second)
@@ -271,7 +271,7 @@
 func BenchmarkReport(b *testing.B) {
 	r := recorder(b)
 	for i := range 10_000 {
-		r.FirstToken(start.Add(-time.Duration(i)*time.Second), "question", time.Duration(i)*time.Millisecond)
+		r.RecordFirstToken(start.Add(-time.Duration(i)*time.Second), "question", time.Duration(i)*time.Millisecond)
 	}
 	size := 0
 	for b.Loop() {
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// FirstToken records the wait for an answer's first token.
-func (r *Recorder) FirstToken(now clock.Time, class string, d time.Duration) {
+// RecordFirstToken records the wait for an answer's first token.
+func (r *Recorder) RecordFirstToken(now clock.Time, class string, d time.Duration) {
 	r.latency(now, class, FirstToken, d)
 }
 
--- a/internal/capacity/traffic_test.go
+++ b/internal/capacity/traffic_test.go
@@ -157,7 +157,7 @@
 	assert.NilError(b, err)
 	for i := range n {
 		for m := range 60 {
-			r.FirstToken(clock.Time(time.Duration(m)*time.Minute), fmt.Sprint("class-", i), time.Second)
+			r.RecordFirstToken(clock.Time(time.Duration(m)*time.Minute), fmt.Sprint("class-", i), time.Second)
 		}
 	}
 	return r
--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -139,7 +139,7 @@
 	switch {
 	case s.lastTokenAt == 0:
 		s.lastTokenAt = s.b.clk.Now()
-		s.b.burn.FirstToken(s.lastTokenAt, s.class, s.lastTokenAt.Sub(s.startedAt))
+		s.b.burn.RecordFirstToken(s.lastTokenAt, s.class, s.lastTokenAt.Sub(s.startedAt))
 	case s.flushed:
 		now := s.b.clk.Now()
 		s.b.burn.BetweenTokens(now, s.class, max(now.Sub(s.lastTokenAt), time.Nanosecond))
