--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -188,7 +188,7 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 1000 {
-				r.BetweenTokens(start, "question", time.Millisecond)
+				r.RecordTokenGap(start, "question", time.Millisecond)
 			}
 			_, err := r.Report(start, "a", "z")
 			assert.Check(t, err)
@@ -248,7 +248,7 @@
 		wait *= 2
 	}
 	r.RecordFirstToken(now, "question", wait)
-	r.BetweenTokens(now, "question", time.Duration(28+i%10)*time.Millisecond)
+	r.RecordTokenGap(now, "question", time.Duration(28+i%10)*time.Millisecond)
 	r.Answer(now, "question", i%200 > 0, time.Duration(5+i%7)*time.Second)
 	r.Commit(now, "commit", true)
 	r.RecordFirstToken(now, "draft", time.Duration(2000+i%4*500)*time.Millisecond)
@@ -264,7 +264,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		r.BetweenTokens(now, "question", 30*time.Millisecond)
+		r.RecordTokenGap(now, "question", 30*time.Millisecond)
 	}
 }
 
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -68,8 +68,8 @@
 	r.latency(now, class, FirstToken, d)
 }
 
-// BetweenTokens records one gap between two tokens.
-func (r *Recorder) BetweenTokens(now clock.Time, class string, d time.Duration) {
+// RecordTokenGap records one gap between two tokens.
+func (r *Recorder) RecordTokenGap(now clock.Time, class string, d time.Duration) {
 	r.latency(now, class, BetweenTokens, d)
 }
 
--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -142,10 +142,10 @@
 		s.b.burn.RecordFirstToken(s.lastTokenAt, s.class, s.lastTokenAt.Sub(s.startedAt))
 	case s.flushed:
 		now := s.b.clk.Now()
-		s.b.burn.BetweenTokens(now, s.class, max(now.Sub(s.lastTokenAt), time.Nanosecond))
+		s.b.burn.RecordTokenGap(now, s.class, max(now.Sub(s.lastTokenAt), time.Nanosecond))
 		s.lastTokenAt = now
 	default:
-		s.b.burn.BetweenTokens(s.lastTokenAt, s.class, time.Nanosecond)
+		s.b.burn.RecordTokenGap(s.lastTokenAt, s.class, time.Nanosecond)
 	}
 	s.flushed = false
 	return s.Sink.Token(t)
