--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -52,7 +52,7 @@
 func TestWindowsForgetInTurn(t *testing.T) {
 	r := recorder(t)
 	for i := range 10 {
-		r.Answer(start, "question", i > 0, time.Second)
+		r.RecordAnswer(start, "question", i > 0, time.Second)
 	}
 	rates := func(after time.Duration) [3]float64 {
 		return line(t, burn.Merge([]burn.Answer{answer(t, r, start.Add(after), "a")}), "question", burn.OnTime).Rates
@@ -84,7 +84,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := recorder(t)
 			for age := 6 * time.Hour; age > 0; age -= 10 * time.Second {
-				r.Answer(start.Add(-age), "question", !c.bad(age), time.Second)
+				r.RecordAnswer(start.Add(-age), "question", !c.bad(age), time.Second)
 			}
 			f := burn.Merge([]burn.Answer{answer(t, r, start, "a")})
 			assert.Equal(t, line(t, f, "question", burn.OnTime).State, c.want)
@@ -97,7 +97,7 @@
 // sums only those who answer shows a fleet in good health.
 func TestSilentVMsAreShown(t *testing.T) {
 	r := recorder(t)
-	r.Answer(start, "question", true, time.Second)
+	r.RecordAnswer(start, "question", true, time.Second)
 	bad := answer(t, r, start, "c")
 	bad.Report.Lines[0].Waits = []byte("not a histogram")
 	f := burn.Merge([]burn.Answer{
@@ -126,7 +126,7 @@
 	next := objectives()
 	next[0].Limit = time.Second
 	r.RecordFirstToken(start, "question", 500*time.Millisecond)
-	r.Answer(start, "question", true, time.Second)
+	r.RecordAnswer(start, "question", true, time.Second)
 	assert.NilError(t, r.Apply(next))
 	f := burn.Merge([]burn.Answer{old, answer(t, r, start, "b")})
 	assert.Equal(t, len(f.Lines), len(objectives())+1)
@@ -249,12 +249,12 @@
 	}
 	r.RecordFirstToken(now, "question", wait)
 	r.RecordTokenGap(now, "question", time.Duration(28+i%10)*time.Millisecond)
-	r.Answer(now, "question", i%200 > 0, time.Duration(5+i%7)*time.Second)
+	r.RecordAnswer(now, "question", i%200 > 0, time.Duration(5+i%7)*time.Second)
 	r.Commit(now, "commit", true)
 	r.RecordFirstToken(now, "draft", time.Duration(2000+i%4*500)*time.Millisecond)
-	r.Answer(now, "draft", age > 4*time.Minute || i%8 > 0, time.Duration(12+i%9)*time.Second)
+	r.RecordAnswer(now, "draft", age > 4*time.Minute || i%8 > 0, time.Duration(12+i%9)*time.Second)
 	if age > 3*time.Hour || age < time.Hour {
-		r.Answer(now, "tag", i%300 > 0, time.Second)
+		r.RecordAnswer(now, "tag", i%300 > 0, time.Second)
 	}
 }
 
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -73,9 +73,9 @@
 	r.latency(now, class, BetweenTokens, d)
 }
 
-// Answer records the end of a request: whether the whole answer was on time,
+// RecordAnswer records the end of a request: whether the whole answer was on time,
 // and how long it took.
-func (r *Recorder) Answer(now clock.Time, class string, onTime bool, took time.Duration) {
+func (r *Recorder) RecordAnswer(now clock.Time, class string, onTime bool, took time.Duration) {
 	r.record(class, OnTime, func(a *account) { a.add(now, onTime, took) })
 }
 
--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -77,12 +77,12 @@
 	}
 	switch {
 	case err == nil:
-		b.burn.Answer(now, g.Class, ctx.Err() == nil, now.Sub(startedAt))
+		b.burn.RecordAnswer(now, g.Class, ctx.Err() == nil, now.Sub(startedAt))
 	case isCallerFault(err):
 	case code.Of(err).Run == code.NotRun:
 		b.burn.Refused(now, g.Class)
 	default:
-		b.burn.Answer(now, g.Class, false, now.Sub(startedAt))
+		b.burn.RecordAnswer(now, g.Class, false, now.Sub(startedAt))
 	}
 	return err
 }
