--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -146,7 +146,7 @@
 
 func TestUnknownClassIsCounted(t *testing.T) {
 	r := recorder(t)
-	r.Refused(start, "qestion")
+	r.RecordRefused(start, "qestion")
 	assert.Equal(t, answer(t, r, start, "a").Report.Unknown, uint64(1))
 }
 
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -79,8 +79,8 @@
 	r.record(class, OnTime, func(a *account) { a.add(now, onTime, took) })
 }
 
-// Refused records a request that was not served.
-func (r *Recorder) Refused(now clock.Time, class string) {
+// RecordRefused records a request that was not served.
+func (r *Recorder) RecordRefused(now clock.Time, class string) {
 	r.record(class, OnTime, func(a *account) { a.count(now, false) })
 }
 
--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -80,7 +80,7 @@
 		b.burn.RecordAnswer(now, g.Class, ctx.Err() == nil, now.Sub(startedAt))
 	case isCallerFault(err):
 	case code.Of(err).Run == code.NotRun:
-		b.burn.Refused(now, g.Class)
+		b.burn.RecordRefused(now, g.Class)
 	default:
 		b.burn.RecordAnswer(now, g.Class, false, now.Sub(startedAt))
 	}
