--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -250,7 +250,7 @@
 	r.RecordFirstToken(now, "question", wait)
 	r.RecordTokenGap(now, "question", time.Duration(28+i%10)*time.Millisecond)
 	r.RecordAnswer(now, "question", i%200 > 0, time.Duration(5+i%7)*time.Second)
-	r.Commit(now, "commit", true)
+	r.RecordCommit(now, "commit", true)
 	r.RecordFirstToken(now, "draft", time.Duration(2000+i%4*500)*time.Millisecond)
 	r.RecordAnswer(now, "draft", age > 4*time.Minute || i%8 > 0, time.Duration(12+i%9)*time.Second)
 	if age > 3*time.Hour || age < time.Hour {
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -84,9 +84,9 @@
 	r.record(class, OnTime, func(a *account) { a.count(now, false) })
 }
 
-// Commit records the end of a non-idempotent request and whether its outcome is
+// RecordCommit records the end of a non-idempotent request and whether its outcome is
 // known.
-func (r *Recorder) Commit(now clock.Time, class string, known bool) {
+func (r *Recorder) RecordCommit(now clock.Time, class string, known bool) {
 	r.record(class, Commits, func(a *account) { a.count(now, known) })
 }
 
--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -96,7 +96,7 @@
 	}
 	if c.Key != "" && (err == nil || !isCallerFault(err)) {
 		outcomeKnown := err == nil || code.Of(err).Run != code.Unknown
-		b.burn.Commit(b.clk.Now(), c.Service, outcomeKnown)
+		b.burn.RecordCommit(b.clk.Now(), c.Service, outcomeKnown)
 	}
 	return reply, err
 }
