--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -127,7 +127,7 @@
 	next[0].Limit = time.Second
 	r.RecordFirstToken(start, "question", 500*time.Millisecond)
 	r.RecordAnswer(start, "question", true, time.Second)
-	assert.NilError(t, r.Apply(next))
+	assert.NilError(t, r.SetObjectives(next))
 	f := burn.Merge([]burn.Answer{old, answer(t, r, start, "b")})
 	assert.Equal(t, len(f.Lines), len(objectives())+1)
 	assert.Equal(t, line(t, f, "question", burn.OnTime).Windows[0].Good, uint64(1), "an unchanged objective goes on")
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -28,13 +28,13 @@
 // NewRecorder returns a recorder of the objectives.
 func NewRecorder(objectives []Objective) (*Recorder, error) {
 	r := &Recorder{}
-	return r, r.Apply(objectives)
+	return r, r.SetObjectives(objectives)
 }
 
-// Apply takes over the objectives of a newer sheet. Accounts of objectives that
+// SetObjectives takes over the objectives of a newer sheet. Accounts of objectives that
 // stay as they are go on; a changed limit or target starts anew, since the old
 // counts answer another question.
-func (r *Recorder) Apply(objectives []Objective) error {
+func (r *Recorder) SetObjectives(objectives []Objective) error {
 	for _, o := range objectives {
 		if err := o.check(); err != nil {
 			return err
--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -60,7 +60,7 @@
 	for _, v := range s.Services {
 		list = append(list, burn.Objective{Class: v.Name, Signal: burn.Commits, Target: commitOutcomeTarget})
 	}
-	if err := b.burn.Apply(list); err != nil {
+	if err := b.burn.SetObjectives(list); err != nil {
 		log.WithError(err).Warn("cannot apply the objectives of the sheet")
 	}
 }
