--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -33,10 +33,10 @@
 	return r
 }
 
-func answer(t testing.TB, r *burn.Recorder, now clock.Time, vm string) burn.Answer {
+func answer(t testing.TB, r *burn.Recorder, now clock.Time, vm string) burn.VMAnswer {
 	rep, err := r.Report(now, vm, "zone-1")
 	assert.NilError(t, err)
-	return burn.Answer{VM: vm, Zone: "zone-1", Report: &rep}
+	return burn.VMAnswer{VM: vm, Zone: "zone-1", Report: &rep}
 }
 
 func line(t testing.TB, f burn.Fleet, class string, s burn.Signal) burn.FleetLine {
@@ -55,7 +55,7 @@
 		r.RecordAnswer(start, "question", i > 0, time.Second)
 	}
 	rates := func(after time.Duration) [3]float64 {
-		return line(t, burn.Merge([]burn.Answer{answer(t, r, start.Add(after), "a")}), "question", burn.OnTime).Rates
+		return line(t, burn.Merge([]burn.VMAnswer{answer(t, r, start.Add(after), "a")}), "question", burn.OnTime).Rates
 	}
 	near := func(got, want [3]float64) {
 		t.Helper()
@@ -86,7 +86,7 @@
 			for age := 6 * time.Hour; age > 0; age -= 10 * time.Second {
 				r.RecordAnswer(start.Add(-age), "question", !c.bad(age), time.Second)
 			}
-			f := burn.Merge([]burn.Answer{answer(t, r, start, "a")})
+			f := burn.Merge([]burn.VMAnswer{answer(t, r, start, "a")})
 			assert.Equal(t, line(t, f, "question", burn.OnTime).State, c.want)
 			assert.Equal(t, line(t, f, "commit", burn.Commits).State, burn.Silent)
 		})
@@ -100,7 +100,7 @@
 	r.RecordAnswer(start, "question", true, time.Second)
 	bad := answer(t, r, start, "c")
 	bad.Report.Lines[0].Waits = []byte("not a histogram")
-	f := burn.Merge([]burn.Answer{
+	f := burn.Merge([]burn.VMAnswer{
 		answer(t, r, start, "a"),
 		{VM: "b", Zone: "zone-2", Err: "timeout after 2s"},
 		bad,
@@ -128,7 +128,7 @@
 	r.RecordFirstToken(start, "question", 500*time.Millisecond)
 	r.RecordAnswer(start, "question", true, time.Second)
 	assert.NilError(t, r.SetObjectives(next))
-	f := burn.Merge([]burn.Answer{old, answer(t, r, start, "b")})
+	f := burn.Merge([]burn.VMAnswer{old, answer(t, r, start, "b")})
 	assert.Equal(t, len(f.Lines), len(objectives())+1)
 	assert.Equal(t, line(t, f, "question", burn.OnTime).Windows[0].Good, uint64(1), "an unchanged objective goes on")
 }
@@ -164,7 +164,7 @@
 			one.RecordFirstToken(now, "question", d)
 			vm.RecordFirstToken(now, "question", d)
 		}
-		var parts []burn.Answer
+		var parts []burn.VMAnswer
 		for _, r := range several {
 			a := answer(t, r, now, "vm")
 			text, err := json.Marshal(a.Report)
@@ -174,7 +174,7 @@
 			a.Report = &back
 			parts = append(parts, a)
 		}
-		want := line(t, burn.Merge([]burn.Answer{answer(t, one, now, "vm")}), "question", burn.FirstToken)
+		want := line(t, burn.Merge([]burn.VMAnswer{answer(t, one, now, "vm")}), "question", burn.FirstToken)
 		got := line(t, burn.Merge(parts), "question", burn.FirstToken)
 		assert.Equal(rt, got.Windows, want.Windows)
 		assert.DeepEqual(rt, got.Series, want.Series)
@@ -195,7 +195,7 @@
 		})
 	}
 	wg.Wait()
-	f := burn.Merge([]burn.Answer{answer(t, r, start, "a")})
+	f := burn.Merge([]burn.VMAnswer{answer(t, r, start, "a")})
 	assert.Equal(t, line(t, f, "question", burn.BetweenTokens).Windows[0].Good, uint64(8000))
 }
 
@@ -226,7 +226,7 @@
 		burn.Objective{Class: "tag", Signal: burn.OnTime, Target: 0.99},
 		burn.Objective{Class: "trace", Signal: burn.OnTime, Target: 0.99},
 	)
-	answers := []burn.Answer{
+	answers := []burn.VMAnswer{
 		{VM: "entry-6", Zone: "Saginaw", Err: "no answer within 2s"},
 		{VM: "entry-7", Zone: "Saginaw", Err: "connection refused"},
 	}
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -28,8 +28,8 @@
 	Waits   []byte   `json:"waits,omitempty"` // HdrHistogram V2, milliseconds, last hour
 }
 
-// Answer is what one VM of the list gave when it was asked.
-type Answer struct {
+// VMAnswer is what one VM of the list gave when it was asked.
+type VMAnswer struct {
 	VM     string
 	Zone   string
 	Report *Report // nil if it did not answer
@@ -76,7 +76,7 @@
 }
 
 // Merge adds the answers up. The worst state comes first.
-func Merge(answers []Answer) Fleet {
+func Merge(answers []VMAnswer) Fleet {
 	f := Fleet{Asked: len(answers), Gaps: []Gap{}, Lines: []FleetLine{}}
 	for _, a := range answers {
 		if a.Report == nil {
--- a/internal/operator/burn.go
+++ b/internal/operator/burn.go
@@ -45,8 +45,8 @@
 
 // gatherBurn asks every VM at once. One that does not answer stays in the
 // list with the reason, so that its gap is shown.
-func gatherBurn(ctx context.Context, vms []driver.VM) []burn.Answer {
-	out := make([]burn.Answer, len(vms))
+func gatherBurn(ctx context.Context, vms []driver.VM) []burn.VMAnswer {
+	out := make([]burn.VMAnswer, len(vms))
 	var wg sync.WaitGroup
 	for i, vm := range vms {
 		wg.Go(func() { out[i] = askBurn(ctx, vm) })
@@ -55,8 +55,8 @@
 	return out
 }
 
-func askBurn(ctx context.Context, vm driver.VM) burn.Answer {
-	a := burn.Answer{VM: vm.Name, Zone: vm.Zone}
+func askBurn(ctx context.Context, vm driver.VM) burn.VMAnswer {
+	a := burn.VMAnswer{VM: vm.Name, Zone: vm.Zone}
 	b, err := fetch(ctx, vm.Status, status.PathBurn)
 	if err == nil {
 		a.Report = &burn.Report{}
