--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -20,7 +20,7 @@
 	v, s := u.opts.Replica.View(), u.opts.Settings
 	r := status.Report{
 		VM: s.VM, Zone: s.Zone, Process: processName, Incarnation: u.opts.Incarnation,
-		Ready: v.Ready, Commits: u.commitTable.Ready(), Leaving: u.leaving.Load(), SheetVersion: v.Version,
+		Ready: v.Ready, CommitsReady: u.commitTable.Ready(), Leaving: u.leaving.Load(), SheetVersion: v.Version,
 		Log:      status.Log{Healthy: v.Log.Healthy, LastError: v.Log.LastError, Offset: v.Offset},
 		Requests: int(u.active.Load()), Endpoints: u.endpoints(),
 	}
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -28,7 +28,7 @@
 	Process      string     `json:"process"`
 	Incarnation  string     `json:"incarnation"`
 	Ready        bool       `json:"ready"`   // there is an accepted sheet
-	Commits      bool       `json:"commits"` // the commits stream was read to its end: commits can run
+	CommitsReady      bool       `json:"commits"` // the commits stream was read to its end: commits can run
 	Leaving      bool       `json:"leaving"`
 	SheetVersion uint64     `json:"sheet_version"`
 	Log          Log        `json:"log"`
