--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -114,7 +114,7 @@
 				holder.stop()
 				gap := eventually(t, 20*time.Second, "takeover", func() bool {
 					s := other.control.Scopes()
-					return len(s) == 1 && s[0].Held
+					return len(s) == 1 && s[0].HeldHere
 				})
 				t.Logf("takeover gap, fences=%v: %s", checksFence, gap)
 				time.Sleep(10 * time.Second)
@@ -248,7 +248,7 @@
 		assert.Equal(t, cl.role("e2"), driver.RolePrefill)
 		gap := eventually(t, 5*time.Second, "taken over", func() bool {
 			for _, s := range other.control.Scopes() {
-				if !s.Held {
+				if !s.HeldHere {
 					return false
 				}
 			}
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -80,7 +80,7 @@
 func (p *process) holdsAll() bool {
 	scopes := p.control.Scopes()
 	for _, s := range scopes {
-		if !s.Held {
+		if !s.HeldHere {
 			return false
 		}
 	}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -18,7 +18,7 @@
 			scope.Holder = h.VM
 		}
 		if e.token != 0 {
-			scope.Held = now < e.lease.Load().until
+			scope.HeldHere = now < e.lease.Load().until
 			scope.Doing = e.lastStep.Reason
 			if !e.stateRead {
 				scope.Doing = "engine does not answer"
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -69,7 +69,7 @@
 	Engine string `json:"engine"`
 	Holder string `json:"holder"` // VM
 	Token  uint64 `json:"token"`
-	Held   bool   `json:"held"` // by this process, with a running lease
+	HeldHere   bool   `json:"held"` // by this process, with a running lease
 	Doing  string `json:"doing,omitempty"`
 }
 
--- a/scenarios/await_test.go
+++ b/scenarios/await_test.go
@@ -128,7 +128,7 @@
 		return status.Scope{}, false
 	}
 	for _, s := range r.Scopes {
-		if s.Engine == engineName && s.Held {
+		if s.Engine == engineName && s.HeldHere {
 			return s, true
 		}
 	}
