--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -19,9 +19,9 @@
 		}
 		if e.token != 0 {
 			scope.HeldHere = now < e.lease.Load().until
-			scope.Doing = e.lastStep.Reason
+			scope.Activity = e.lastStep.Reason
 			if !e.stateRead {
-				scope.Doing = "engine does not answer"
+				scope.Activity = "engine does not answer"
 			}
 		}
 		out = append(out, scope)
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -70,7 +70,7 @@
 	Holder string `json:"holder"` // VM
 	Token  uint64 `json:"token"`
 	HeldHere   bool   `json:"held"` // by this process, with a running lease
-	Doing  string `json:"doing,omitempty"`
+	Activity  string `json:"doing,omitempty"`
 }
 
 // Source gives the current report. It must not block.
