--- a/internal/sheet/document.go
+++ b/internal/sheet/document.go
@@ -10,18 +10,18 @@
 	"fescuestand/internal/settings"
 )
 
-// Document is an accepted sheet held so that a patch costs what it changes and
-// not what the sheet holds: at the design size eleven thousand patches a day
-// against a sheet of thousands of engines would take a process's whole budget
-// if each were decoded anew. A Document is immutable.
+// Document is an accepted sheet, kept both decoded and as encoded list members, so that the cost of
+// a patch grows with the patch and not with the sheet. The design size is eleven thousand patches a
+// day to a sheet of thousands of engines; decoding the whole sheet for each of them would use up a
+// process's CPU budget. A Document is immutable.
 //
-// It never decides for itself that a patch is refused, and gives the same
-// bytes and sheet as ApplyPatch and Parse, which it falls back to.
+// Patch gives the same bytes and the same sheet as ApplyPatch followed by Parse. Its fast path
+// never rejects a patch: whenever it can't apply one, Patch falls back to these two functions.
 type Document struct {
 	body  []byte
 	sheet *Sheet
-	keys  map[string]json.RawMessage // nil until body has been encoded by ApplyPatch
-	lists map[string][]member
+	keys  map[string]json.RawMessage // top-level keys of body; nil until ApplyPatch has encoded body
+	lists map[string][]member        // by key, the lists in listKeys that body contains
 }
 
 // member is one named member of a list, in its canonical encoding.
@@ -30,19 +30,20 @@
 	raw  json.RawMessage
 }
 
-// lists are the keys whose members are patched by name.
+// listKeys are the top-level keys whose value is a list that patches change by member name.
 var listKeys = []string{"classes", "engines", "pools", "services"}
 
 // NewDocument returns the document of an accepted sheet.
 func NewDocument(body []byte, s *Sheet) *Document { return &Document{body: body, sheet: s} }
 
-// Body returns the sheet's text.
+// Body returns the encoded sheet.
 func (d *Document) Body() []byte { return d.body }
 
 // Sheet returns the decoded sheet.
 func (d *Document) Sheet() *Sheet { return d.sheet }
 
-// PatchError wraps what is wrong with a patch itself.
+// PatchError reports a patch that can't be applied, as opposed to one whose result is not a valid
+// sheet.
 type PatchError struct{ Err error }
 
 // Error implements error.
@@ -51,10 +52,10 @@
 // Unwrap returns the cause.
 func (e *PatchError) Unwrap() error { return e.Err }
 
-// Patch returns the document changed by a patch; see ApplyPatch. The error is
-// an *ErrPatch, or a *settings.Problems if the result is no valid sheet.
+// Patch returns a new document with the patch applied; see ApplyPatch. The error is a *PatchError,
+// or a *settings.Problems if the result is not a valid sheet.
 func (d *Document) Patch(patch []byte) (*Document, error) {
-	if next := d.patchMembers(patch); next != nil {
+	if next := d.patchNamedMembers(patch); next != nil {
 		return next, nil
 	}
 	body, err := ApplyPatch(d.body, patch)
@@ -70,7 +71,8 @@
 	return next, nil
 }
 
-// index splits a canonical body into its members.
+// index splits a canonical body into its top-level keys and list members. It leaves the document
+// without an index if a list has a member without a name, which disables the fast path of Patch.
 func (d *Document) index() {
 	keys, lists := map[string]json.RawMessage{}, map[string][]member{}
 	if json.Unmarshal(d.body, &keys) != nil {
@@ -96,24 +98,24 @@
 	d.keys, d.lists = keys, lists
 }
 
-// patchMembers is Patch for a patch that changes nothing but named members and
-// whose result is valid, and nil for every other.
-func (d *Document) patchMembers(patch []byte) *Document {
-	change, err := parseLoose(patch)
-	top, ok := change.(map[string]any)
+// patchNamedMembers is the fast path of Patch. It returns nil unless the patch changes only named
+// list members and the result is a valid sheet.
+func (d *Document) patchNamedMembers(patch []byte) *Document {
+	change, err := parseJSONC(patch)
+	changedKeys, ok := change.(map[string]any)
 	if err != nil || !ok || d.keys == nil {
 		return nil
 	}
 	next := &Document{keys: maps.Clone(d.keys), lists: maps.Clone(d.lists)}
 	s := *d.sheet
-	for key, v := range top {
+	for key, v := range changedKeys {
 		members, ok := v.(map[string]any)
-		list, known := d.lists[key]
-		if !ok || !known {
+		list, indexed := d.lists[key]
+		if !ok || !indexed {
 			return nil
 		}
 		merged, err := mergeMembers(list, members)
-		if err != nil || replaceList(&s, key, merged) != nil {
+		if err != nil || decodeList(&s, key, merged) != nil {
 			return nil
 		}
 		next.lists[key] = merged.members
@@ -128,24 +130,26 @@
 	return next
 }
 
-// mergedList is a list after a patch. from holds each member's index in the
-// list before, -1 if it was changed or added.
+// mergedList is a list after a patch. oldIndex holds each member's index in the list before the
+// patch, or -1 if the patch changed or added the member.
 type mergedList struct {
-	members []member
-	from    []int
+	members  []member
+	oldIndex []int
 }
 
+// mergeMembers applies a patch to a list as mergeNamedMembers does, but decodes only the members
+// that the patch changes.
 func mergeMembers(list []member, change map[string]any) (*mergedList, error) {
 	out := &mergedList{}
-	done := map[string]bool{}
+	existing := map[string]bool{}
 	for i, m := range list {
 		v, changed := change[m.name]
-		done[m.name] = true
+		existing[m.name] = true
 		switch {
 		case !changed:
 			out.add(m, i)
 		case v != nil:
-			target, err := parseLoose(m.raw)
+			target, err := parseJSONC(m.raw)
 			if err != nil {
 				return nil, err
 			}
@@ -155,7 +159,7 @@
 		}
 	}
 	for _, name := range sortedKeys(change) {
-		if !done[name] && change[name] != nil {
+		if !existing[name] && change[name] != nil {
 			if err := out.encode(name, merge(nil, change[name])); err != nil {
 				return nil, err
 			}
@@ -164,41 +168,44 @@
 	return out, nil
 }
 
-func (l *mergedList) add(m member, from int) {
-	l.members, l.from = append(l.members, m), append(l.from, from)
+func (l *mergedList) add(m member, oldIndex int) {
+	l.members, l.oldIndex = append(l.members, m), append(l.oldIndex, oldIndex)
 }
 
+// encode adds a changed or new member in its canonical encoding. It returns an error if the
+// patch renames the member, which the fast path does not support.
 func (l *mergedList) encode(name string, v any) error {
-	v = named(v, name)
-	if nameOf(v) != name {
-		return fmt.Errorf("member %q is renamed", name)
+	v = withName(v, name)
+	if memberName(v) != name {
+		return fmt.Errorf("patch renames member %q", name)
 	}
-	raw, err := encode(v)
+	raw, err := encodeCanonical(v)
 	l.add(member{name, raw}, -1)
 	return err
 }
 
-// replaceList puts the merged list into a sheet, decoding what has changed as
-// strictly as a whole sheet.
-func replaceList(s *Sheet, key string, l *mergedList) (err error) {
+// decodeList stores the merged list in the sheet. It decodes the changed members as strictly as
+// Parse does.
+func decodeList(s *Sheet, key string, l *mergedList) (err error) {
 	switch key {
 	case "engines":
-		s.Engines, err = rebuild(s.Engines, l)
+		s.Engines, err = decodeChanged(s.Engines, l)
 	case "pools":
-		s.Pools, err = rebuild(s.Pools, l)
+		s.Pools, err = decodeChanged(s.Pools, l)
 	case "services":
-		s.Services, err = rebuild(s.Services, l)
+		s.Services, err = decodeChanged(s.Services, l)
 	case "classes":
-		s.Classes, err = rebuild(s.Classes, l)
+		s.Classes, err = decodeChanged(s.Classes, l)
 	}
 	return err
 }
 
-func rebuild[T any](old []T, l *mergedList) ([]T, error) {
+// decodeChanged returns the merged list with unchanged members taken from old and the others decoded.
+func decodeChanged[T any](old []T, l *mergedList) ([]T, error) {
 	out := make([]T, len(l.members))
-	for i, from := range l.from {
-		if from >= 0 {
-			out[i] = old[from]
+	for i, oldIndex := range l.oldIndex {
+		if oldIndex >= 0 {
+			out[i] = old[oldIndex]
 			continue
 		}
 		if err := settings.Decode("sheet", l.members[i].raw, &out[i]); err != nil {
@@ -229,7 +236,7 @@
 		} else {
 			out.WriteByte('{')
 		}
-		name, _ := encode(key)
+		name, _ := encodeCanonical(key)
 		out.Write(name)
 		out.WriteByte(':')
 		out.Write(keys[key])
@@ -238,8 +245,8 @@
 	return out.Bytes()
 }
 
-// encode gives a value's canonical text: keys in order, no spaces.
-func encode(v any) ([]byte, error) {
+// encodeCanonical returns the canonical JSON of a value: keys sorted, no white space.
+func encodeCanonical(v any) ([]byte, error) {
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
 	enc.SetEscapeHTML(false)
--- a/internal/sheet/document_test.go
+++ b/internal/sheet/document_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// drawPatch makes patches that change, add, remove and rename members, touch
-// other keys, or are wrong.
-func drawPatch(t *rapid.T) string {
+// randomPatch returns a patch that changes, adds, removes or renames members, changes other keys, or
+// is invalid.
+func randomPatch(t *rapid.T) string {
 	name := fmt.Sprint("e", rapid.IntRange(1, 4).Draw(t, "engine"))
 	engine := fmt.Sprintf(`{"zone": "z<%d>", "driver": "d", "address": "127.0.0.1:%d", "checks_fence": true}`,
 		rapid.IntRange(0, 9).Draw(t, "zone"), rapid.IntRange(7000, 7003).Draw(t, "port"))
@@ -29,19 +29,19 @@
 	}).Draw(t, "patch")
 }
 
-// Story: one process has followed every patch, another starts from a
-// checkpoint and decodes the sheet whole. If their texts differed in one byte,
-// or one refused what the other accepted, they would serve different sheets.
-func TestPatchingMembersEqualsPatchingTheWhole(t *testing.T) {
+// Guards against VMs that serve different sheets: one process has applied every patch since it
+// started, another starts from a checkpoint and decodes the whole sheet. Both must get the same bytes
+// and accept the same patches.
+func TestPatchingMembersEqualsPatchingWholeSheet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, err := Parse("sheet", []byte(good))
+		s, err := Parse("sheet", []byte(validSheet))
 		assert.NilError(t, err)
-		followed := NewDocument([]byte(good), s)
+		incremental := NewDocument([]byte(validSheet), s)
 		for range rapid.IntRange(1, 12).Draw(t, "patches") {
-			patch := []byte(drawPatch(t))
-			fresh := NewDocument(followed.Body(), followed.Sheet())
+			patch := []byte(randomPatch(t))
+			fresh := NewDocument(incremental.Body(), incremental.Sheet())
 			want, wantErr := fresh.Patch(patch)
-			got, gotErr := followed.Patch(patch)
+			got, gotErr := incremental.Patch(patch)
 			assert.Equal(t, fmt.Sprint(gotErr), fmt.Sprint(wantErr))
 			if gotErr != nil {
 				continue
@@ -51,7 +51,7 @@
 			whole, err := Parse("sheet", got.Body())
 			assert.NilError(t, err)
 			assert.DeepEqual(t, got.Sheet(), whole)
-			followed = got
+			incremental = got
 		}
 	})
 }
--- a/internal/sheet/patch.go
+++ b/internal/sheet/patch.go
@@ -9,34 +9,35 @@
 	"github.com/tailscale/hujson"
 )
 
-// ApplyPatch returns base changed by an RFC 7396 merge patch.
+// ApplyPatch applies an RFC 7396 merge patch to base and returns the result.
 //
-// One rule is added to the RFC, whose arrays can only be replaced whole: an
-// object laid over an array of named objects changes the members by name, null
-// removes one, and new names are appended in order. One engine of thousands
-// changes in a hundred bytes that way. The result depends on nothing but the
-// two texts, so that every node computes the same bytes.
+// The RFC can only replace an array as a whole. ApplyPatch adds one rule: an object in the patch
+// whose target is an array of named objects changes the members by name. A null value removes the
+// member, and members with new names are appended in the order of their names. A patch of one engine
+// among thousands thus takes about a hundred bytes. The result depends only on the two texts, so
+// every node computes the same bytes.
 func ApplyPatch(base, patch []byte) ([]byte, error) {
-	target, err := parseLoose(base)
+	target, err := parseJSONC(base)
 	if err != nil {
 		return nil, fmt.Errorf("base: %w", err)
 	}
-	change, err := parseLoose(patch)
+	change, err := parseJSONC(patch)
 	if err != nil {
 		return nil, fmt.Errorf("patch: %w", err)
 	}
 	if _, ok := change.(map[string]any); !ok {
 		return nil, fmt.Errorf("patch: is not an object")
 	}
-	out, err := encode(merge(target, change))
+	out, err := encodeCanonical(merge(target, change))
 	if err != nil {
 		return nil, fmt.Errorf("encoding: %w", err)
 	}
 	return out, nil
 }
 
-// parseLoose parses JSON with comments, keeping numbers as they are written.
-func parseLoose(src []byte) (any, error) {
+// parseJSONC parses JSON with comments. It keeps numbers in their written form, as a float64 would
+// round large integers.
+func parseJSONC(src []byte) (any, error) {
 	std, err := hujson.Standardize(bytes.Clone(src))
 	if err != nil {
 		return nil, err
@@ -48,13 +49,14 @@
 	return v, err
 }
 
+// merge implements MergePatch of RFC 7396 with the rule for named members.
 func merge(target, patch any) any {
 	change, ok := patch.(map[string]any)
 	if !ok {
 		return patch
 	}
 	if list, ok := target.([]any); ok && allNamed(list) {
-		return mergeNamed(list, change)
+		return mergeNamedMembers(list, change)
 	}
 	obj, ok := target.(map[string]any)
 	if !ok {
@@ -70,35 +72,36 @@
 	return obj
 }
 
-func mergeNamed(list []any, change map[string]any) []any {
+func mergeNamedMembers(list []any, change map[string]any) []any {
 	out := make([]any, 0, len(list)+len(change))
-	done := map[string]bool{}
+	existing := map[string]bool{}
 	for _, member := range list {
-		name := nameOf(member)
+		name := memberName(member)
 		v, changed := change[name]
-		done[name] = true
+		existing[name] = true
 		switch {
 		case !changed:
 			out = append(out, member)
 		case v != nil:
-			out = append(out, named(merge(member, v), name))
+			out = append(out, withName(merge(member, v), name))
 		}
 	}
 	added := make([]string, 0, len(change))
 	for name, v := range change {
-		if !done[name] && v != nil {
+		if !existing[name] && v != nil {
 			added = append(added, name)
 		}
 	}
 	slices.Sort(added)
 	for _, name := range added {
-		out = append(out, named(merge(nil, change[name]), name))
+		out = append(out, withName(merge(nil, change[name]), name))
 	}
 	return out
 }
 
-// named gives a member its name, which a patch states as the key only.
-func named(member any, name string) any {
+// withName sets a member's name if the member has none, since a patch gives the name of a new member
+// only as the key.
+func withName(member any, name string) any {
 	if obj, ok := member.(map[string]any); ok {
 		if _, has := obj["name"]; !has {
 			obj["name"] = name
@@ -109,14 +112,14 @@
 
 func allNamed(list []any) bool {
 	for _, member := range list {
-		if nameOf(member) == "" {
+		if memberName(member) == "" {
 			return false
 		}
 	}
 	return true
 }
 
-func nameOf(member any) string {
+func memberName(member any) string {
 	obj, _ := member.(map[string]any)
 	name, _ := obj["name"].(string)
 	return name
--- a/internal/sheet/sheet.go
+++ b/internal/sheet/sheet.go
@@ -1,6 +1,5 @@
-// Package sheet defines the morning sheet: the whole configuration that
-// operators publish to the log service, and the patches to it. docs/SHEET.md
-// describes every key for operators.
+// Package sheet defines the sheet, which is the fleet's whole configuration that operators publish
+// to the log service, and the patches to it. docs/SHEET.md describes every key for operators.
 package sheet
 
 import (
@@ -19,20 +18,20 @@
 	Limits     Limits    `json:"limits"`
 }
 
-// Engine is one runner of the fixed fleet.
+// Engine is one runner. The fleet is fixed: it has the engines that the sheet lists.
 type Engine struct {
 	Name    string            `json:"name"`
 	Zone    string            `json:"zone"`
 	Driver  string            `json:"driver"`
 	Address string            `json:"address"`
 	Options map[string]string `json:"options,omitempty"`
-	// ChecksFence says whether the engine refuses orders with an old token.
+	// ChecksFence reports whether the engine rejects orders that carry an outdated fencing token.
 	ChecksFence bool `json:"checks_fence"`
 	// Withdrawn engines are drained and get no work.
 	Withdrawn bool `json:"withdrawn,omitempty"`
 }
 
-// Target returns what the engine's driver is opened with.
+// Target returns the arguments for opening the engine's driver.
 func (e *Engine) Target() driver.Target {
 	return driver.Target{Driver: e.Driver, Address: e.Address, Options: e.Options}
 }
@@ -45,29 +44,29 @@
 	Adapters []Adapter `json:"adapters,omitempty"`
 	Engines  []string  `json:"engines"`
 	Roles    Roles     `json:"roles"`
-	// MaxUnavailableShare is the largest share of the pool that planned changes may
-	// take away at once, 0 < share <= 0.5. At least one engine may always go.
+	// MaxUnavailableShare is the largest share of the pool's engines that planned changes may make
+	// unavailable at once, 0 < share <= 0.5. One engine may always be changed, however small the pool.
 	MaxUnavailableShare float64 `json:"max_away_share"`
 }
 
-// Adapter is a version of an adapter on top of the pool's model.
+// Adapter is one version of an adapter for the pool's model.
 type Adapter struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
 }
 
-// Roles says how the pool may be split.
+// Roles sets how a pool's engines may be divided between prefill and decode.
 type Roles struct {
-	// Fixed pins engines to a role by name; the planner leaves them alone.
+	// Fixed assigns engines to a role by name; the planner never changes their role.
 	Fixed map[string]driver.Role `json:"fixed,omitempty"`
-	// Planned lets the planner move the others between prefill and decode.
+	// Planned allows the planner to change the role of the other engines.
 	Planned    bool `json:"planned"`
 	MinPrefill int  `json:"min_prefill"`
 	MinDecode  int  `json:"min_decode"`
-	// ChangeCost is what one role change must earn, in complete on-time
-	// answers; 0 means free.
+	// ChangeCost is the gain that a role change must bring, as a number of complete on-time
+	// answers; 0 means that changes cost nothing.
 	ChangeCost float64 `json:"change_price"`
-	// MaxChangesPerHour bounds planned role changes of the pool.
+	// MaxChangesPerHour limits the planned role changes of the pool.
 	MaxChangesPerHour int `json:"max_changes_per_hour"`
 }
 
@@ -92,21 +91,21 @@
 	Idempotent bool   `json:"idempotent"`
 }
 
-// Class is a kind of request with its objectives.
+// Class is a request class with its priority, deadline and latency objectives.
 type Class struct {
 	Name          string            `json:"name"`
 	Priority      int               `json:"priority"` // higher is served first
-	Deadline      settings.Duration `json:"deadline"` // cap and default of the caller's deadline
+	Deadline      settings.Duration `json:"deadline"` // maximum and default of the deadline that a caller sets
 	FirstToken    settings.Duration `json:"first_token"`
 	BetweenTokens settings.Duration `json:"between_tokens"`
-	Objective     float64           `json:"objective"` // share that must meet the objectives
+	Objective     float64           `json:"objective"` // share that must meet each of these three objectives, 0 < share < 1
 }
 
-// Limits bounds what callers may ask for.
+// Limits bounds requests and the queues for them.
 type Limits struct {
-	MaxBodyBytes        int               `json:"max_body"`         // bytes
-	MaxTokens      int               `json:"max_tokens"`       // of one answer
-	WorkspaceShare float64           `json:"workspace_share"`  // of a pool's queue, 0 < share <= 1
-	CommitWindow   settings.Duration `json:"commit_window"`    // in which a repeated key is recognised
-	QueuePerEngine int               `json:"queue_per_engine"` // requests queued per engine of the pool
+	MaxBodyBytes   int               `json:"max_body"`         // of a request
+	MaxTokens      int               `json:"max_tokens"`       // maximum output tokens of one answer
+	WorkspaceShare float64           `json:"workspace_share"`  // maximum share of a pool's queue for one workspace, 0 < share <= 1
+	CommitWindow   settings.Duration `json:"commit_window"`    // for this long a retried commit is recognised by its idempotency key
+	QueuePerEngine int               `json:"queue_per_engine"` // maximum queued requests per engine of the pool
 }
--- a/internal/sheet/sheet_test.go
+++ b/internal/sheet/sheet_test.go
@@ -11,7 +11,7 @@
 	"fescuestand/internal/settings"
 )
 
-const good = `{
+const validSheet = `{
 	"deployment": "lakeshore", // the morning's export
 	"engines": [
 		{"name": "e1", "zone": "leamington", "driver": "d", "address": "127.0.0.1:7001", "checks_fence": true},
@@ -25,15 +25,15 @@
 	"limits": {"max_body": 1000000, "max_tokens": 2000, "workspace_share": 0.2, "commit_window": "24h", "queue_per_engine": 64},
 }`
 
-func TestParseAcceptsAWholeSheet(t *testing.T) {
-	s, err := Parse("sheet", []byte(good))
+func TestParseAcceptsValidSheet(t *testing.T) {
+	s, err := Parse("sheet", []byte(validSheet))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Engines[0].Target().Address, "127.0.0.1:7001")
 }
 
-// Story: the planners' export is wrong in several places at once. The operator
-// runs the check once and sees every reason with its line, not one per run.
-func TestParseReportsEveryReasonAtOnce(t *testing.T) {
+// An exported sheet can have several errors. Parse must report all of them in one run, each with its
+// line, so that the operator need not run the check once per error.
+func TestParseReportsEveryProblemAtOnce(t *testing.T) {
 	text := strings.NewReplacer(
 		`"name": "e2", "zone": "saginaw"`, `"name": "e1", "zone": ""`,
 		`"127.0.0.1:7101"`, `"127.0.0.1"`,
@@ -41,7 +41,7 @@
 		`"min_prefill": 1`, `"min_prefill": 2`,
 		`"deadline": "8s"`, `"deadline": "0s"`,
 		`"workspace_share": 0.2`, `"workspace_share": 0`,
-	).Replace(good)
+	).Replace(validSheet)
 	_, err := Parse("sheet", []byte(text))
 	var problems *settings.Problems
 	assert.Assert(t, errors.As(err, &problems), "%v", err)
@@ -59,14 +59,14 @@
 
 func TestParseReportsEngineInTwoPools(t *testing.T) {
 	pool := `{"name": "b", "model": "m", "version": "1", "engines": ["e1"], "max_away_share": 0.1, "roles": {"planned": false, "min_prefill": 0, "min_decode": 0, "change_price": 0, "max_changes_per_hour": 0}},`
-	_, err := Parse("sheet", []byte(strings.Replace(good, `"pools": [`, `"pools": [`+pool, 1)))
+	_, err := Parse("sheet", []byte(strings.Replace(validSheet, `"pools": [`, `"pools": [`+pool, 1)))
 	assert.ErrorContains(t, err, `engine "e1" is in pool "b" too`)
 }
 
 func TestPatchChangesNamedMembers(t *testing.T) {
 	patch := `{"note": "x", "engines": {"e2": null, "e1": {"withdrawn": true}, "e3": {"zone": "saginaw", "driver": "d", "address": "127.0.0.1:7003", "checks_fence": true}},
 		"pools": {"labels": {"version": "2", "engines": ["e1", "e3"], "roles": {"min_prefill": 0, "min_decode": 0}}}}`
-	out, err := ApplyPatch([]byte(good), []byte(patch))
+	out, err := ApplyPatch([]byte(validSheet), []byte(patch))
 	assert.NilError(t, err)
 	s, err := Parse("patched", out)
 	assert.NilError(t, err)
