--- a/internal/operator/burn.go
+++ b/internal/operator/burn.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	fleet := burn.Merge(gatherBurn(c.ctx, vms))
+	fleet := burn.Merge(fetchBurnReports(c.ctx, vms))
 	switch {
 	case c.HTML != "":
 		return writePage(c.HTML, s.Deployment, fleet)
@@ -43,21 +43,21 @@
 	}
 }
 
-// gatherBurn asks every VM at once. One that does not answer stays in the
-// list with the reason, so that its gap is shown.
-func gatherBurn(ctx context.Context, vms []driver.VM) []burn.VMAnswer {
+// fetchBurnReports queries all VMs in parallel. A VM that does not answer stays in the result with
+// the reason, so that it is shown as missing.
+func fetchBurnReports(ctx context.Context, vms []driver.VM) []burn.VMAnswer {
 	out := make([]burn.VMAnswer, len(vms))
 	var wg sync.WaitGroup
 	for i, vm := range vms {
-		wg.Go(func() { out[i] = askBurn(ctx, vm) })
+		wg.Go(func() { out[i] = fetchBurnReport(ctx, vm) })
 	}
 	wg.Wait()
 	return out
 }
 
-func askBurn(ctx context.Context, vm driver.VM) burn.VMAnswer {
+func fetchBurnReport(ctx context.Context, vm driver.VM) burn.VMAnswer {
 	a := burn.VMAnswer{VM: vm.Name, Zone: vm.Zone}
-	b, err := fetch(ctx, vm.Status, status.PathBurn)
+	b, err := fetchBody(ctx, vm.Status, status.PathBurn)
 	if err == nil {
 		a.Report = &burn.Report{}
 		err = json.Unmarshal(b, a.Report)
@@ -68,8 +68,8 @@
 	return a
 }
 
-// writePage replaces the page in one step, so that a screen that reloads it
-// never shows half of it.
+// writePage writes a temporary file and renames it, so that a screen that reloads the page never
+// shows a partly written one.
 func writePage(file, deployment string, fleet burn.Fleet) error {
 	tmp := file + ".new"
 	f, err := os.Create(tmp)
--- a/internal/operator/codes.go
+++ b/internal/operator/codes.go
@@ -10,20 +10,20 @@
 	"fescuestand/internal/code"
 )
 
-// WriteCodes prints the table of result codes as docs/RESULT-CODES.md holds
-// it, so that the page is written by the program and a test compares the two.
+// WriteCodes prints the table of result codes in the form that docs/RESULT-CODES.md contains. The
+// page takes the table from this output, and a test compares the two.
 func WriteCodes(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintln(&b, "| code | name | HTTP status | same request may succeed later | meaning |")
 	fmt.Fprintln(&b, "|---:|---|---:|---|---|")
 	all := code.All()
 	for _, c := range slices.Sorted(maps.Keys(all)) {
-		i := all[c]
-		again := "no"
-		if i.Again {
-			again = "yes"
+		info := all[c]
+		retryable := "no"
+		if info.Again {
+			retryable = "yes"
 		}
-		fmt.Fprintf(&b, "| %d | `%s` | %d | %s | %s |\n", int(c), i.Name, i.Status, again, i.Text)
+		fmt.Fprintf(&b, "| %d | `%s` | %d | %s | %s |\n", int(c), info.Name, info.Status, retryable, info.Text)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -51,6 +51,6 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // a close error of a file that was only read is harmless
 	return explain.Read(name, f)
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -15,29 +15,29 @@
 	"fescuestand/internal/status"
 )
 
-// askTimeout bounds one question to one VM. A VM that does not answer within
-// it is shown as a gap.
-const askTimeout = 2 * time.Second
+// fetchTimeout bounds one status request to one VM. A VM that does not answer in time is shown as
+// missing.
+const fetchTimeout = 2 * time.Second
 
-// answerLimit bounds one VM's answer in bytes.
-const answerLimit = 8 << 20
+// maxResponseBytes bounds the response that is read from one VM.
+const maxResponseBytes = 8 << 20
 
-// VMStatus is one VM of the list with what its entry process answered.
+// VMStatus is one VM of the VM list with the status report of its entry process.
 type VMStatus struct {
 	VM     driver.VM      `json:"vm"`
 	Report *status.Report `json:"report,omitempty"`
 	Error  string         `json:"error,omitempty"` // why there is no report
 }
 
-// gather asks every VM of the list at once, in the order of the list.
-func gather(ctx context.Context, vms []driver.VM) []VMStatus {
+// fetchReports queries all VMs in parallel and returns the answers sorted by VM name.
+func fetchReports(ctx context.Context, vms []driver.VM) []VMStatus {
 	out := make([]VMStatus, len(vms))
 	var wg sync.WaitGroup
 	for i, vm := range vms {
 		wg.Go(func() {
 			out[i] = VMStatus{VM: vm}
 			var r status.Report
-			if err := ask(ctx, vm.Status, status.PathStatus, &r); err != nil {
+			if err := fetchJSON(ctx, vm.Status, status.PathStatus, &r); err != nil {
 				out[i].Error = err.Error()
 				return
 			}
@@ -49,16 +49,16 @@
 	return out
 }
 
-func ask(ctx context.Context, addr, path string, v any) error {
-	b, err := fetch(ctx, addr, path)
+func fetchJSON(ctx context.Context, addr, path string, v any) error {
+	b, err := fetchBody(ctx, addr, path)
 	if err != nil {
 		return err
 	}
 	return json.Unmarshal(b, v)
 }
 
-func fetch(ctx context.Context, addr, path string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func fetchBody(ctx context.Context, addr, path string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -72,5 +72,5 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s%s answered %s", addr, path, resp.Status)
 	}
-	return io.ReadAll(io.LimitReader(resp.Body, answerLimit))
+	return io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 }
--- a/internal/operator/main.go
+++ b/internal/operator/main.go
@@ -21,25 +21,24 @@
 
 // Exit codes of fescuectl besides the kernel's.
 const (
-	// ExitRefused means that the request was understood and refused, such as
-	// a sheet that lost against a racing publish.
+	// ExitRefused means that the request was valid and rejected, such as a publish that lost a race
+	// against another one.
 	ExitRefused = 4
-	// ExitUnknown means that the outcome is not known yet; the message says
-	// how to find out.
+	// ExitUnknown means that the outcome is not known yet; the error message says how to find it out.
 	ExitUnknown = 5
 )
 
-// exitError carries the exit code of a command that failed.
+// exitError is the error of a failed command with the exit code of the process.
 type exitError struct {
-	status int
-	err    error
+	exitCode int
+	err      error
 }
 
 func (e *exitError) Error() string { return e.err.Error() }
 
 func (e *exitError) Unwrap() error { return e.err }
 
-// command is what the commands share.
+// command holds the fields and options that several commands share.
 type command struct {
 	ctx context.Context
 	out io.Writer
@@ -101,10 +100,11 @@
 	return f.WriteText(c.out)
 }
 
-// holdingsTimeout bounds the read of the control stream. During an outage of
-// the log the rest of the status must not wait for it.
+// holdingsTimeout bounds the read of the control stream, so that the rest of the status is shown
+// without a long wait during an outage of the log service.
 const holdingsTimeout = 3 * time.Second
 
+// readHoldings reads from the control stream which VM has the authority over each engine.
 func readHoldings(ctx context.Context, s *Settings, lg driver.Log) ([]fold.Holding, error) {
 	ctx, cancel := context.WithTimeout(ctx, holdingsTimeout)
 	defer cancel()
@@ -113,12 +113,12 @@
 	return replica.Holdings(ctx, client, s.Streams.Control)
 }
 
-// newClient returns a log client under an incarnation of its own.
+// newClient returns a log client with a new incarnation as its writer.
 func newClient(lg driver.Log) *logclient.Client {
 	return logclient.New(logclient.Options{Log: lg, Writer: node.NewIncarnation(), VM: "fescuectl"})
 }
 
-// Main runs fescuectl and returns its exit code.
+// Main runs fescuectl and returns the exit code of the process.
 func Main(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -127,21 +127,22 @@
 	return exitCode(err)
 }
 
+// exitCode prints the error, if any, and returns the exit code for it.
 func exitCode(err error) int {
-	var fe *flags.Error
-	var ee *exitError
+	var flagsErr *flags.Error
+	var exitErr *exitError
 	switch {
 	case err == nil:
 		return kernel.ExitOK
-	case errors.As(err, &fe) && fe.Type == flags.ErrHelp:
-		fmt.Println(fe.Message)
+	case errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp:
+		fmt.Println(flagsErr.Message)
 		return kernel.ExitOK
-	case errors.As(err, &fe):
-		fmt.Fprintln(os.Stderr, "6014 bad-usage:", fe.Message)
+	case errors.As(err, &flagsErr):
+		fmt.Fprintln(os.Stderr, "6014 bad-usage:", flagsErr.Message)
 		return kernel.ExitUsage
-	case errors.As(err, &ee):
-		kernel.PrintProblems(ee.err)
-		return ee.status
+	case errors.As(err, &exitErr):
+		kernel.PrintProblems(exitErr.err)
+		return exitErr.exitCode
 	default:
 		kernel.PrintProblems(err)
 		return kernel.ExitFailed
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -15,7 +15,7 @@
 	"fescuestand/internal/status"
 )
 
-func TestCodesPageEqualsTheProgram(t *testing.T) {
+func TestCodesPageEqualsCommandOutput(t *testing.T) {
 	var want strings.Builder
 	assert.NilError(t, WriteCodes(&want))
 	page, err := os.ReadFile("../../docs/RESULT-CODES.md")
@@ -24,9 +24,9 @@
 		"docs/RESULT-CODES.md differs from `fescuectl codes`; its table must be exactly that output")
 }
 
-type fixedList []driver.VM
+type staticVMList []driver.VM
 
-func (l fixedList) List(context.Context) ([]driver.VM, error) { return l, nil }
+func (l staticVMList) List(context.Context) ([]driver.VM, error) { return l, nil }
 
 func statusServer(t *testing.T, r status.Report) string {
 	t.Helper()
@@ -37,13 +37,13 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-// One VM of three is dead. Operators must see the gap beside the live VMs; a
-// status that left the dead VM out would look like a whole, smaller fleet.
+// Guards against a status that leaves out failed VMs and so looks like that of a complete, smaller
+// fleet. One VM of three does not answer and must be listed beside the live ones.
 func TestStatusShowsVMsThatDoNotAnswer(t *testing.T) {
 	old := statusServer(t, status.Report{SheetVersion: 3, Ready: true, Endpoints: []status.Endpoint{{Name: "e1", Role: "mixed", InFlight: 2}}})
 	fresh := statusServer(t, status.Report{SheetVersion: 4, Ready: true, Log: status.Log{Healthy: true},
 		Endpoints: []status.Endpoint{{Name: "e1", Role: "decode", InFlight: 1}}})
-	list := fixedList{{Name: "a", Status: old}, {Name: "b", Status: fresh}, {Name: "c", Status: "127.0.0.1:1"}}
+	list := staticVMList{{Name: "a", Status: old}, {Name: "b", Status: fresh}, {Name: "c", Status: "127.0.0.1:1"}}
 	f, err := ReadStatus(t.Context(), list)
 	assert.NilError(t, err)
 	assert.Equal(t, f.Engines[0].Role, "decode")
@@ -53,8 +53,8 @@
 	assert.Assert(t, strings.Contains(out.String(), "c         no answer") || strings.Contains(out.String(), "no answer"), out.String())
 }
 
-// A publish right after the start finds an empty VM list, which lags. Taken for
-// a fleet, it would be reported as in force everywhere, on no VM.
+// The VM list lags and can be empty when a publish follows the start at once. An empty list must not
+// be reported as a version that is in force on all VMs.
 func TestEmptyVMListIsNotInForce(t *testing.T) {
-	assert.DeepEqual(t, behindOf(&FleetStatus{}, 1), []string{"any VM: the VM list is empty"})
+	assert.DeepEqual(t, vmsNotInForce(&FleetStatus{}, 1), []string{"any VM: the VM list is empty"})
 }
--- a/internal/operator/publish.go
+++ b/internal/operator/publish.go
@@ -80,36 +80,38 @@
 	return body, err
 }
 
-// publish appends the sheet or patch and waits for its verdict.
+// publish appends the sheet or patch to the config stream and waits for the verdict on it. It returns
+// the accepted version.
 func (c *publishCommand) publish(client *logclient.Client, s *Settings, body []byte) (version uint64, err error) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.Wait)
 	defer cancel()
-	base, err := c.base(ctx, client, s.Streams.Config)
+	base, err := c.baseVersion(ctx, client, s.Streams.Config)
 	if err != nil {
 		return 0, err
 	}
 	id := node.NewIncarnation()
-	v, err := replica.Publish(ctx, client, s.Streams.Config, id, c.entry(base, id, s.Operator, body))
+	verdict, err := replica.Publish(ctx, client, s.Streams.Config, id, c.logEntry(base, id, s.Operator, body))
 	if err != nil {
-		return 0, c.unsettled(err, base)
+		return 0, c.undecidedError(err, base)
 	}
-	if !v.Accepted {
-		return 0, &exitError{ExitRefused, code.New(code.Code(v.Code), "refused at offset %d: %s", v.Offset, v.Detail)}
+	if !verdict.Accepted {
+		return 0, &exitError{ExitRefused, code.New(code.Code(verdict.Code), "refused at offset %d: %s", verdict.Offset, verdict.Detail)}
 	}
-	_, err = fmt.Fprintf(c.out, "accepted version=%d base=%d publish=%s\n", v.Offset, base, id)
-	return v.Offset, err
+	_, err = fmt.Fprintf(c.out, "accepted version=%d base=%d publish=%s\n", verdict.Offset, base, id)
+	return verdict.Offset, err
 }
 
-// unsettled tells a publish that is known not to count from one whose verdict
-// is still to come.
-func (c *publishCommand) unsettled(err error, base uint64) error {
+// undecidedError returns the error for a publish without a verdict. If err proves that the publish
+// did not run, it is returned as it is; otherwise the publish may still be accepted.
+func (c *publishCommand) undecidedError(err error, base uint64) error {
 	if code.Of(err).Run == code.NotRun {
 		return err
 	}
 	return &exitError{ExitUnknown, fmt.Errorf("%w\nno verdict within %s; it can count only while %d is the accepted version: compare SHEET in `fescuectl status`", err, c.Wait, base)}
 }
 
-func (c *publishCommand) base(ctx context.Context, client *logclient.Client, stream string) (uint64, error) {
+// baseVersion returns the version that the publish replaces, by default the accepted one.
+func (c *publishCommand) baseVersion(ctx context.Context, client *logclient.Client, stream string) (uint64, error) {
 	if c.First || c.Base > 0 {
 		return c.Base, nil
 	}
@@ -117,45 +119,46 @@
 	return accepted.Version, err
 }
 
-func (c *publishCommand) entry(base uint64, id, operator string, body []byte) *wire.Entry {
+// logEntry returns the entry to append to the config stream.
+func (c *publishCommand) logEntry(base uint64, id, operator string, body []byte) *wire.Entry {
 	if c.Patch {
 		return &wire.Entry{Kind: &wire.Entry_Patch{Patch: &wire.Patch{Base: base, Body: body, Operator: operator, PublishId: id}}}
 	}
 	return &wire.Entry{Kind: &wire.Entry_Sheet{Sheet: &wire.Sheet{Base: base, Body: body, Operator: operator, PublishId: id}}}
 }
 
-// inForcePoll is the time between two questions to the VMs.
-const inForcePoll = 100 * time.Millisecond
+// inForcePollInterval is the time between two polls of the VMs' status.
+const inForcePollInterval = 100 * time.Millisecond
 
-// awaitInForce waits until every live VM of the list reports the version.
+// awaitInForce polls the VMs until every live VM of the list reports the version or a later one.
 func (c *publishCommand) awaitInForce(list driver.VMList, version uint64) error {
 	ctx, cancel := context.WithTimeout(c.ctx, c.Wait)
 	defer cancel()
 	start := time.Now()
-	var behind []string
+	var notInForce []string
 	for {
 		f, err := ReadStatus(ctx, list)
 		if err == nil {
-			behind = behindOf(f, version)
+			notInForce = vmsNotInForce(f, version)
 		} else if ctx.Err() == nil {
-			behind = []string{err.Error()}
+			notInForce = []string{err.Error()}
 		}
-		if err == nil && len(behind) == 0 {
+		if err == nil && len(notInForce) == 0 {
 			_, err = fmt.Fprintf(c.out, "in force on %d VMs after %d ms\n", len(f.VMs), time.Since(start).Milliseconds())
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return &exitError{ExitUnknown, code.New(code.NotInForce, "version %d is accepted; after %s not yet in force on: %s",
-				version, c.Wait, strings.Join(behind, ", "))}
-		case <-time.After(inForcePoll):
+				version, c.Wait, strings.Join(notInForce, ", "))}
+		case <-time.After(inForcePollInterval):
 		}
 	}
 }
 
-// behindOf names the VMs that are not known to use the version. A leaving VM
-// takes no work and does not count.
-func behindOf(f *FleetStatus, version uint64) []string {
+// vmsNotInForce names the VMs that have not reported the version or a later one. Leaving VMs take
+// no work and are left out.
+func vmsNotInForce(f *FleetStatus, version uint64) []string {
 	if len(f.VMs) == 0 {
 		return []string{"any VM: the VM list is empty"}
 	}
--- a/internal/operator/settings.go
+++ b/internal/operator/settings.go
@@ -1,6 +1,6 @@
-// Package operator is fescuectl: what operators do, which is to check and
-// publish the sheet and to read the state of the fleet. It gives no order to
-// an engine; engines follow the accepted sheet.
+// Package operator implements fescuectl, with which operators check and publish the sheet and read
+// the state of the fleet. It sends no orders to engines; the control processes apply the accepted
+// sheet to them.
 package operator
 
 import (
@@ -10,7 +10,7 @@
 	"fescuestand/internal/settings"
 )
 
-// Settings of fescuectl.
+// Settings are the settings of fescuectl.
 type Settings struct {
 	Deployment string        `json:"deployment"`
 	Operator   string        `json:"operator"` // recorded with each publish
@@ -19,7 +19,7 @@
 	VMList     driver.Target `json:"vm_list"`
 }
 
-// LoadSettings reads and checks the settings file.
+// LoadSettings reads and validates the settings file.
 func LoadSettings(file string) (*Settings, error) {
 	s := &Settings{Streams: node.Defaults().Streams}
 	if err := settings.Load(file, s); err != nil {
@@ -37,7 +37,7 @@
 	node.CheckTarget(p, "vm_list", s.VMList, driver.VMLists.Names())
 }
 
-// platform opens what the commands talk to.
+// platform opens the log service and the VM list.
 func (s *Settings) platform() (driver.Log, driver.VMList, error) {
 	n := node.Settings{Log: s.Log, VMList: s.VMList}
 	lg, err := n.OpenLog()
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -13,35 +13,35 @@
 	"fescuestand/internal/status"
 )
 
-// FleetStatus is the answer of `fescuectl status`.
+// FleetStatus is the output of `fescuectl status`.
 type FleetStatus struct {
 	At       time.Time    `json:"at"`
-	LogError string       `json:"log_error,omitempty"` // why no holders are shown
+	LogError string       `json:"log_error,omitempty"` // why the holders are missing
 	VMs      []VMStatus   `json:"vms"`
 	Engines  []EngineView `json:"engines"`
 }
 
-// EngineView is one endpoint over all VMs: the in-flight work is the sum, the
-// rest is what the VM with the newest sheet says.
+// EngineView is the state of one endpoint over all VMs. InFlight is the sum over the VMs; the other
+// fields are from the report with the newest sheet version.
 type EngineView struct {
 	status.Endpoint
 	Holder string `json:"holder,omitempty"`
 	Token  uint64 `json:"token,omitempty"`
 }
 
-// ReadStatus asks every VM of the list. Holders are left out; see addHolders.
+// ReadStatus queries every VM of the list. It does not fill in the holders; see addHolders.
 func ReadStatus(ctx context.Context, list driver.VMList) (*FleetStatus, error) {
 	vms, err := list.List(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("6011 vm-list-down: %w", err)
 	}
-	f := &FleetStatus{At: time.Now().UTC(), VMs: gather(ctx, vms)}
+	f := &FleetStatus{At: time.Now().UTC(), VMs: fetchReports(ctx, vms)}
 	f.Engines = engineViews(f.VMs)
 	return f, nil
 }
 
 func engineViews(vms []VMStatus) []EngineView {
-	newest := newestReport(vms)
+	newest := newestSheetReport(vms)
 	if newest == nil {
 		return nil
 	}
@@ -62,7 +62,7 @@
 	return views
 }
 
-func newestReport(vms []VMStatus) *status.Report {
+func newestSheetReport(vms []VMStatus) *status.Report {
 	var newest *status.Report
 	for _, v := range vms {
 		if v.Report != nil && (newest == nil || v.Report.SheetVersion > newest.SheetVersion) {
@@ -72,7 +72,7 @@
 	return newest
 }
 
-// addHolders shows who holds each engine by the log's word.
+// addHolders fills in the VM that has the authority over each engine, as read from the log.
 func (f *FleetStatus) addHolders(holdings []fold.Holding) {
 	byEngine := map[string]fold.Holding{}
 	for _, h := range holdings {
@@ -85,14 +85,14 @@
 	}
 }
 
-// WriteJSON prints the status for programs.
+// WriteJSON writes the status as JSON.
 func (f *FleetStatus) WriteJSON(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
 	return enc.Encode(f)
 }
 
-// WriteText prints the status for people.
+// WriteText writes the status as text tables.
 func (f *FleetStatus) WriteText(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "VM\tZONE\tSTATE\tSHEET\tREQUESTS\tLOG")
@@ -103,7 +103,7 @@
 	fmt.Fprintln(tw, "ENDPOINT\tPOOL\tZONE\tROLE\tPHASE\tIN FLIGHT\tHOLDER\tTOKEN\tNOTE")
 	for _, e := range f.Engines {
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%d\t%s\n",
-			e.Name, e.Pool, e.Zone, dash(e.Role), e.Phase, e.InFlight, dash(e.Holder), e.Token, e.Reason)
+			e.Name, e.Pool, e.Zone, orDash(e.Role), e.Phase, e.InFlight, orDash(e.Holder), e.Token, e.Reason)
 	}
 	if f.LogError != "" {
 		fmt.Fprintf(tw, "\nno holders: %s\n", f.LogError)
@@ -117,10 +117,10 @@
 		return
 	}
 	r := v.Report
-	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\n", v.VM.Name, v.VM.Zone, stateOf(v), r.SheetVersion, r.Requests, logOf(r.Log))
+	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\n", v.VM.Name, v.VM.Zone, vmState(v), r.SheetVersion, r.Requests, logState(r.Log))
 }
 
-func stateOf(v VMStatus) string {
+func vmState(v VMStatus) string {
 	switch {
 	case v.Report.Leaving || v.VM.Leaving:
 		return "leaving"
@@ -131,14 +131,14 @@
 	}
 }
 
-func logOf(l status.Log) string {
+func logState(l status.Log) string {
 	if l.Healthy {
 		return "ok"
 	}
 	return "down: " + l.LastError
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
