--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Keys returns the path of every key that a value of v's type may have, such
-// as pools[].name. The documentation of a file is checked against it.
+// Keys returns the sorted paths of all keys that the type of v accepts, such as pools[].name. A test
+// compares them with the documentation of the file.
 func Keys(v any) []string {
 	var keys []string
 	collectKeys(reflect.TypeOf(v), "", &keys)
@@ -24,11 +24,11 @@
 	case t.Kind() == reflect.Slice:
 		collectKeys(t.Elem(), path+"[]", keys)
 	case t.Kind() == reflect.Struct:
-		fields, names := fieldsOf(t)
+		fields, names := jsonFields(t)
 		for _, n := range names {
-			at := join(path, n)
-			*keys = append(*keys, at)
-			collectKeys(fields[n], at, keys)
+			keyPath := joinPath(path, n)
+			*keys = append(*keys, keyPath)
+			collectKeys(fields[n], keyPath, keys)
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings decodes JSON with comments strictly: every unknown key,
-// wrong type and bad value is reported at once, each with file, line, what is
-// wrong and what is allowed.
+// Package settings decodes JSON with comments strictly. One run reports every unknown key, wrong type
+// and invalid value, each with its file and line, what is wrong and what is allowed.
 package settings
 
 import (
@@ -37,10 +36,10 @@
 
 var _ encoding.TextUnmarshaler = (*Duration)(nil)
 
-// Problem is one thing wrong with a file.
+// Problem is one error in a file.
 type Problem struct {
 	File string
-	Line int // from 1; 0 if the place is not known
+	Line int // from 1; 0 if the line is not known
 	Col  int
 	Path string // such as pools[2].engines[0]
 	Code code.Code
@@ -56,20 +55,20 @@
 	return fmt.Sprintf("%s:%d:%d: %d %s: %s%s", p.File, p.Line, p.Col, int(p.Code), p.Code, path, p.Text)
 }
 
-// Problems is every problem found in one file. It is an error if not empty.
+// Problems collects the problems found in one file. As an error it holds at least one; see Err.
 type Problems struct {
 	File string
 	List []Problem
 
-	src   []byte
-	place map[string]int // path to byte offset
+	src     []byte
+	offsets map[string]int // byte offset in src by path
 }
 
 // Error implements error.
 func (p *Problems) Error() string {
 	lines := make([]string, len(p.List))
-	for i, one := range p.List {
-		lines[i] = one.String()
+	for i, problem := range p.List {
+		lines[i] = problem.String()
 	}
 	return strings.Join(lines, "\n")
 }
@@ -82,26 +81,26 @@
 	return p
 }
 
-// Add reports a problem at path. A path that is absent from the file is
-// reported at its closest parent that is there.
+// Add adds a problem at path. If the file does not contain path, the problem gets the line of the
+// closest parent that it contains.
 func (p *Problems) Add(path string, c code.Code, format string, args ...any) {
-	at, ok := 0, false
-	for probe := path; ; probe = parent(probe) {
-		if at, ok = p.place[probe]; ok || probe == "" {
+	offset, ok := 0, false
+	for ancestor := path; ; ancestor = parentPath(ancestor) {
+		if offset, ok = p.offsets[ancestor]; ok || ancestor == "" {
 			break
 		}
 	}
-	p.addAt(at, path, c, format, args...)
+	p.addAt(offset, path, c, format, args...)
 }
 
 func (p *Problems) addAt(offset int, path string, c code.Code, format string, args ...any) {
-	line, col := position(p.src, offset)
+	line, col := lineAndColumn(p.src, offset)
 	p.List = append(p.List, Problem{
 		File: p.File, Line: line, Col: col, Path: path, Code: c, Text: fmt.Sprintf(format, args...),
 	})
 }
 
-// Validator checks values after decoding.
+// Validator is implemented by types that check their values after decoding.
 type Validator interface {
 	Validate(p *Problems)
 }
@@ -115,16 +114,16 @@
 	return Decode(file, src, v)
 }
 
-// Decode decodes src into v, a pointer to a struct, and runs its Validator.
-// The error is a *Problems with everything that is wrong.
+// Decode decodes src into v, a pointer to a struct, and runs its Validator if it is one. The error is
+// a *Problems with every problem found.
 func Decode(file string, src []byte, v any) error {
-	p := &Problems{File: file, src: src, place: map[string]int{}}
+	p := &Problems{File: file, src: src, offsets: map[string]int{}}
 	root, err := hujson.Parse(src)
 	if err != nil {
 		p.addAt(len(src)-1, "", code.BadSettings, "not JSON with comments: %v", err)
 		return p
 	}
-	p.walk(root, typeOf(v), "")
+	p.checkValue(root, pointedType(v), "")
 	if len(p.List) > 0 {
 		return p
 	}
@@ -133,20 +132,22 @@
 		p.addAt(0, "", code.BadSettings, "%v", err)
 		return p
 	}
-	if val, ok := v.(Validator); ok {
-		val.Validate(p)
+	if validator, ok := v.(Validator); ok {
+		validator.Validate(p)
 	}
 	return p.Err()
 }
 
-func parent(path string) string {
+// parentPath removes the last key or index of path, as in pools[0] for pools[0].name.
+func parentPath(path string) string {
 	if i := strings.LastIndexAny(path, ".["); i >= 0 {
 		return path[:i]
 	}
 	return ""
 }
 
-func position(src []byte, offset int) (line, col int) {
+// lineAndColumn returns the place of a byte offset in src, both counted from 1.
+func lineAndColumn(src []byte, offset int) (line, col int) {
 	offset = max(0, min(offset, len(src)))
 	before := string(src[:offset])
 	line = strings.Count(before, "\n") + 1
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"fescuestand/internal/code"
 )
 
-type sample struct {
+type testSettings struct {
 	Name  string         `json:"name"`
 	Wait  Duration       `json:"wait"`
 	Items []item         `json:"items"`
@@ -21,7 +21,7 @@
 	Port uint16 `json:"port"`
 }
 
-func (s *sample) Validate(p *Problems) {
+func (s *testSettings) Validate(p *Problems) {
 	for i := range s.Items {
 		if s.Items[i].Port == 0 {
 			p.Add("items["+string(rune('0'+i))+"].port", code.MissingSetting, "is required")
@@ -30,7 +30,7 @@
 }
 
 func TestDecodeAcceptsCommentsAndTrailingCommas(t *testing.T) {
-	var s sample
+	var s testSettings
 	err := Decode("f", []byte(`{
 		// a comment
 		"name": "x", "wait": "250ms", "items": [{"port": 9},], "extra": {"a": 1},
@@ -40,8 +40,8 @@
 	assert.Equal(t, s.Items[0].Port, uint16(9))
 }
 
-func TestDecodeReportsEveryProblemWithItsPlace(t *testing.T) {
-	var s sample
+func TestDecodeReportsEveryProblemWithItsPosition(t *testing.T) {
+	var s testSettings
 	err := Decode("f.jsonc", []byte("{\n\"nam\": 1,\n\"wait\": \"soon\",\n\"items\": [{\"port\": 70000}],\n\"extra\": []\n}"), &s)
 	assert.Equal(t, err.Error(), strings.Join([]string{
 		`f.jsonc:2:1: 5002 unknown-setting: nam: unknown key; allowed: extra, items, name, wait`,
@@ -51,8 +51,8 @@
 	}, "\n"))
 }
 
-func TestValidatorPlacesAbsentKeyAtItsParent(t *testing.T) {
-	var s sample
+func TestValidatorReportsAbsentKeyAtParentLine(t *testing.T) {
+	var s testSettings
 	err := Decode("f", []byte("{\n\"items\": [\n{}]}"), &s)
 	assert.Equal(t, err.Error(), "f:3:1: 5003 missing-setting: items[0].port: is required")
 }
@@ -60,7 +60,7 @@
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"name":"x"}`))
 	f.Fuzz(func(_ *testing.T, b []byte) {
-		var s sample
+		var s testSettings
 		_ = Decode("f", b, &s)
 	})
 }
--- a/internal/settings/walk.go
+++ b/internal/settings/walk.go
@@ -15,38 +15,38 @@
 
 var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-func typeOf(v any) reflect.Type { return reflect.TypeOf(v).Elem() }
+func pointedType(v any) reflect.Type { return reflect.TypeOf(v).Elem() }
 
-// walk compares one value of the file with the Go type that it is for, and
-// remembers where each path stands.
-func (p *Problems) walk(v hujson.Value, t reflect.Type, path string) {
-	p.place[path] = v.StartOffset
+// checkValue checks one value of the file against the Go type that it is decoded into, and records
+// the byte offset of its path.
+func (p *Problems) checkValue(v hujson.Value, t reflect.Type, path string) {
+	p.offsets[path] = v.StartOffset
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 	if reflect.PointerTo(t).Implements(textUnmarshaler) {
-		p.walkText(v, t, path)
+		p.checkText(v, t, path)
 		return
 	}
 	switch t.Kind() {
 	case reflect.Struct:
-		p.walkStruct(v, t, path)
+		p.checkStruct(v, t, path)
 	case reflect.Map:
-		p.walkMap(v, t, path)
+		p.checkMap(v, t, path)
 	case reflect.Slice:
 		if t == reflect.TypeFor[json.RawMessage]() {
 			return
 		}
-		p.walkSlice(v, t, path)
+		p.checkSlice(v, t, path)
 	default:
-		p.walkLiteral(v, t, path)
+		p.checkLiteral(v, t, path)
 	}
 }
 
-func (p *Problems) walkText(v hujson.Value, t reflect.Type, path string) {
+func (p *Problems) checkText(v hujson.Value, t reflect.Type, path string) {
 	lit, ok := v.Value.(hujson.Literal)
 	if !ok || lit.Kind() != '"' {
-		p.addAt(v.StartOffset, path, code.BadSettings, "is %s; allowed: a string", kindOf(v))
+		p.addAt(v.StartOffset, path, code.BadSettings, "is %s; allowed: a string", describeKind(v))
 		return
 	}
 	target := reflect.New(t).Interface().(encoding.TextUnmarshaler)
@@ -55,57 +55,57 @@
 	}
 }
 
-func (p *Problems) walkStruct(v hujson.Value, t reflect.Type, path string) {
+func (p *Problems) checkStruct(v hujson.Value, t reflect.Type, path string) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		p.addAt(v.StartOffset, path, code.BadSettings, "is %s; allowed: an object", kindOf(v))
+		p.addAt(v.StartOffset, path, code.BadSettings, "is %s; allowed: an object", describeKind(v))
 		return
 	}
-	fields, names := fieldsOf(t)
+	fields, names := jsonFields(t)
 	seen := map[string]bool{}
 	for _, m := range obj.Members {
 		name := m.Name.Value.(hujson.Literal).String()
-		at := join(path, name)
-		field, known := fields[name]
+		keyPath := joinPath(path, name)
+		field, exists := fields[name]
 		switch {
-		case !known:
-			p.addAt(m.Name.StartOffset, at, code.UnknownSetting, "unknown key; allowed: %s", strings.Join(names, ", "))
+		case !exists:
+			p.addAt(m.Name.StartOffset, keyPath, code.UnknownSetting, "unknown key; allowed: %s", strings.Join(names, ", "))
 		case seen[name]:
-			p.addAt(m.Name.StartOffset, at, code.DuplicateName, "stands twice")
+			p.addAt(m.Name.StartOffset, keyPath, code.DuplicateName, "stands twice")
 		default:
-			p.walk(m.Value, field, at)
+			p.checkValue(m.Value, field, keyPath)
 		}
 		seen[name] = true
 	}
 }
 
-func (p *Problems) walkMap(v hujson.Value, t reflect.Type, path string) {
+func (p *Problems) checkMap(v hujson.Value, t reflect.Type, path string) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		p.addAt(v.StartOffset, path, code.BadSettings, "is %s; allowed: an object", kindOf(v))
+		p.addAt(v.StartOffset, path, code.BadSettings, "is %s; allowed: an object", describeKind(v))
 		return
 	}
 	for _, m := range obj.Members {
-		p.walk(m.Value, t.Elem(), join(path, m.Name.Value.(hujson.Literal).String()))
+		p.checkValue(m.Value, t.Elem(), joinPath(path, m.Name.Value.(hujson.Literal).String()))
 	}
 }
 
-func (p *Problems) walkSlice(v hujson.Value, t reflect.Type, path string) {
+func (p *Problems) checkSlice(v hujson.Value, t reflect.Type, path string) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
-		p.addAt(v.StartOffset, path, code.BadSettings, "is %s; allowed: an array", kindOf(v))
+		p.addAt(v.StartOffset, path, code.BadSettings, "is %s; allowed: an array", describeKind(v))
 		return
 	}
 	for i, e := range arr.Elements {
-		p.walk(e, t.Elem(), fmt.Sprintf("%s[%d]", path, i))
+		p.checkValue(e, t.Elem(), fmt.Sprintf("%s[%d]", path, i))
 	}
 }
 
-func (p *Problems) walkLiteral(v hujson.Value, t reflect.Type, path string) {
-	want := literalFor(t.Kind())
+func (p *Problems) checkLiteral(v hujson.Value, t reflect.Type, path string) {
+	expected := expectedLiteral(t.Kind())
 	lit, ok := v.Value.(hujson.Literal)
-	if !ok || kindOf(v) != want {
-		p.addAt(v.StartOffset, path, code.BadSettings, "is %s; allowed: %s", kindOf(v), want)
+	if !ok || describeKind(v) != expected {
+		p.addAt(v.StartOffset, path, code.BadSettings, "is %s; allowed: %s", describeKind(v), expected)
 		return
 	}
 	if err := json.Unmarshal(lit, reflect.New(t).Interface()); err != nil {
@@ -113,7 +113,8 @@
 	}
 }
 
-func literalFor(k reflect.Kind) string {
+// expectedLiteral describes the JSON literal that a Go kind is decoded from.
+func expectedLiteral(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
 		return "a string"
@@ -124,7 +125,8 @@
 	}
 }
 
-func kindOf(v hujson.Value) string {
+// describeKind describes the JSON type of a value for a problem's text.
+func describeKind(v hujson.Value) string {
 	switch val := v.Value.(type) {
 	case *hujson.Object:
 		return "an object"
@@ -143,14 +145,15 @@
 	return "a number"
 }
 
-// fieldsOf returns the JSON keys of a struct, embedded structs included.
-func fieldsOf(t reflect.Type) (map[string]reflect.Type, []string) {
+// jsonFields returns the types of a struct's fields by JSON key, embedded structs included, and the
+// sorted keys.
+func jsonFields(t reflect.Type) (map[string]reflect.Type, []string) {
 	fields := map[string]reflect.Type{}
 	for i := range t.NumField() {
 		f := t.Field(i)
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 		if f.Anonymous && name == "" {
-			inner, _ := fieldsOf(f.Type)
+			inner, _ := jsonFields(f.Type)
 			for k, v := range inner {
 				fields[k] = v
 			}
@@ -168,7 +171,7 @@
 	return fields, names
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
