--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,6 +1,6 @@
-// Package status serves what operators read of one process: its state as JSON,
-// its service-level burn and its expvar metrics. The endpoint is for the
-// control room's network only and takes no orders.
+// Package status serves one process's state to operators over HTTP: a status report as JSON, the
+// report of its error-budget burn rates, a readiness check and its expvar metrics. The endpoint is
+// read-only and meant for the operators' network only.
 package status
 
 import (
@@ -27,26 +27,25 @@
 	Zone         string     `json:"zone"`
 	Process      string     `json:"process"`
 	Incarnation  string     `json:"incarnation"`
-	Ready        bool       `json:"ready"`   // there is an accepted sheet
-	CommitsReady      bool       `json:"commits"` // the commits stream was read to its end: commits can run
+	Ready        bool       `json:"ready"`   // the process has an accepted sheet
+	CommitsReady bool       `json:"commits"` // commits can run, as the commits stream has been read to its end
 	Leaving      bool       `json:"leaving"`
 	SheetVersion uint64     `json:"sheet_version"`
 	Log          Log        `json:"log"`
-	Requests     int        `json:"requests"` // in hand now
+	Requests     int        `json:"requests"` // in progress
 	Endpoints    []Endpoint `json:"endpoints,omitempty"`
 	Members      []Member   `json:"members,omitempty"`
 	Scopes       []Scope    `json:"scopes,omitempty"`
 }
 
-// Log is the process's view of the log service.
+// Log is the state of the log service as this process observes it.
 type Log struct {
 	Healthy   bool   `json:"healthy"`
 	LastError string `json:"last_error,omitempty"`
-	Offset    uint64 `json:"offset"` // of the config stream, next to be read
+	Offset    uint64 `json:"offset"` // next offset to read from the config stream
 }
 
-// Endpoint is an engine or an endpoint of a plain service as this process
-// sees it.
+// Endpoint is the state of an engine, or of an endpoint of a plain service, as this process has it.
 type Endpoint struct {
 	Name     string `json:"name"`
 	Pool     string `json:"pool"`
@@ -54,10 +53,10 @@
 	Role     string `json:"role,omitempty"`
 	Phase    string `json:"phase"`
 	InFlight int    `json:"in_flight"`
-	Reason   string `json:"reason,omitempty"` // why it gets less or no work
+	Reason   string `json:"reason,omitempty"` // why it is sent fewer requests or none
 }
 
-// Member is a VM as this process sees it.
+// Member is the membership state of a VM as this process has it.
 type Member struct {
 	VM    string `json:"vm"`
 	Zone  string `json:"zone"`
@@ -66,17 +65,17 @@
 
 // Scope is the authority over one engine.
 type Scope struct {
-	Engine string `json:"engine"`
-	Holder string `json:"holder"` // VM
-	Token  uint64 `json:"token"`
-	HeldHere   bool   `json:"held"` // by this process, with a running lease
-	Activity  string `json:"doing,omitempty"`
+	Engine   string `json:"engine"`
+	Holder   string `json:"holder"` // the VM that has the authority
+	Token    uint64 `json:"token"`
+	HeldHere bool   `json:"held"`            // this process has the authority and its lease is running
+	Activity string `json:"doing,omitempty"` // reason of the last reconcile step
 }
 
-// Source gives the current report. It must not block.
+// Source returns the current report. It must not block.
 type Source func() Report
 
-// BurnSource gives the process's burn report in its JSON form.
+// BurnSource returns the process's burn report as JSON.
 type BurnSource func() ([]byte, error)
 
 // Server is the kernel unit that serves the status endpoint.
@@ -88,7 +87,7 @@
 	http   *http.Server
 }
 
-// NewServer returns a server for addr. burn may be nil.
+// NewServer returns a server that listens on addr. If burn is nil, PathBurn answers 404.
 func NewServer(addr string, source Source, burn BurnSource) *Server {
 	return &Server{addr: addr, source: source, burn: burn}
 }
@@ -96,7 +95,7 @@
 // Name implements kernel.Unit.
 func (s *Server) Name() string { return "status" }
 
-const readTimeout = 5 * time.Second
+const httpTimeout = 5 * time.Second
 
 // Provision implements kernel.Provisioner.
 func (s *Server) Provision(ctx context.Context) error {
@@ -106,7 +105,7 @@
 		return err
 	}
 	s.ln = ln
-	s.http = &http.Server{Handler: s.routes(), ReadTimeout: readTimeout, WriteTimeout: readTimeout}
+	s.http = &http.Server{Handler: s.routes(), ReadTimeout: httpTimeout, WriteTimeout: httpTimeout}
 	return nil
 }
 
