--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -15,7 +15,7 @@
 	"fescuestand/internal/clock"
 )
 
-// start is an uptime of three days, so that no window reaches before the boot.
+// start is an uptime of three days, so that no window reaches back before the boot.
 const start = clock.Time(72 * time.Hour)
 
 func objectives() []burn.Objective {
@@ -39,35 +39,35 @@
 	return burn.VMAnswer{VM: vm, Zone: "zone-1", Report: &rep}
 }
 
-func line(t testing.TB, f burn.Fleet, class string, s burn.Signal) burn.FleetLine {
+func objective(t testing.TB, f burn.Fleet, class string, s burn.Signal) burn.FleetObjective {
 	for _, l := range f.Lines {
 		if l.Class == class && l.Signal == s {
 			return l
 		}
 	}
-	t.Fatalf("no line %s %s", class, s)
-	return burn.FleetLine{}
+	t.Fatalf("no objective %s %s", class, s)
+	return burn.FleetObjective{}
 }
 
-func TestWindowsForgetInTurn(t *testing.T) {
+func TestWindowsExpireShortestFirst(t *testing.T) {
 	r := recorder(t)
 	for i := range 10 {
 		r.RecordAnswer(start, "question", i > 0, time.Second)
 	}
 	rates := func(after time.Duration) [3]float64 {
-		return line(t, burn.Merge([]burn.VMAnswer{answer(t, r, start.Add(after), "a")}), "question", burn.OnTime).Rates
+		return objective(t, burn.Merge([]burn.VMAnswer{answer(t, r, start.Add(after), "a")}), "question", burn.OnTime).Rates
 	}
-	near := func(got, want [3]float64) {
+	assertNear := func(got, want [3]float64) {
 		t.Helper()
 		for i := range got {
 			assert.Assert(t, got[i] > want[i]-1e-9 && got[i] < want[i]+1e-9, "%v, want %v", got, want)
 		}
 	}
-	near(rates(0), [3]float64{10, 10, 10})
-	near(rates(6*time.Minute), [3]float64{0, 10, 10})
-	near(rates(2*time.Hour), [3]float64{0, 0, 10})
-	near(rates(7*time.Hour), [3]float64{})
-	near(rates(14*time.Hour), [3]float64{})
+	assertNear(rates(0), [3]float64{10, 10, 10})
+	assertNear(rates(6*time.Minute), [3]float64{0, 10, 10})
+	assertNear(rates(2*time.Hour), [3]float64{0, 0, 10})
+	assertNear(rates(7*time.Hour), [3]float64{})
+	assertNear(rates(14*time.Hour), [3]float64{})
 }
 
 func TestStates(t *testing.T) {
@@ -76,10 +76,10 @@
 		bad  func(age time.Duration) bool
 		want burn.State
 	}{
-		{"all good", func(time.Duration) bool { return false }, burn.Kept},
-		{"bad for an hour and now", func(age time.Duration) bool { return age < time.Hour }, burn.Fast},
-		{"bad for an hour, over for ten minutes", func(age time.Duration) bool { return age < time.Hour && age > 10*time.Minute }, burn.Slow},
-		{"bad for two minutes", func(age time.Duration) bool { return age < 2*time.Minute }, burn.Over},
+		{"all good", func(time.Duration) bool { return false }, burn.Met},
+		{"bad for an hour and now", func(age time.Duration) bool { return age < time.Hour }, burn.BurningFast},
+		{"bad for an hour, over for ten minutes", func(age time.Duration) bool { return age < time.Hour && age > 10*time.Minute }, burn.Burning},
+		{"bad for two minutes", func(age time.Duration) bool { return age < 2*time.Minute }, burn.OverBudget},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := recorder(t)
@@ -87,28 +87,28 @@
 				r.RecordAnswer(start.Add(-age), "question", !c.bad(age), time.Second)
 			}
 			f := burn.Merge([]burn.VMAnswer{answer(t, r, start, "a")})
-			assert.Equal(t, line(t, f, "question", burn.OnTime).State, c.want)
-			assert.Equal(t, line(t, f, "commit", burn.Commits).State, burn.Silent)
+			assert.Equal(t, objective(t, f, "question", burn.OnTime).State, c.want)
+			assert.Equal(t, objective(t, f, "commit", burn.Commits).State, burn.NoTraffic)
 		})
 	}
 }
 
-// A zone's entries fall silent while their callers fare worst. A report that
-// sums only those who answer shows a fleet in good health.
-func TestSilentVMsAreShown(t *testing.T) {
+// The entry processes of a failing zone may not answer just when their callers get the most errors. A
+// report of only the VMs that answer would then show a healthy fleet.
+func TestUnresponsiveVMsAreReported(t *testing.T) {
 	r := recorder(t)
 	r.RecordAnswer(start, "question", true, time.Second)
 	bad := answer(t, r, start, "c")
-	bad.Report.Lines[0].Waits = []byte("not a histogram")
+	bad.Report.Lines[0].LatencyHistogram = []byte("not a histogram")
 	f := burn.Merge([]burn.VMAnswer{
 		answer(t, r, start, "a"),
 		{VM: "b", Zone: "zone-2", Err: "timeout after 2s"},
 		bad,
 	})
-	assert.Equal(t, f.Asked, 3)
+	assert.Equal(t, f.Queried, 3)
 	assert.Equal(t, f.Answered, 2)
-	assert.Equal(t, len(f.Gaps), 2)
-	assert.Equal(t, line(t, f, "question", burn.OnTime).Windows[0].Good, uint64(2))
+	assert.Equal(t, len(f.Missing), 2)
+	assert.Equal(t, objective(t, f, "question", burn.OnTime).Windows[0].Good, uint64(2))
 	for _, write := range []func(*strings.Builder) error{
 		func(b *strings.Builder) error { return f.WriteText(b) },
 		func(b *strings.Builder) error { return f.WriteJSON(b) },
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestOlderSheetKeepsALineOfItsOwn(t *testing.T) {
+func TestOlderSheetIsSummedSeparately(t *testing.T) {
 	r := recorder(t)
 	old := answer(t, r, start, "a")
 	next := objectives()
@@ -130,10 +130,10 @@
 	assert.NilError(t, r.SetObjectives(next))
 	f := burn.Merge([]burn.VMAnswer{old, answer(t, r, start, "b")})
 	assert.Equal(t, len(f.Lines), len(objectives())+1)
-	assert.Equal(t, line(t, f, "question", burn.OnTime).Windows[0].Good, uint64(1), "an unchanged objective goes on")
+	assert.Equal(t, objective(t, f, "question", burn.OnTime).Windows[0].Good, uint64(1), "an unchanged objective keeps its counts")
 }
 
-func TestBadObjectivesAreRefused(t *testing.T) {
+func TestInvalidObjectivesAreRejected(t *testing.T) {
 	for _, o := range []burn.Objective{
 		{Class: "a", Signal: burn.FirstToken, Target: 0.95},
 		{Class: "a", Signal: burn.OnTime, Target: 1},
@@ -144,41 +144,41 @@
 	}
 }
 
-func TestUnknownClassIsCounted(t *testing.T) {
+func TestEventsOfUnknownClassAreCounted(t *testing.T) {
 	r := recorder(t)
 	r.RecordRefused(start, "qestion")
-	assert.Equal(t, answer(t, r, start, "a").Report.Unknown, uint64(1))
+	assert.Equal(t, answer(t, r, start, "a").Report.UnknownClassEvents, uint64(1))
 }
 
-// Whatever is recorded where, the sums over the VMs equal those of one VM that
-// saw everything, also after the report's way through JSON.
+// However events are spread over the VMs, the merged reports must equal the report of one recorder of
+// all events, also after encoding and decoding as JSON.
 func TestMergeEqualsOneRecorder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		one := recorder(t)
-		several := []*burn.Recorder{recorder(t), recorder(t), recorder(t)}
+		perVM := []*burn.Recorder{recorder(t), recorder(t), recorder(t)}
 		now := start
 		for range rapid.IntRange(0, 100).Draw(rt, "events") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(40*time.Minute)).Draw(rt, "pause")))
 			d := time.Duration(rapid.Int64Range(0, int64(20*time.Minute)).Draw(rt, "wait"))
-			vm := several[rapid.IntRange(0, 2).Draw(rt, "vm")]
+			vm := perVM[rapid.IntRange(0, 2).Draw(rt, "vm")]
 			one.RecordFirstToken(now, "question", d)
 			vm.RecordFirstToken(now, "question", d)
 		}
 		var parts []burn.VMAnswer
-		for _, r := range several {
+		for _, r := range perVM {
 			a := answer(t, r, now, "vm")
 			text, err := json.Marshal(a.Report)
 			assert.NilError(rt, err)
-			var back burn.Report
-			assert.NilError(rt, json.Unmarshal(text, &back))
-			a.Report = &back
+			var decoded burn.Report
+			assert.NilError(rt, json.Unmarshal(text, &decoded))
+			a.Report = &decoded
 			parts = append(parts, a)
 		}
-		want := line(t, burn.Merge([]burn.VMAnswer{answer(t, one, now, "vm")}), "question", burn.FirstToken)
-		got := line(t, burn.Merge(parts), "question", burn.FirstToken)
+		want := objective(t, burn.Merge([]burn.VMAnswer{answer(t, one, now, "vm")}), "question", burn.FirstToken)
+		got := objective(t, burn.Merge(parts), "question", burn.FirstToken)
 		assert.Equal(rt, got.Windows, want.Windows)
 		assert.DeepEqual(rt, got.Series, want.Series)
-		assert.DeepEqual(rt, got.Waits, want.Waits)
+		assert.DeepEqual(rt, got.Latency, want.Latency)
 	})
 }
 
@@ -196,13 +196,13 @@
 	}
 	wg.Wait()
 	f := burn.Merge([]burn.VMAnswer{answer(t, r, start, "a")})
-	assert.Equal(t, line(t, f, "question", burn.BetweenTokens).Windows[0].Good, uint64(8000))
+	assert.Equal(t, objective(t, f, "question", burn.BetweenTokens).Windows[0].Good, uint64(8000))
 }
 
-// TestPage writes the page to the file named by BURN_PAGE, to be looked at.
+// If the environment variable BURN_PAGE names a file, TestPage writes the page to it for viewing.
 func TestPage(t *testing.T) {
 	var b strings.Builder
-	f := sample(t)
+	f := sampleFleet(t)
 	assert.NilError(t, f.WritePage(&b, "lakeshore", "2026-01-01 09:00"))
 	for _, want := range []string{"BURNING FAST", "OVER BUDGET", "NO TRAFFIC", "<polyline", "5 of 7 VMs answered"} {
 		assert.Assert(t, strings.Contains(b.String(), want), want)
@@ -217,9 +217,10 @@
 	}
 }
 
-// sample is a fleet of seven VMs, two of them silent: questions burn since an
-// hour, drafts since some minutes, and tags had no traffic for two hours.
-func sample(t testing.TB) burn.Fleet {
+// sampleFleet returns a fleet of seven VMs, two of which do not answer. The class question has burned
+// fast for an hour, draft has been over budget for some minutes, tag had no traffic for two hours and
+// trace has none at all.
+func sampleFleet(t testing.TB) burn.Fleet {
 	objectives := append(objectives(),
 		burn.Objective{Class: "draft", Signal: burn.FirstToken, Target: 0.95, Limit: 8 * time.Second},
 		burn.Objective{Class: "draft", Signal: burn.OnTime, Target: 0.99},
@@ -234,14 +235,14 @@
 		r, err := burn.NewRecorder(objectives)
 		assert.NilError(t, err)
 		for i, age := 0, 6*time.Hour; age > 0; i, age = i+1, age-10*time.Second {
-			fill(r, i, age)
+			recordStep(r, i, age)
 		}
 		answers = append(answers, answer(t, r, start, "entry-"+string(rune('1'+vm))))
 	}
 	return burn.Merge(answers)
 }
 
-func fill(r *burn.Recorder, i int, age time.Duration) {
+func recordStep(r *burn.Recorder, i int, age time.Duration) {
 	now := start.Add(-age)
 	wait := time.Duration(100+i%5*60) * time.Millisecond
 	if age < time.Hour {
--- a/internal/burn/latency.go
+++ b/internal/burn/latency.go
@@ -9,54 +9,56 @@
 )
 
 const (
-	// latencyDigits keeps a percentile within one in a hundred, at 8 kB for
-	// each histogram.
+	// latencyDigits is the number of significant digits. With 2, a percentile is accurate to one in
+	// a hundred and a histogram takes 8 kB.
 	latencyDigits = 2
-	// maxLatency bounds what is told apart: deadlines are below ten minutes.
+	// maxLatency is the highest latency that is distinguished. Deadlines are below ten minutes.
 	maxLatency = 10 * time.Minute
-	// latencySlot and latencySlots keep the last hour.
-	latencySlot  = 10 * time.Minute
-	latencySlots = 6
+	// latencySlot is the period of one histogram; latencySlotCount of them cover the last hour.
+	latencySlot      = 10 * time.Minute
+	latencySlotCount = 6
 )
 
-// latencies holds the histograms, in milliseconds, of the last hour.
-type latencies struct {
-	held [latencySlots]*hdrhistogram.Histogram
-	last int64
+// latencyHistograms is a ring buffer of the last hour's histograms, in milliseconds.
+type latencyHistograms struct {
+	slots [latencySlotCount]*hdrhistogram.Histogram
+	last  int64
 }
 
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxLatency.Milliseconds(), latencyDigits)
 }
 
-func (l *latencies) record(now clock.Time, d time.Duration) {
+func (l *latencyHistograms) record(now clock.Time, d time.Duration) {
 	h := l.at(now)
 	ms := min(max(d.Milliseconds(), 1), maxLatency.Milliseconds())
-	_ = h.RecordValue(ms) // within the bounds by the line above
+	_ = h.RecordValue(ms) // the line above keeps ms within the bounds
 }
 
-func (l *latencies) at(now clock.Time) *hdrhistogram.Histogram {
+// at returns the histogram of the current slot. It resets those of the slots since the last call.
+func (l *latencyHistograms) at(now clock.Time) *hdrhistogram.Histogram {
 	m := int64(now) / int64(latencySlot)
-	if m-l.last >= latencySlots {
-		l.last = m - latencySlots
+	if m-l.last >= latencySlotCount {
+		l.last = m - latencySlotCount
 	}
 	for l.last < m {
 		l.last++
-		if h := l.held[l.last%latencySlots]; h != nil {
+		if h := l.slots[l.last%latencySlotCount]; h != nil {
 			h.Reset()
 		}
 	}
-	h := &l.held[l.last%latencySlots]
+	h := &l.slots[l.last%latencySlotCount]
 	if *h == nil {
 		*h = newHistogram()
 	}
 	return *h
 }
 
-func (l *latencies) merged(now clock.Time) *hdrhistogram.Histogram {
+// merged returns one histogram of the last hour.
+func (l *latencyHistograms) merged(now clock.Time) *hdrhistogram.Histogram {
 	l.at(now)
 	all := newHistogram()
-	for _, h := range l.held {
+	for _, h := range l.slots {
 		if h != nil {
 			all.Merge(h)
 		}
--- a/internal/burn/objective.go
+++ b/internal/burn/objective.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Signal is what an objective counts.
+// Signal is the kind of event that an objective counts.
 type Signal string
 
 // The signals.
 const (
-	// FirstToken is the wait from arrival to the first token.
+	// FirstToken is the latency from a request's arrival to the first token.
 	FirstToken Signal = "first-token"
-	// BetweenTokens is each gap between two tokens of an answer.
+	// BetweenTokens is the gap between two successive tokens of an answer; each gap is one event.
 	BetweenTokens Signal = "between-tokens"
-	// OnTime is whole answers by their deadline. Refused requests count as bad.
+	// OnTime counts answers that are complete by their deadline as good. Refused requests are bad.
 	OnTime Signal = "on-time"
-	// Commits is non-idempotent requests that ended with a known outcome.
+	// Commits counts non-idempotent requests that end with a known outcome as good.
 	Commits Signal = "commits"
 )
 
-// Objective is the share of good events that one class is promised.
+// Objective is a target share of good events for one class and signal.
 type Objective struct {
 	Class  string
 	Signal Signal
 	Target float64       // share of good events, above 0 and below 1
-	Limit  time.Duration // of FirstToken and BetweenTokens
+	Limit  time.Duration // highest good latency; for FirstToken and BetweenTokens only
 }
 
-// ErrObjective marks an objective that can't be kept account of.
+// ErrObjective is wrapped by the errors for invalid objectives.
 var ErrObjective = errors.New("bad objective")
 
 func (o Objective) check() error {
@@ -48,52 +48,52 @@
 	return nil
 }
 
-// The windows and alert thresholds. An objective of 95 in 100 can't burn faster
-// than 20, so the usual thresholds for a monthly 99.9 would never fire.
+// The windows and alert thresholds. The burn rate of an objective of 95 in 100 is at most 20, so the
+// usual thresholds for a monthly objective of 99.9 would never trigger.
 const (
-	// ShortWindow ends an alert soon after its cause.
+	// ShortWindow clears an alert soon after its cause has ended.
 	ShortWindow = 5 * time.Minute
-	// MiddleWindow confirms a fast burn, and shows whether a slow one goes on.
+	// MiddleWindow confirms a fast burn, and shows whether a slow burn persists.
 	MiddleWindow = time.Hour
 	// LongWindow confirms a slow burn.
 	LongWindow = 6 * time.Hour
 
-	// FastRate spends a day's budget in four hours.
-	FastRate = 6.0
-	// SlowRate spends a day's budget in half a day.
-	SlowRate = 2.0
+	// FastBurnRate is the rate that spends a day's budget in four hours.
+	FastBurnRate = 6.0
+	// SlowBurnRate is the rate that spends a day's budget in half a day.
+	SlowBurnRate = 2.0
 )
 
 // Windows lists the windows from short to long.
 func Windows() [3]time.Duration { return [...]time.Duration{ShortWindow, MiddleWindow, LongWindow} }
 
-// State grades an objective.
+// State is the alert state of an objective.
 type State string
 
-// The states, best last.
+// The states, from worst to best.
 const (
-	Fast   State = "BURNING FAST"
-	Slow   State = "BURNING"
-	Over   State = "OVER BUDGET" // the last minutes spend faster than accrues
-	Silent State = "NO TRAFFIC"
-	Kept   State = "OK"
+	BurningFast State = "BURNING FAST"
+	Burning     State = "BURNING"
+	OverBudget  State = "OVER BUDGET" // the burn rate of the short window is above 1
+	NoTraffic   State = "NO TRAFFIC"
+	Met         State = "OK"
 )
 
 // grade applies the thresholds to the counts of the three windows.
 func grade(target float64, w [3]Count) State {
-	rate := [3]float64{}
+	rates := [3]float64{}
 	for i := range w {
-		rate[i] = w[i].Rate(target)
+		rates[i] = w[i].BurnRate(target)
 	}
 	switch {
 	case w[2].total() == 0:
-		return Silent
-	case rate[0] > FastRate && rate[1] > FastRate:
-		return Fast
-	case rate[1] > SlowRate && rate[2] > SlowRate:
-		return Slow
-	case rate[0] > 1:
-		return Over
+		return NoTraffic
+	case rates[0] > FastBurnRate && rates[1] > FastBurnRate:
+		return BurningFast
+	case rates[1] > SlowBurnRate && rates[2] > SlowBurnRate:
+		return Burning
+	case rates[0] > 1:
+		return OverBudget
 	}
-	return Kept
+	return Met
 }
--- a/internal/burn/page.go
+++ b/internal/burn/page.go
@@ -13,22 +13,22 @@
 
 var page = template.Must(template.New("page").Parse(pageText))
 
-// WritePage writes one HTML page that needs nothing else: styles and plots are
-// in it, scripts there are none. At is printed as given.
+// WritePage writes a self-contained HTML page with inline styles and plots and without scripts. It
+// prints at as given.
 func (f Fleet) WritePage(w io.Writer, title, at string) error {
 	v := pageView{
 		Title:    title,
 		At:       at,
 		Coverage: f.coverage(),
-		Whole:    f.Answered == f.Asked && len(f.Gaps) == 0,
-		Gaps:     f.Gaps,
+		Complete: f.Answered == f.Queried && len(f.Missing) == 0,
+		Missing:  f.Missing,
 	}
 	for _, l := range f.Lines {
-		if l.State == Kept {
-			v.Quiet = append(v.Quiet, l.card())
+		if l.State == Met {
+			v.Met = append(v.Met, l.card())
 			continue
 		}
-		v.Loud = append(v.Loud, l.card())
+		v.NotMet = append(v.NotMet, l.card())
 	}
 	return page.Execute(w, v)
 }
@@ -37,17 +37,17 @@
 	Title    string
 	At       string
 	Coverage string
-	Whole    bool
-	Gaps     []Gap
-	Loud     []card // whatever isn't well, large
-	Quiet    []card
+	Complete bool
+	Missing  []MissingReport
+	NotMet   []card // shown as large cards
+	Met      []card // shown as small cards
 }
 
 type card struct {
 	Class     string
 	Signal    string
 	State     State
-	Grade     string // the style's name
+	CSSClass  string
 	Objective string
 	Good      string
 	Rates     [3]string
@@ -56,37 +56,37 @@
 	Plot      plot
 }
 
-func (l FleetLine) card() card {
+func (l FleetObjective) card() card {
 	c := card{
 		Class:     l.Class,
 		Signal:    strings.ReplaceAll(string(l.Signal), "-", " "),
 		State:     l.State,
-		Grade:     grades(l.State),
+		CSSClass:  cssClass(l.State),
 		Objective: l.objective(),
 		Good:      l.good(),
 		Rates:     [3]string{l.rate(0), l.rate(1), l.rate(2)},
 		VMs:       l.VMs,
 		Plot:      newPlot(l.Series, l.Target),
 	}
-	if l.Waits != nil {
-		c.P95 = l.Waits.P95.String()
+	if l.Latency != nil {
+		c.P95 = l.Latency.P95.String()
 	}
 	return c
 }
 
-func grades(s State) string {
+func cssClass(s State) string {
 	switch s {
-	case Fast:
+	case BurningFast:
 		return "fast"
-	case Slow, Over:
+	case Burning, OverBudget:
 		return "slow"
-	case Silent:
+	case NoTraffic:
 		return "silent"
 	}
 	return "kept"
 }
 
-// The plot's drawing area in its own units, and the burn rate at its top.
+// The size of the plot in SVG units, and the burn rate at its upper edge.
 const (
 	plotWidth  = 720.0
 	plotHeight = 200.0
@@ -95,45 +95,47 @@
 
 // plot is a series of burn rates as SVG coordinates.
 type plot struct {
-	Lines  []string // one polyline for each stretch with events
-	Blanks []blank  // stretches without events
-	Budget string   // y of the burn rate 1
-	Alert  string   // y of FastRate
+	Lines  []string // one polyline for each run of steps with events
+	NoData []span   // steps without events
+	Budget string   // y coordinate of burn rate 1
+	Alert  string   // y coordinate of FastBurnRate
 }
 
-type blank struct{ X, Width string }
+type span struct{ X, Width string }
 
 func newPlot(series []Count, target float64) plot {
-	p := plot{Budget: coordinate(height(1)), Alert: coordinate(height(FastRate))}
+	p := plot{Budget: coordinate(yOf(1)), Alert: coordinate(yOf(FastBurnRate))}
 	step := plotWidth / float64(len(series))
 	var line []string
 	for i, c := range series {
 		x := float64(i) * step
 		if c.total() == 0 {
-			p.Blanks = append(p.Blanks, blank{X: coordinate(x), Width: coordinate(step)})
-			p.close(&line)
+			p.NoData = append(p.NoData, span{X: coordinate(x), Width: coordinate(step)})
+			p.endLine(&line)
 			continue
 		}
-		y := height(c.Rate(target))
+		y := yOf(c.BurnRate(target))
 		line = append(line,
 			coordinate(x)+","+coordinate(y),
 			coordinate(x+step)+","+coordinate(y))
 	}
-	p.close(&line)
+	p.endLine(&line)
 	return p
 }
 
-func (p *plot) close(line *[]string) {
+// endLine adds the current polyline to the plot and starts a new one.
+func (p *plot) endLine(line *[]string) {
 	if len(*line) > 0 {
 		p.Lines = append(p.Lines, strings.Join(*line, " "))
 	}
 	*line = nil
 }
 
-// plotMargin keeps half of a line's width inside the area at either end.
+// plotMargin keeps lines at the upper and lower edge inside the plot with their full width.
 const plotMargin = 6.0
 
-func height(rate float64) float64 {
+// yOf returns the y coordinate of a burn rate.
+func yOf(rate float64) float64 {
 	return plotMargin + (plotHeight-2*plotMargin)*(1-min(rate, plotTop)/plotTop)
 }
 
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -9,31 +9,32 @@
 	"fescuestand/internal/clock"
 )
 
-// Recorder keeps one entry's account. It is safe for concurrent use; its memory
-// is fixed by the number of objectives.
+// Recorder counts the events of one entry process for each objective. It is safe for concurrent use.
+// Its memory depends only on the number of objectives.
 type Recorder struct {
-	mu      sync.RWMutex // guards the list, not the accounts in it
-	held    []*account
-	unknown uint64
+	mu                 sync.RWMutex // guards the fields below, but not the contents of stats
+	stats              []*objectiveStats
+	unknownClassEvents uint64
 }
 
-type account struct {
+// objectiveStats holds the counts and latencies of one objective.
+type objectiveStats struct {
 	Objective
-	mu    sync.Mutex
-	ring  ring
-	waits latencies
-	timed bool
+	mu         sync.Mutex
+	ring       ring
+	latencies  latencyHistograms
+	hasLatency bool // false for commits, which are counted without a latency
 }
 
-// NewRecorder returns a recorder of the objectives.
+// NewRecorder returns a recorder for the objectives.
 func NewRecorder(objectives []Objective) (*Recorder, error) {
 	r := &Recorder{}
 	return r, r.SetObjectives(objectives)
 }
 
-// SetObjectives takes over the objectives of a newer sheet. Accounts of objectives that
-// stay as they are go on; a changed limit or target starts anew, since the old
-// counts answer another question.
+// SetObjectives replaces the objectives by those of a newer sheet. Unchanged objectives keep their
+// counts. An objective with a changed limit or target begins with empty counts, since the old ones
+// were judged by another limit or target.
 func (r *Recorder) SetObjectives(objectives []Objective) error {
 	for _, o := range objectives {
 		if err := o.check(); err != nil {
@@ -42,20 +43,20 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	next := make([]*account, 0, len(objectives))
+	next := make([]*objectiveStats, 0, len(objectives))
 	for _, o := range objectives {
 		a := r.find(o.Class, o.Signal)
 		if a == nil || a.Objective != o {
-			a = &account{Objective: o, timed: o.Signal != Commits}
+			a = &objectiveStats{Objective: o, hasLatency: o.Signal != Commits}
 		}
 		next = append(next, a)
 	}
-	r.held = next
+	r.stats = next
 	return nil
 }
 
-func (r *Recorder) find(class string, s Signal) *account {
-	for _, a := range r.held {
+func (r *Recorder) find(class string, s Signal) *objectiveStats {
+	for _, a := range r.stats {
 		if a.Class == class && a.Signal == s {
 			return a
 		}
@@ -63,46 +64,45 @@
 	return nil
 }
 
-// RecordFirstToken records the wait for an answer's first token.
+// RecordFirstToken records the latency of a request's first token.
 func (r *Recorder) RecordFirstToken(now clock.Time, class string, d time.Duration) {
-	r.latency(now, class, FirstToken, d)
+	r.recordLatency(now, class, FirstToken, d)
 }
 
-// RecordTokenGap records one gap between two tokens.
+// RecordTokenGap records one gap between two successive tokens of an answer.
 func (r *Recorder) RecordTokenGap(now clock.Time, class string, d time.Duration) {
-	r.latency(now, class, BetweenTokens, d)
+	r.recordLatency(now, class, BetweenTokens, d)
 }
 
-// RecordAnswer records the end of a request: whether the whole answer was on time,
-// and how long it took.
-func (r *Recorder) RecordAnswer(now clock.Time, class string, onTime bool, took time.Duration) {
-	r.record(class, OnTime, func(a *account) { a.add(now, onTime, took) })
+// RecordAnswer records the end of a request: whether the complete answer was on time, and how long it
+// took.
+func (r *Recorder) RecordAnswer(now clock.Time, class string, onTime bool, duration time.Duration) {
+	r.record(class, OnTime, func(a *objectiveStats) { a.add(now, onTime, duration) })
 }
 
-// RecordRefused records a request that was not served.
+// RecordRefused records a refused request, which counts as not on time.
 func (r *Recorder) RecordRefused(now clock.Time, class string) {
-	r.record(class, OnTime, func(a *account) { a.count(now, false) })
+	r.record(class, OnTime, func(a *objectiveStats) { a.count(now, false) })
 }
 
-// RecordCommit records the end of a non-idempotent request and whether its outcome is
-// known.
-func (r *Recorder) RecordCommit(now clock.Time, class string, known bool) {
-	r.record(class, Commits, func(a *account) { a.count(now, known) })
+// RecordCommit records the end of a non-idempotent request and whether its outcome is known.
+func (r *Recorder) RecordCommit(now clock.Time, class string, outcomeKnown bool) {
+	r.record(class, Commits, func(a *objectiveStats) { a.count(now, outcomeKnown) })
 }
 
-func (r *Recorder) latency(now clock.Time, class string, s Signal, d time.Duration) {
-	r.record(class, s, func(a *account) { a.add(now, d <= a.Limit, d) })
+func (r *Recorder) recordLatency(now clock.Time, class string, s Signal, d time.Duration) {
+	r.record(class, s, func(a *objectiveStats) { a.add(now, d <= a.Limit, d) })
 }
 
-// record runs fn on the account. Events of a class without an objective are
-// counted, so that a misspelt class in a sheet shows.
-func (r *Recorder) record(class string, s Signal, fn func(*account)) {
+// record calls fn with the stats of the objective. It counts events without an objective, so that a
+// misspelt class in a sheet is noticed.
+func (r *Recorder) record(class string, s Signal, fn func(*objectiveStats)) {
 	r.mu.RLock()
 	a := r.find(class, s)
 	r.mu.RUnlock()
 	if a == nil {
 		r.mu.Lock()
-		r.unknown++
+		r.unknownClassEvents++
 		r.mu.Unlock()
 		return
 	}
@@ -111,12 +111,12 @@
 	fn(a)
 }
 
-func (a *account) add(now clock.Time, good bool, d time.Duration) {
+func (a *objectiveStats) add(now clock.Time, good bool, d time.Duration) {
 	a.count(now, good)
-	a.waits.record(now, d)
+	a.latencies.record(now, d)
 }
 
-func (a *account) count(now clock.Time, good bool) {
+func (a *objectiveStats) count(now clock.Time, good bool) {
 	c := a.ring.at(now)
 	if good {
 		c.Good++
@@ -125,12 +125,12 @@
 	c.Bad++
 }
 
-// Report returns the account as of now.
+// Report returns the counts and latencies as of now.
 func (r *Recorder) Report(now clock.Time, vm, zone string) (Report, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	out := Report{VM: vm, Zone: zone, Unknown: r.unknown}
-	for _, a := range r.held {
+	out := Report{VM: vm, Zone: zone, UnknownClassEvents: r.unknownClassEvents}
+	for _, a := range r.stats {
 		l, err := a.report(now)
 		if err != nil {
 			return Report{}, err
@@ -140,10 +140,10 @@
 	return out, nil
 }
 
-func (a *account) report(now clock.Time) (Line, error) {
+func (a *objectiveStats) report(now clock.Time) (ObjectiveReport, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := Line{
+	l := ObjectiveReport{
 		Class:   a.Class,
 		Signal:  a.Signal,
 		Target:  a.Target,
@@ -151,10 +151,10 @@
 		Windows: a.ring.windows(now),
 		Series:  a.ring.series(now),
 	}
-	if !a.timed {
+	if !a.hasLatency {
 		return l, nil
 	}
 	var err error
-	l.Waits, err = a.waits.merged(now).Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	l.LatencyHistogram, err = a.latencies.merged(now).Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	return l, err
 }
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -9,85 +9,86 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is one VM's account. It encodes as JSON.
+// Report holds the counts and latencies of one VM. It is sent as JSON.
 type Report struct {
-	VM      string `json:"vm"`
-	Zone    string `json:"zone"`
-	Lines   []Line `json:"lines"`
-	Unknown uint64 `json:"unknown_class"` // events of classes without objective
+	VM                 string            `json:"vm"`
+	Zone               string            `json:"zone"`
+	Lines              []ObjectiveReport `json:"lines"`
+	UnknownClassEvents uint64            `json:"unknown_class"` // events of classes without an objective
 }
 
-// Line is the account of one objective.
-type Line struct {
-	Class   string   `json:"class"`
-	Signal  Signal   `json:"signal"`
-	Target  float64  `json:"target"`
-	LimitMS int64    `json:"limit_ms,omitempty"`
-	Windows [3]Count `json:"windows"`         // as Windows lists them
-	Series  []Count  `json:"series"`          // by Step, oldest first
-	Waits   []byte   `json:"waits,omitempty"` // HdrHistogram V2, milliseconds, last hour
+// ObjectiveReport holds the counts and latencies of one objective on one VM.
+type ObjectiveReport struct {
+	Class            string   `json:"class"`
+	Signal           Signal   `json:"signal"`
+	Target           float64  `json:"target"`
+	LimitMS          int64    `json:"limit_ms,omitempty"`
+	Windows          [3]Count `json:"windows"`         // in the order of Windows
+	Series           []Count  `json:"series"`          // one count per SeriesStep, oldest first
+	LatencyHistogram []byte   `json:"waits,omitempty"` // HdrHistogram V2, milliseconds, last hour
 }
 
-// VMAnswer is what one VM of the list gave when it was asked.
+// VMAnswer is the result of a query of one VM for its report.
 type VMAnswer struct {
 	VM     string
 	Zone   string
-	Report *Report // nil if it did not answer
-	Err    string  // why not
+	Report *Report // nil if the VM did not answer
+	Err    string  // why there is no report
 }
 
-// Fleet is the account of all VMs.
+// Fleet is the merged report of all VMs.
 type Fleet struct {
-	Asked    int         `json:"vms_asked"`
-	Answered int         `json:"vms_answered"`
-	Gaps     []Gap       `json:"gaps"`
-	Lines    []FleetLine `json:"lines"`
-	Unknown  uint64      `json:"unknown_class"`
+	Queried            int              `json:"vms_asked"`
+	Answered           int              `json:"vms_answered"`
+	Missing            []MissingReport  `json:"gaps"`
+	Lines              []FleetObjective `json:"lines"`
+	UnknownClassEvents uint64           `json:"unknown_class"`
 }
 
-// Gap is a VM that is missing from the sums, or a line of it that is.
-type Gap struct {
+// MissingReport names a VM whose report, or the report of one of its objectives, is missing from the
+// sums.
+type MissingReport struct {
 	VM     string `json:"vm"`
 	Zone   string `json:"zone"`
 	Reason string `json:"reason"`
 }
 
-// FleetLine is one objective over all VMs that answered.
-type FleetLine struct {
-	Class   string     `json:"class"`
-	Signal  Signal     `json:"signal"`
-	Target  float64    `json:"target"`
-	LimitMS int64      `json:"limit_ms,omitempty"`
-	State   State      `json:"state"`
-	Windows [3]Count   `json:"windows"`
-	Rates   [3]float64 `json:"burn_rates"`
-	Series  []Count    `json:"series"`
-	Waits   *Waits     `json:"waits,omitempty"`
-	VMs     int        `json:"vms"`
+// FleetObjective holds the sums of one objective over the VMs that answered.
+type FleetObjective struct {
+	Class   string       `json:"class"`
+	Signal  Signal       `json:"signal"`
+	Target  float64      `json:"target"`
+	LimitMS int64        `json:"limit_ms,omitempty"`
+	State   State        `json:"state"`
+	Windows [3]Count     `json:"windows"`
+	Rates   [3]float64   `json:"burn_rates"`
+	Series  []Count      `json:"series"`
+	Latency *Percentiles `json:"waits,omitempty"`
+	VMs     int          `json:"vms"`
 
 	histogram *hdrhistogram.Histogram
 }
 
-// Waits are percentiles of the last hour.
-type Waits struct {
+// Percentiles are latency percentiles of the last hour.
+type Percentiles struct {
 	P50 time.Duration `json:"p50_ns"`
 	P95 time.Duration `json:"p95_ns"`
 	P99 time.Duration `json:"p99_ns"`
 }
 
-// Merge adds the answers up. The worst state comes first.
+// Merge adds up the reports of all VMs. Objectives in the worst state come first.
 func Merge(answers []VMAnswer) Fleet {
-	f := Fleet{Asked: len(answers), Gaps: []Gap{}, Lines: []FleetLine{}}
+	f := Fleet{Queried: len(answers), Missing: []MissingReport{}, Lines: []FleetObjective{}}
 	for _, a := range answers {
 		if a.Report == nil {
-			f.Gaps = append(f.Gaps, Gap{VM: a.VM, Zone: a.Zone, Reason: cmp.Or(a.Err, "no answer")})
+			f.Missing = append(f.Missing, MissingReport{VM: a.VM, Zone: a.Zone, Reason: cmp.Or(a.Err, "no answer")})
 			continue
 		}
 		f.Answered++
-		f.Unknown += a.Report.Unknown
+		f.UnknownClassEvents += a.Report.UnknownClassEvents
 		for _, l := range a.Report.Lines {
 			if err := f.add(l); err != nil {
-				f.Gaps = append(f.Gaps, Gap{VM: a.VM, Zone: a.Zone, Reason: err.Error()})
+				f.Missing = append(f.Missing, MissingReport{VM: a.VM, Zone: a.Zone, Reason: err.Error()})
 			}
 		}
 	}
@@ -98,27 +99,26 @@
 	return f
 }
 
-// add joins a line to those of the same objective. VMs that still work by an
-// older sheet keep a line of their own, since their counts answer another
-// question.
-func (f *Fleet) add(l Line) error {
-	if l.Target <= 0 || l.Target >= 1 || len(l.Series) != Points {
+// add adds a VM's report of an objective to the sums of the same objective. VMs that still use an
+// older sheet have a sum of their own, since their events were judged by another limit or target.
+func (f *Fleet) add(l ObjectiveReport) error {
+	if l.Target <= 0 || l.Target >= 1 || len(l.Series) != SeriesPoints {
 		return fmt.Errorf("%s %s: malformed line", l.Class, l.Signal)
 	}
 	var h *hdrhistogram.Histogram
-	if len(l.Waits) > 0 {
+	if len(l.LatencyHistogram) > 0 {
 		var err error
-		if h, err = hdrhistogram.Decode(l.Waits); err != nil {
+		if h, err = hdrhistogram.Decode(l.LatencyHistogram); err != nil {
 			return fmt.Errorf("%s %s: %w", l.Class, l.Signal, err)
 		}
 	}
-	i := slices.IndexFunc(f.Lines, func(x FleetLine) bool {
-		return x.Class == l.Class && x.Signal == l.Signal && x.Target == l.Target && x.LimitMS == l.LimitMS
+	i := slices.IndexFunc(f.Lines, func(sum FleetObjective) bool {
+		return sum.Class == l.Class && sum.Signal == l.Signal && sum.Target == l.Target && sum.LimitMS == l.LimitMS
 	})
 	if i < 0 {
-		f.Lines = append(f.Lines, FleetLine{
+		f.Lines = append(f.Lines, FleetObjective{
 			Class: l.Class, Signal: l.Signal, Target: l.Target, LimitMS: l.LimitMS,
-			Series: make([]Count, Points),
+			Series: make([]Count, SeriesPoints),
 		})
 		i = len(f.Lines) - 1
 	}
@@ -126,39 +126,41 @@
 	return nil
 }
 
-func (x *FleetLine) add(l Line, h *hdrhistogram.Histogram) {
-	x.VMs++
-	for i := range x.Windows {
-		x.Windows[i] = x.Windows[i].plus(l.Windows[i])
+func (sum *FleetObjective) add(l ObjectiveReport, h *hdrhistogram.Histogram) {
+	sum.VMs++
+	for i := range sum.Windows {
+		sum.Windows[i] = sum.Windows[i].add(l.Windows[i])
 	}
-	for i := range x.Series {
-		x.Series[i] = x.Series[i].plus(l.Series[i])
+	for i := range sum.Series {
+		sum.Series[i] = sum.Series[i].add(l.Series[i])
 	}
 	switch {
 	case h == nil:
-	case x.histogram == nil:
-		x.histogram = h
+	case sum.histogram == nil:
+		sum.histogram = h
 	default:
-		x.histogram.Merge(h)
+		sum.histogram.Merge(h)
 	}
 }
 
-func (x *FleetLine) finish() {
-	for i, w := range x.Windows {
-		x.Rates[i] = w.Rate(x.Target)
+// finish computes the burn rates, the state and the percentiles from the sums.
+func (sum *FleetObjective) finish() {
+	for i, w := range sum.Windows {
+		sum.Rates[i] = w.BurnRate(sum.Target)
 	}
-	x.State = grade(x.Target, x.Windows)
-	if x.histogram == nil || x.histogram.TotalCount() == 0 {
+	sum.State = grade(sum.Target, sum.Windows)
+	if sum.histogram == nil || sum.histogram.TotalCount() == 0 {
 		return
 	}
-	at := func(q float64) time.Duration {
-		return time.Duration(x.histogram.ValueAtQuantile(q)) * time.Millisecond
+	percentile := func(q float64) time.Duration {
+		return time.Duration(sum.histogram.ValueAtQuantile(q)) * time.Millisecond
 	}
-	x.Waits = &Waits{P50: at(50), P95: at(95), P99: at(99)}
+	sum.Latency = &Percentiles{P50: percentile(50), P95: percentile(95), P99: percentile(99)}
 }
 
-func byState(a, b FleetLine) int {
-	order := []State{Fast, Slow, Over, Silent, Kept}
+// byState compares by state, from worst to best, and then by the fields that identify the objective.
+func byState(a, b FleetObjective) int {
+	order := []State{BurningFast, Burning, OverBudget, NoTraffic, Met}
 	return cmp.Or(
 		cmp.Compare(slices.Index(order, a.State), slices.Index(order, b.State)),
 		cmp.Compare(a.Class, b.Class),
