--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -99,7 +99,7 @@
 	r := recorder(t)
 	r.RecordAnswer(start, "question", true, time.Second)
 	bad := answer(t, r, start, "c")
-	bad.Report.Lines[0].LatencyHistogram = []byte("not a histogram")
+	bad.Report.Objectives[0].LatencyHistogram = []byte("not a histogram")
 	f := burn.Merge([]burn.VMAnswer{
 		answer(t, r, start, "a"),
 		{VM: "b", Zone: "zone-2", Err: "timeout after 2s"},
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -135,7 +135,7 @@
 		if err != nil {
 			return Report{}, err
 		}
-		out.Lines = append(out.Lines, l)
+		out.Objectives = append(out.Objectives, l)
 	}
 	return out, nil
 }
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -13,7 +13,7 @@
 type Report struct {
 	VM                 string            `json:"vm"`
 	Zone               string            `json:"zone"`
-	Lines              []ObjectiveReport `json:"lines"`
+	Objectives              []ObjectiveReport `json:"lines"`
 	UnknownClassEvents uint64            `json:"unknown_class"` // events of classes without an objective
 }
 
@@ -86,7 +86,7 @@
 		}
 		f.Answered++
 		f.UnknownClassEvents += a.Report.UnknownClassEvents
-		for _, l := range a.Report.Lines {
+		for _, l := range a.Report.Objectives {
 			if err := f.add(l); err != nil {
 				f.Missing = append(f.Missing, MissingReport{VM: a.VM, Zone: a.Zone, Reason: err.Error()})
 			}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -51,7 +51,7 @@
 	assert.NilError(t, err)
 	var report burn.Report
 	assert.NilError(t, json.Unmarshal(b, &report))
-	for _, l := range report.Lines {
+	for _, l := range report.Objectives {
 		assert.Assert(t, l.Windows[0].Good > 0 && l.Windows[0].Bad == 0, "%+v", l)
 	}
 }
