--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -40,7 +40,7 @@
 }
 
 func objective(t testing.TB, f burn.Fleet, class string, s burn.Signal) burn.FleetObjective {
-	for _, l := range f.Lines {
+	for _, l := range f.Objectives {
 		if l.Class == class && l.Signal == s {
 			return l
 		}
@@ -129,7 +129,7 @@
 	r.RecordAnswer(start, "question", true, time.Second)
 	assert.NilError(t, r.SetObjectives(next))
 	f := burn.Merge([]burn.VMAnswer{old, answer(t, r, start, "b")})
-	assert.Equal(t, len(f.Lines), len(objectives())+1)
+	assert.Equal(t, len(f.Objectives), len(objectives())+1)
 	assert.Equal(t, objective(t, f, "question", burn.OnTime).Windows[0].Good, uint64(1), "an unchanged objective keeps its counts")
 }
 
--- a/internal/burn/page.go
+++ b/internal/burn/page.go
@@ -23,7 +23,7 @@
 		Complete: f.Answered == f.Queried && len(f.Missing) == 0,
 		Missing:  f.Missing,
 	}
-	for _, l := range f.Lines {
+	for _, l := range f.Objectives {
 		if l.State == Met {
 			v.Met = append(v.Met, l.card())
 			continue
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -41,7 +41,7 @@
 	Queried            int              `json:"vms_asked"`
 	Answered           int              `json:"vms_answered"`
 	Missing            []MissingReport  `json:"gaps"`
-	Lines              []FleetObjective `json:"lines"`
+	Objectives              []FleetObjective `json:"lines"`
 	UnknownClassEvents uint64           `json:"unknown_class"`
 }
 
@@ -78,7 +78,7 @@
 
 // Merge adds up the reports of all VMs. Objectives in the worst state come first.
 func Merge(answers []VMAnswer) Fleet {
-	f := Fleet{Queried: len(answers), Missing: []MissingReport{}, Lines: []FleetObjective{}}
+	f := Fleet{Queried: len(answers), Missing: []MissingReport{}, Objectives: []FleetObjective{}}
 	for _, a := range answers {
 		if a.Report == nil {
 			f.Missing = append(f.Missing, MissingReport{VM: a.VM, Zone: a.Zone, Reason: cmp.Or(a.Err, "no answer")})
@@ -92,10 +92,10 @@
 			}
 		}
 	}
-	for i := range f.Lines {
-		f.Lines[i].finish()
+	for i := range f.Objectives {
+		f.Objectives[i].finish()
 	}
-	slices.SortFunc(f.Lines, byState)
+	slices.SortFunc(f.Objectives, byState)
 	return f
 }
 
@@ -112,17 +112,17 @@
 			return fmt.Errorf("%s %s: %w", l.Class, l.Signal, err)
 		}
 	}
-	i := slices.IndexFunc(f.Lines, func(sum FleetObjective) bool {
+	i := slices.IndexFunc(f.Objectives, func(sum FleetObjective) bool {
 		return sum.Class == l.Class && sum.Signal == l.Signal && sum.Target == l.Target && sum.LimitMS == l.LimitMS
 	})
 	if i < 0 {
-		f.Lines = append(f.Lines, FleetObjective{
+		f.Objectives = append(f.Objectives, FleetObjective{
 			Class: l.Class, Signal: l.Signal, Target: l.Target, LimitMS: l.LimitMS,
 			Series: make([]Count, SeriesPoints),
 		})
-		i = len(f.Lines) - 1
+		i = len(f.Objectives) - 1
 	}
-	f.Lines[i].add(l, h)
+	f.Objectives[i].add(l, h)
 	return nil
 }
 
--- a/internal/burn/text.go
+++ b/internal/burn/text.go
@@ -36,7 +36,7 @@
 func (f Fleet) table(w io.Writer) error {
 	var rows strings.Builder
 	rows.WriteString("STATE\tCLASS\tSIGNAL\tOBJECTIVE\tGOOD 1H\tBURN 5M\tBURN 1H\tBURN 6H\tP50\tP95\tP99\tVMS\n")
-	for _, l := range f.Lines {
+	for _, l := range f.Objectives {
 		fmt.Fprintf(&rows, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", l.State, l.Class, l.Signal, l.objective(),
 			l.good(), l.rate(0), l.rate(1), l.rate(2), l.percentiles(), l.VMs)
 	}
