--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -13,7 +13,7 @@
 type Report struct {
 	VM                 string            `json:"vm"`
 	Zone               string            `json:"zone"`
-	Objectives              []ObjectiveReport `json:"lines"`
+	Objectives         []ObjectiveReport `json:"lines"`
 	UnknownClassEvents uint64            `json:"unknown_class"` // events of classes without an objective
 }
 
@@ -41,7 +41,7 @@
 	Queried            int              `json:"vms_asked"`
 	Answered           int              `json:"vms_answered"`
 	Missing            []MissingReport  `json:"gaps"`
-	Objectives              []FleetObjective `json:"lines"`
+	Objectives         []FleetObjective `json:"lines"`
 	UnknownClassEvents uint64           `json:"unknown_class"`
 }
 
@@ -103,7 +103,7 @@
 // older sheet have a sum of their own, since their events were judged by another limit or target.
 func (f *Fleet) add(l ObjectiveReport) error {
 	if l.Target <= 0 || l.Target >= 1 || len(l.Series) != SeriesPoints {
-		return fmt.Errorf("%s %s: malformed line", l.Class, l.Signal)
+		return fmt.Errorf("%s %s: malformed report", l.Class, l.Signal)
 	}
 	var h *hdrhistogram.Histogram
 	if len(l.LatencyHistogram) > 0 {
