--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -45,13 +45,13 @@
 			Objective: 0.95,
 		}},
 		Limits: sheet.Limits{
-			MaxBody: 1 << 20, MaxTokens: 4096, WorkspaceShare: 0.5, CommitWindow: settings.Duration(10 * time.Minute),
+			MaxBodyBytes: 1 << 20, MaxTokens: 4096, WorkspaceShare: 0.5, CommitWindow: settings.Duration(10 * time.Minute),
 			QueuePerEngine: 16,
 		},
 	}
 	for i := range min(models, n) {
 		s.Pools = append(s.Pools, sheet.Pool{
-			Name: fmt.Sprintf("pool-%02d", i), Model: fmt.Sprintf("model-%02d", i), Version: "1", MaxAwayShare: 0.2,
+			Name: fmt.Sprintf("pool-%02d", i), Model: fmt.Sprintf("model-%02d", i), Version: "1", MaxUnavailableShare: 0.2,
 		})
 	}
 	for i := range n {
--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -60,7 +60,7 @@
 	for _, v := range s.Services {
 		list = append(list, burn.Objective{Class: v.Name, Signal: burn.Commits, Target: commitOutcomeTarget})
 	}
-	if err := b.burn.Apply(list); err != nil {
+	if err := b.burn.SetObjectives(list); err != nil {
 		log.WithError(err).Warn("cannot apply the objectives of the sheet")
 	}
 }
@@ -77,12 +77,12 @@
 	}
 	switch {
 	case err == nil:
-		b.burn.Answer(now, g.Class, ctx.Err() == nil, now.Sub(startedAt))
+		b.burn.RecordAnswer(now, g.Class, ctx.Err() == nil, now.Sub(startedAt))
 	case isCallerFault(err):
 	case code.Of(err).Run == code.NotRun:
-		b.burn.Refused(now, g.Class)
+		b.burn.RecordRefused(now, g.Class)
 	default:
-		b.burn.Answer(now, g.Class, false, now.Sub(startedAt))
+		b.burn.RecordAnswer(now, g.Class, false, now.Sub(startedAt))
 	}
 	return err
 }
@@ -96,7 +96,7 @@
 	}
 	if c.Key != "" && (err == nil || !isCallerFault(err)) {
 		outcomeKnown := err == nil || code.Of(err).Run != code.Unknown
-		b.burn.Commit(b.clk.Now(), c.Service, outcomeKnown)
+		b.burn.RecordCommit(b.clk.Now(), c.Service, outcomeKnown)
 	}
 	return reply, err
 }
@@ -139,13 +139,13 @@
 	switch {
 	case s.lastTokenAt == 0:
 		s.lastTokenAt = s.b.clk.Now()
-		s.b.burn.FirstToken(s.lastTokenAt, s.class, s.lastTokenAt.Sub(s.startedAt))
+		s.b.burn.RecordFirstToken(s.lastTokenAt, s.class, s.lastTokenAt.Sub(s.startedAt))
 	case s.flushed:
 		now := s.b.clk.Now()
-		s.b.burn.BetweenTokens(now, s.class, max(now.Sub(s.lastTokenAt), time.Nanosecond))
+		s.b.burn.RecordTokenGap(now, s.class, max(now.Sub(s.lastTokenAt), time.Nanosecond))
 		s.lastTokenAt = now
 	default:
-		s.b.burn.BetweenTokens(s.lastTokenAt, s.class, time.Nanosecond)
+		s.b.burn.RecordTokenGap(s.lastTokenAt, s.class, time.Nanosecond)
 	}
 	s.flushed = false
 	return s.Sink.Token(t)
