--- a/internal/fold/authority.go
+++ b/internal/fold/authority.go
@@ -39,7 +39,7 @@
 
 	scopes    map[string]*Holding
 	writers   map[string]*holder // those that hold a scope
-	lastPoint Point
+	lastPoint CheckpointPosition
 	begun     uint64 // offset of the newest record that began the state anew
 	off       guardsOff
 }
@@ -66,7 +66,7 @@
 func (a *Authority) Upto() uint64 { return a.upto }
 
 // LastCheckpoint returns where the newest checkpoint stands.
-func (a *Authority) LastCheckpoint() Point { return a.lastPoint }
+func (a *Authority) LastCheckpoint() CheckpointPosition { return a.lastPoint }
 
 // Get returns the holding of a scope; ok is false if nobody ever held it.
 func (a *Authority) Get(scope string) (h Holding, ok bool) {
@@ -207,7 +207,7 @@
 	if cp.Upto >= it.Offset {
 		return
 	}
-	a.lastPoint = Point{Offset: it.Offset, Time: it.Time}
+	a.lastPoint = CheckpointPosition{Offset: it.Offset, Time: it.Time}
 	if cp.Begin {
 		a.begin(it.Offset)
 		return
--- a/internal/fold/config.go
+++ b/internal/fold/config.go
@@ -49,12 +49,12 @@
 	doc       *sheet.Document // of cur, nil until a patch needs it
 	verdicts  []*wire.Verdict // oldest first
 	dedup     *Dedup
-	lastPoint Point
+	lastPoint CheckpointPosition
 	off       guardsOff
 }
 
-// Point is where a checkpoint was last read.
-type Point struct {
+// CheckpointPosition is where a checkpoint was last read.
+type CheckpointPosition struct {
 	Offset uint64
 	Time   time.Time
 }
@@ -79,7 +79,7 @@
 func (c *Config) Upto() uint64 { return c.upto }
 
 // LastCheckpoint returns where the newest checkpoint stands.
-func (c *Config) LastCheckpoint() Point { return c.lastPoint }
+func (c *Config) LastCheckpoint() CheckpointPosition { return c.lastPoint }
 
 // Verdict returns what became of a publish, nil if nothing is known of it.
 func (c *Config) Verdict(publishID string) *wire.Verdict {
@@ -188,7 +188,7 @@
 	if cp.Upto >= it.Offset {
 		return
 	}
-	c.lastPoint = Point{Offset: it.Offset, Time: it.Time}
+	c.lastPoint = CheckpointPosition{Offset: it.Offset, Time: it.Time}
 	if c.established || cp.Upto+1 < c.from && !c.off.gapCheck {
 		return
 	}
--- a/internal/logclient/checkpoint.go
+++ b/internal/logclient/checkpoint.go
@@ -13,7 +13,7 @@
 // expires; a process that starts afterwards can't know it. A checkpoint is due
 // when the newest is old, and, since the retention isn't known here, also when
 // it has come into the older half of the records that the log still keeps.
-func CheckpointDue(last fold.Point, p Progress, now time.Time, every time.Duration) bool {
+func CheckpointDue(last fold.CheckpointPosition, p Progress, now time.Time, every time.Duration) bool {
 	if p.End <= 1 {
 		return false
 	}
