--- a/internal/fold/config.go
+++ b/internal/fold/config.go
@@ -25,8 +25,8 @@
 	maxDetail = 2048
 )
 
-// Accepted is one accepted version of the sheet. It is immutable.
-type Accepted struct {
+// AcceptedSheet is one accepted version of the sheet. It is immutable.
+type AcceptedSheet struct {
 	Version uint64 // offset of the publish that was accepted; 0 before the first
 	Body    []byte
 	Sheet   *sheet.Sheet
@@ -45,7 +45,7 @@
 	established bool   // the state is known, not only the records since from
 	held        []Item // records that wait for a checkpoint
 
-	cur       Accepted
+	cur       AcceptedSheet
 	doc       *sheet.Document // of cur, nil until a patch needs it
 	verdicts  []*wire.Verdict // oldest first
 	dedup     *Dedup
@@ -73,7 +73,7 @@
 func (c *Config) Established() bool { return c.established }
 
 // Current returns the accepted sheet, of version 0 if there is none.
-func (c *Config) Current() Accepted { return c.cur }
+func (c *Config) Current() AcceptedSheet { return c.cur }
 
 // Upto returns the newest offset folded.
 func (c *Config) Upto() uint64 { return c.upto }
@@ -158,7 +158,7 @@
 		return
 	}
 	c.doc = doc
-	c.cur = Accepted{Version: offset, Body: doc.Body(), Sheet: doc.Sheet()}
+	c.cur = AcceptedSheet{Version: offset, Body: doc.Body(), Sheet: doc.Sheet()}
 	c.judge(&wire.Verdict{PublishId: id, Offset: offset, Accepted: true})
 }
 
@@ -192,7 +192,7 @@
 	if c.established || cp.Upto+1 < c.from && !c.off.gapCheck {
 		return
 	}
-	next := Accepted{Version: cp.Version, Body: cp.Body}
+	next := AcceptedSheet{Version: cp.Version, Body: cp.Body}
 	if cp.Version > 0 {
 		s, err := sheet.Parse("checkpoint", cp.Body)
 		if err != nil {
--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -100,30 +100,30 @@
 	_ = r.postWait(ctx, pulled{a})
 }
 
-func (r *Replica) fetchSheet(ctx context.Context, addr string, above uint64) (fold.Accepted, error) {
+func (r *Replica) fetchSheet(ctx context.Context, addr string, above uint64) (fold.AcceptedSheet, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req := &wire.PeerRequest{Kind: &wire.PeerRequest_GetSheet{GetSheet: &wire.GetSheet{Above: above}}}
 	resp, err := r.opt.Peers.Call(ctx, addr, req)
 	if err != nil {
-		return fold.Accepted{}, err
+		return fold.AcceptedSheet{}, err
 	}
 	body := resp.GetSheet()
 	if body == nil {
-		return fold.Accepted{}, code.New(code.Code(resp.GetCode()), "%s", resp.GetDetail())
+		return fold.AcceptedSheet{}, code.New(code.Code(resp.GetCode()), "%s", resp.GetDetail())
 	}
 	if xxhash.Sum64(body.Body) != body.Hash {
-		return fold.Accepted{}, code.New(code.BadAnswer, "sheet %d does not match its hash", body.Version)
+		return fold.AcceptedSheet{}, code.New(code.BadAnswer, "sheet %d does not match its hash", body.Version)
 	}
 	s, err := sheet.Parse("peer", body.Body)
 	if err != nil {
-		return fold.Accepted{}, err
+		return fold.AcceptedSheet{}, err
 	}
-	return fold.Accepted{Version: body.Version, Body: body.Body, Sheet: s}, nil
+	return fold.AcceptedSheet{Version: body.Version, Body: body.Body, Sheet: s}, nil
 }
 
 // pulled ends a pull, with a sheet unless it failed.
-type pulled struct{ sheet fold.Accepted }
+type pulled struct{ sheet fold.AcceptedSheet }
 
 func (e pulled) apply(s *state) {
 	s.pulling = false
--- a/internal/replica/publish.go
+++ b/internal/replica/publish.go
@@ -15,11 +15,11 @@
 
 // Current reads the config stream to its end and returns the accepted sheet
 // with the newest verdicts.
-func Current(ctx context.Context, c *logclient.Client, stream string) (fold.Accepted, []*wire.Verdict, error) {
+func Current(ctx context.Context, c *logclient.Client, stream string) (fold.AcceptedSheet, []*wire.Verdict, error) {
 	f := fold.NewConfig(1)
 	err := follow(ctx, c, stream, f, func() bool { return c.Progress(stream).Read && f.Established() })
 	if err != nil {
-		return fold.Accepted{}, nil, code.Wrap(code.LogDown, err, "reading %s", stream)
+		return fold.AcceptedSheet{}, nil, code.Wrap(code.LogDown, err, "reading %s", stream)
 	}
 	return f.Current(), f.Verdicts(), nil
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -246,7 +246,7 @@
 // Failure: a process shows a new sheet and then an older one again, because a
 // peer or a fold that had to start again is behind. The version in force is
 // the highest ever seen and never falls.
-func (s *state) adopt(a fold.Accepted, from string) {
+func (s *state) adopt(a fold.AcceptedSheet, from string) {
 	if a.Sheet == nil || a.Version <= s.best.Version && !s.r.opt.anyVersion {
 		return
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -235,8 +235,8 @@
 	run := func(off bool) uint64 {
 		s := &state{r: New(Options{}), behind: map[string]clock.Time{}}
 		s.r.opt.anyVersion = off
-		s.adopt(fold.Accepted{Version: 5, Sheet: &sheet.Sheet{}}, "log")
-		pulled{fold.Accepted{Version: 3, Sheet: &sheet.Sheet{}}}.apply(s)
+		s.adopt(fold.AcceptedSheet{Version: 5, Sheet: &sheet.Sheet{}}, "log")
+		pulled{fold.AcceptedSheet{Version: 3, Sheet: &sheet.Sheet{}}}.apply(s)
 		return s.best.Version
 	}
 	assert.Equal(t, run(false), uint64(5))
--- a/internal/replica/view.go
+++ b/internal/replica/view.go
@@ -49,7 +49,7 @@
 	r       *Replica
 	fold    *fold.Config
 	table   *membership.Table
-	best    fold.Accepted // highest ever in force here
+	best    fold.AcceptedSheet // highest ever in force here
 	hash    uint64
 	behind  map[string]clock.Time // peer to when it was first seen to be ahead
 	pulling bool
