--- a/internal/fold/config.go
+++ b/internal/fold/config.go
@@ -75,8 +75,8 @@
 // Current returns the accepted sheet, of version 0 if there is none.
 func (c *Config) Current() AcceptedSheet { return c.cur }
 
-// Upto returns the newest offset folded.
-func (c *Config) Upto() uint64 { return c.upto }
+// LastApplied returns the newest offset folded.
+func (c *Config) LastApplied() uint64 { return c.upto }
 
 // LastCheckpoint returns where the newest checkpoint stands.
 func (c *Config) LastCheckpoint() CheckpointPosition { return c.lastPoint }
--- a/internal/replica/publish.go
+++ b/internal/replica/publish.go
@@ -39,7 +39,7 @@
 	}
 	f := fold.NewConfig(1)
 	err := follow(ctx, c, stream, f, func() bool {
-		return f.Established() && (f.Verdict(id) != nil || upto > 0 && f.Upto() >= upto)
+		return f.Established() && (f.Verdict(id) != nil || upto > 0 && f.LastApplied() >= upto)
 	})
 	if v := f.Verdict(id); v != nil {
 		return v, nil
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -212,7 +212,7 @@
 	next := &View{
 		Ready: s.best.Sheet != nil, Version: s.best.Version, Sheet: s.best.Sheet, Body: s.best.Body, Hash: s.hash,
 		Members: s.table.Members(s.now()), Leaving: s.r.leaving.Load(), Log: s.r.opt.Log.Health(),
-		Offset: s.fold.Upto() + 1, Verdicts: old.view.Verdicts,
+		Offset: s.fold.LastApplied() + 1, Verdicts: old.view.Verdicts,
 	}
 	if next.Offset != old.view.Offset {
 		next.Verdicts = s.fold.Verdicts()
