--- a/internal/fold/authority.go
+++ b/internal/fold/authority.go
@@ -62,8 +62,8 @@
 // Established reports whether the state is known; see Config.Established.
 func (a *Authority) Established() bool { return a.established }
 
-// Upto returns the newest offset folded.
-func (a *Authority) Upto() uint64 { return a.upto }
+// LastApplied returns the newest offset folded.
+func (a *Authority) LastApplied() uint64 { return a.upto }
 
 // LastCheckpoint returns where the newest checkpoint stands.
 func (a *Authority) LastCheckpoint() CheckpointPosition { return a.lastPoint }
