--- a/internal/fold/authority.go
+++ b/internal/fold/authority.go
@@ -238,9 +238,9 @@
 	a.scopes, a.writers = map[string]*Holding{}, map[string]*holder{}
 }
 
-// Begun returns the offset of the newest record that began the state anew, 0
+// ResetOffset returns the offset of the newest record that began the state anew, 0
 // if there is none.
-func (a *Authority) Begun() uint64 { return a.begun }
+func (a *Authority) ResetOffset() uint64 { return a.begun }
 
 func (a *Authority) restore(cp *wire.AuthorityCheckpoint) {
 	marks := make(map[string]*wire.WriterSeq, len(cp.Writers))
