--- a/internal/fold/config.go
+++ b/internal/fold/config.go
@@ -117,7 +117,7 @@
 
 // step folds one item into a known state.
 func (c *Config) step(it *Item) {
-	if !c.dedup.Fresh(it) && !c.off.dedup {
+	if !c.dedup.Accept(it) && !c.off.dedup {
 		return
 	}
 	switch k := it.Entry.GetKind().(type) {
--- a/internal/fold/dedup.go
+++ b/internal/fold/dedup.go
@@ -33,9 +33,9 @@
 	return &Dedup{limit: limit, last: map[string]*mark{}}
 }
 
-// Fresh reports whether the item counts, and remembers it if so. The items of
+// Accept reports whether the item counts, and remembers it if so. The items of
 // one envelope count together.
-func (d *Dedup) Fresh(it *Item) bool {
+func (d *Dedup) Accept(it *Item) bool {
 	m, known := d.last[it.Writer]
 	switch {
 	case !known:
--- a/internal/logclient/client_test.go
+++ b/internal/logclient/client_test.go
@@ -57,7 +57,7 @@
 			out = append(out, fmt.Sprint("gap@", it.Offset))
 			continue
 		}
-		if d.Fresh(&it) {
+		if d.Accept(&it) {
 			out = append(out, it.Entry.GetPatch().GetPublishId())
 		}
 	}
