--- a/internal/fold/config.go
+++ b/internal/fold/config.go
@@ -220,6 +220,6 @@
 	}
 	return &wire.ConfigCheckpoint{
 		Version: c.cur.Version, Body: c.cur.Body, Upto: c.upto,
-		Recent: slices.Clone(c.verdicts), Writers: c.dedup.Marks(),
+		Recent: slices.Clone(c.verdicts), Writers: c.dedup.WriterSeqs(),
 	}
 }
--- a/internal/fold/dedup.go
+++ b/internal/fold/dedup.go
@@ -67,8 +67,8 @@
 	delete(d.last, oldest)
 }
 
-// Marks returns what a checkpoint has to carry, in the order of the writers.
-func (d *Dedup) Marks() []*wire.WriterSeq {
+// WriterSeqs returns what a checkpoint has to carry, in the order of the writers.
+func (d *Dedup) WriterSeqs() []*wire.WriterSeq {
 	out := make([]*wire.WriterSeq, 0, len(d.last))
 	for w, m := range d.last {
 		out = append(out, &wire.WriterSeq{Writer: w, Seq: m.seq, Offset: m.offset})
