--- a/internal/fold/item.go
+++ b/internal/fold/item.go
@@ -21,9 +21,9 @@
 // formatNow is the newest envelope format that this program understands.
 const formatNow = 1
 
-// ErrFormat means that a newer program wrote the record in a way that this one
+// ErrUnknownFormat means that a newer program wrote the record in a way that this one
 // can't read.
-var ErrFormat = errors.New("unknown envelope format")
+var ErrUnknownFormat = errors.New("unknown envelope format")
 
 // Item is one entry of a stream with what its envelope says of it.
 type Item struct {
@@ -46,7 +46,7 @@
 		return nil, fmt.Errorf("record %d: %w", offset, err)
 	}
 	if env.Format != formatNow {
-		return nil, fmt.Errorf("record %d: %w %d", offset, ErrFormat, env.Format)
+		return nil, fmt.Errorf("record %d: %w %d", offset, ErrUnknownFormat, env.Format)
 	}
 	items := make([]Item, 0, len(env.Entries))
 	for i, e := range env.Entries {
