--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -45,7 +45,7 @@
 type Options struct {
 	Replica     Replica
 	Log         *logclient.Client
-	Peers       replica.Caller
+	Peers       replica.PeerClient
 	Weights     driver.WeightStore // nil disables the pacing of loads
 	Clock       clock.Clock
 	Stream      string // the control stream
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -64,7 +64,7 @@
 	t   *testing.T
 	log *logtest.Log
 	// peers replaces the fleet's own calls if set.
-	peers Caller
+	peers PeerClient
 	mu    sync.Mutex
 	vms   []driver.VM
 	reps  map[string]*Replica
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -19,8 +19,8 @@
 	"fescuestand/internal/wire"
 )
 
-// Caller sends one request to a peer process; peer.Pool is one.
-type Caller interface {
+// PeerClient sends one request to a peer process; peer.Pool is one.
+type PeerClient interface {
 	Call(ctx context.Context, addr string, req *wire.PeerRequest) (*wire.PeerResponse, error)
 }
 
@@ -29,7 +29,7 @@
 type Options struct {
 	Log    *logclient.Client
 	VMs    driver.VMList
-	Peers  Caller
+	Peers  PeerClient
 	Clock  clock.Clock
 	Stream string // the config stream
 
