--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -177,7 +177,7 @@
 	peers := peer.NewPool(process.Hello(&s.Settings, processName, incarnation))
 	r := replica.New(replica.Options{
 		Log: client, VMs: vms, Peers: peers, Stream: "config", VM: vm.Name, Process: "entry",
-		Incarnation: incarnation, Every: 50 * time.Millisecond,
+		Incarnation: incarnation, GossipInterval: 50 * time.Millisecond,
 	})
 	n := &entryNode{addr: vm.Caller, signals: make(chan os.Signal, 2), done: make(chan error, 1)}
 	n.unit = New(Options{Settings: s, Incarnation: incarnation, Replica: r, Log: client, Peers: peers, Clock: clock.Boot{}})
--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -34,7 +34,7 @@
 func (e listed) apply(s *state) {
 	s.table.List(s.now(), e.vms)
 	rounds := max(1, (len(e.vms)+s.r.opt.Fanout-1)/s.r.opt.Fanout)
-	cover := time.Duration(rounds) * s.r.opt.Every
+	cover := time.Duration(rounds) * s.r.opt.GossipInterval
 	// A VM is suspect after two missed turns, if that is longer than set.
 	suspect := max(s.r.opt.Suspect, 2*cover)
 	s.table.SetSilence(suspect, max(s.r.opt.Gone, 2*suspect))
--- a/internal/replica/gossip.go
+++ b/internal/replica/gossip.go
@@ -77,7 +77,7 @@
 
 // gossip asks a few peers each round, in turns, and all of them when urgent.
 func (r *Replica) gossip(ctx context.Context) error {
-	tick := time.NewTicker(r.opt.Every)
+	tick := time.NewTicker(r.opt.GossipInterval)
 	defer tick.Stop()
 	var turns []string
 	var wg sync.WaitGroup
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -37,7 +37,7 @@
 	Process     string // "entry" or "control"; only entries count as members
 	Incarnation string
 
-	Every   time.Duration // between rounds of gossip
+	GossipInterval   time.Duration // between rounds of gossip
 	Suspect time.Duration
 	Gone    time.Duration
 	// Fanout is how many peers one round asks. The others have their turn in
@@ -79,9 +79,9 @@
 )
 
 func (o *Options) defaults() {
-	o.Every = cmp.Or(o.Every, defaultEvery)
+	o.GossipInterval = cmp.Or(o.GossipInterval, defaultEvery)
 	if o.Process != processEntry {
-		o.Every *= controlTurns
+		o.GossipInterval *= controlTurns
 	}
 	o.Suspect = cmp.Or(o.Suspect, defaultSuspect)
 	o.Gone = cmp.Or(o.Gone, defaultGone)
@@ -172,7 +172,7 @@
 		ctx: ctx, r: r, fold: fold.NewConfig(1), behind: map[string]clock.Time{},
 		table: membership.New(membership.Options{Suspect: r.opt.Suspect, Gone: r.opt.Gone}),
 	}
-	tick := time.NewTicker(r.opt.Every)
+	tick := time.NewTicker(r.opt.GossipInterval)
 	defer tick.Stop()
 	for {
 		select {
