--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -36,7 +36,7 @@
 	rounds := max(1, (len(e.vms)+s.r.opt.Fanout-1)/s.r.opt.Fanout)
 	cover := time.Duration(rounds) * s.r.opt.GossipInterval
 	// A VM is suspect after two missed turns, if that is longer than set.
-	suspect := max(s.r.opt.Suspect, 2*cover)
+	suspect := max(s.r.opt.SuspectTimeout, 2*cover)
 	s.table.SetSilence(suspect, max(s.r.opt.Gone, 2*suspect))
 }
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -38,7 +38,7 @@
 	Incarnation string
 
 	GossipInterval   time.Duration // between rounds of gossip
-	Suspect time.Duration
+	SuspectTimeout time.Duration
 	Gone    time.Duration
 	// Fanout is how many peers one round asks. The others have their turn in
 	// the next rounds, and silence is counted in proportion.
@@ -83,7 +83,7 @@
 	if o.Process != processEntry {
 		o.GossipInterval *= controlTurns
 	}
-	o.Suspect = cmp.Or(o.Suspect, defaultSuspect)
+	o.SuspectTimeout = cmp.Or(o.SuspectTimeout, defaultSuspect)
 	o.Gone = cmp.Or(o.Gone, defaultGone)
 	o.Fanout = cmp.Or(o.Fanout, defaultFanout)
 	o.CheckpointEvery = cmp.Or(o.CheckpointEvery, defaultCheckpointEvery)
@@ -170,7 +170,7 @@
 func (r *Replica) own(ctx context.Context) error {
 	s := &state{
 		ctx: ctx, r: r, fold: fold.NewConfig(1), behind: map[string]clock.Time{},
-		table: membership.New(membership.Options{Suspect: r.opt.Suspect, Gone: r.opt.Gone}),
+		table: membership.New(membership.Options{Suspect: r.opt.SuspectTimeout, Gone: r.opt.Gone}),
 	}
 	tick := time.NewTicker(r.opt.GossipInterval)
 	defer tick.Stop()
