--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -37,7 +37,7 @@
 	cover := time.Duration(rounds) * s.r.opt.GossipInterval
 	// A VM is suspect after two missed turns, if that is longer than set.
 	suspect := max(s.r.opt.SuspectTimeout, 2*cover)
-	s.table.SetSilence(suspect, max(s.r.opt.Gone, 2*suspect))
+	s.table.SetSilence(suspect, max(s.r.opt.GoneTimeout, 2*suspect))
 }
 
 // self is this process's own heartbeat.
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -39,7 +39,7 @@
 
 	GossipInterval   time.Duration // between rounds of gossip
 	SuspectTimeout time.Duration
-	Gone    time.Duration
+	GoneTimeout    time.Duration
 	// Fanout is how many peers one round asks. The others have their turn in
 	// the next rounds, and silence is counted in proportion.
 	Fanout int
@@ -84,7 +84,7 @@
 		o.GossipInterval *= controlTurns
 	}
 	o.SuspectTimeout = cmp.Or(o.SuspectTimeout, defaultSuspect)
-	o.Gone = cmp.Or(o.Gone, defaultGone)
+	o.GoneTimeout = cmp.Or(o.GoneTimeout, defaultGone)
 	o.Fanout = cmp.Or(o.Fanout, defaultFanout)
 	o.CheckpointEvery = cmp.Or(o.CheckpointEvery, defaultCheckpointEvery)
 	if o.Clock == nil {
@@ -170,7 +170,7 @@
 func (r *Replica) own(ctx context.Context) error {
 	s := &state{
 		ctx: ctx, r: r, fold: fold.NewConfig(1), behind: map[string]clock.Time{},
-		table: membership.New(membership.Options{Suspect: r.opt.SuspectTimeout, Gone: r.opt.Gone}),
+		table: membership.New(membership.Options{Suspect: r.opt.SuspectTimeout, Gone: r.opt.GoneTimeout}),
 	}
 	tick := time.NewTicker(r.opt.GossipInterval)
 	defer tick.Stop()
