--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -38,7 +38,7 @@
 		Log: p.Log, VMs: vms, Peers: p.Peers, Clock: clock.Boot{}, Stream: s.Streams.Config,
 		VM: s.VM, Process: name, Incarnation: p.Incarnation,
 		GossipInterval: s.Gossip.Every.D(), SuspectTimeout: s.Gossip.Suspect.D(), GoneTimeout: s.Gossip.Gone.D(),
-		Checkpoint: true,
+		WriteCheckpoints: true,
 	})
 	return p, nil
 }
--- a/internal/replica/checkpoint.go
+++ b/internal/replica/checkpoint.go
@@ -32,7 +32,7 @@
 func (s *state) checkpoint(ctx context.Context) {
 	r := s.r
 	progress := r.opt.Log.Progress(r.opt.Stream)
-	if !r.opt.Checkpoint || s.ckpt.writing {
+	if !r.opt.WriteCheckpoints || s.ckpt.writing {
 		return
 	}
 	if !s.fold.Established() {
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -101,7 +101,7 @@
 		peers = f
 	}
 	r := New(Options{
-		Log: c, VMs: f, Peers: peers, Stream: "config", VM: vm, Process: "entry", Incarnation: vm + "-1", Checkpoint: true,
+		Log: c, VMs: f, Peers: peers, Stream: "config", VM: vm, Process: "entry", Incarnation: vm + "-1", WriteCheckpoints: true,
 		Clock: bubbleClock{},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -43,8 +43,8 @@
 	// Fanout is how many peers one round asks. The others have their turn in
 	// the next rounds, and silence is counted in proportion.
 	Fanout int
-	// Checkpoint makes this process write checkpoints of the config stream.
-	Checkpoint bool
+	// WriteCheckpoints makes this process write checkpoints of the config stream.
+	WriteCheckpoints bool
 	// CheckpointEvery is the longest age of the newest checkpoint. It must be
 	// well below half of the log's retention.
 	CheckpointEvery time.Duration
