--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -45,9 +45,9 @@
 	Fanout int
 	// WriteCheckpoints makes this process write checkpoints of the config stream.
 	WriteCheckpoints bool
-	// CheckpointEvery is the longest age of the newest checkpoint. It must be
+	// CheckpointInterval is the longest age of the newest checkpoint. It must be
 	// well below half of the log's retention.
-	CheckpointEvery time.Duration
+	CheckpointInterval time.Duration
 
 	anyVersion bool // tests only: switches off the guard in adopt
 }
@@ -86,7 +86,7 @@
 	o.SuspectTimeout = cmp.Or(o.SuspectTimeout, defaultSuspect)
 	o.GoneTimeout = cmp.Or(o.GoneTimeout, defaultGone)
 	o.Fanout = cmp.Or(o.Fanout, defaultFanout)
-	o.CheckpointEvery = cmp.Or(o.CheckpointEvery, defaultCheckpointEvery)
+	o.CheckpointInterval = cmp.Or(o.CheckpointInterval, defaultCheckpointEvery)
 	if o.Clock == nil {
 		o.Clock = clock.Boot{}
 	}
