--- a/internal/capacity/start_test.go
+++ b/internal/capacity/start_test.go
@@ -52,7 +52,7 @@
 			publishChanges(b, lg, size.runners, size.changes)
 			for b.Loop() {
 				c := logclient.New(logclient.Options{Log: lg, Writer: "w", VM: "vm"})
-				got, _, err := replica.Current(context.Background(), c, "config")
+				got, _, err := replica.ReadAccepted(context.Background(), c, "config")
 				assert.NilError(b, err)
 				assert.Equal(b, got.Version, uint64(size.changes)+1)
 				assert.NilError(b, c.Close())
--- a/internal/operator/publish.go
+++ b/internal/operator/publish.go
@@ -113,7 +113,7 @@
 	if c.First || c.Base > 0 {
 		return c.Base, nil
 	}
-	accepted, _, err := replica.Current(ctx, client, stream)
+	accepted, _, err := replica.ReadAccepted(ctx, client, stream)
 	return accepted.Version, err
 }
 
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -146,7 +146,7 @@
 	l.SetFate(nil)
 	c := logclient.New(logclient.Options{Log: l, Writer: "auditor", VM: "room"})
 	defer func() { assert.NilError(t, c.Close()) }()
-	_, verdicts, err := Current(t.Context(), c, "config")
+	_, verdicts, err := ReadAccepted(t.Context(), c, "config")
 	assert.NilError(t, err)
 	for i := range ops {
 		o := ops[i].Output.(historyOutput)
@@ -166,7 +166,7 @@
 func readVersion(t *testing.T, l *logtest.Log, op int) uint64 {
 	c := logclient.New(logclient.Options{Log: l, Writer: fmt.Sprint("reader", op), VM: "room"})
 	defer func() { assert.NilError(t, c.Close()) }()
-	cur, _, err := Current(t.Context(), c, "config")
+	cur, _, err := ReadAccepted(t.Context(), c, "config")
 	assert.NilError(t, err)
 	return cur.Version
 }
--- a/internal/replica/publish.go
+++ b/internal/replica/publish.go
@@ -13,9 +13,9 @@
 // errDone ends a read of the stream that has found what it wanted.
 var errDone = errors.New("done")
 
-// Current reads the config stream to its end and returns the accepted sheet
+// ReadAccepted reads the config stream to its end and returns the accepted sheet
 // with the newest verdicts.
-func Current(ctx context.Context, c *logclient.Client, stream string) (fold.AcceptedSheet, []*wire.Verdict, error) {
+func ReadAccepted(ctx context.Context, c *logclient.Client, stream string) (fold.AcceptedSheet, []*wire.Verdict, error) {
 	f := fold.NewConfig(1)
 	err := follow(ctx, c, stream, f, func() bool { return c.Progress(stream).Read && f.Established() })
 	if err != nil {
