--- a/internal/operator/main.go
+++ b/internal/operator/main.go
@@ -110,7 +110,7 @@
 	defer cancel()
 	client := newClient(lg)
 	defer func() { _ = client.Close() }()
-	return replica.Holdings(ctx, client, s.Streams.Control)
+	return replica.ReadHoldings(ctx, client, s.Streams.Control)
 }
 
 // newClient returns a log client under an incarnation of its own.
--- a/internal/replica/publish.go
+++ b/internal/replica/publish.go
@@ -82,9 +82,9 @@
 	return err
 }
 
-// Holdings reads the control stream to its end and returns who has the
+// ReadHoldings reads the control stream to its end and returns who has the
 // authority over each engine.
-func Holdings(ctx context.Context, c *logclient.Client, stream string) ([]fold.Holding, error) {
+func ReadHoldings(ctx context.Context, c *logclient.Client, stream string) ([]fold.Holding, error) {
 	a := fold.NewAuthority(1)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
