--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -136,7 +136,7 @@
 	s := node.Settings{Log: target(w.logAddr)}
 	l, err := s.OpenLog()
 	assert.NilError(w.t, err)
-	return logclient.New(logclient.Options{Log: l, Writer: writer, VM: writer, Rate: 200, Burst: 50})
+	return logclient.New(logclient.Options{Log: l, Writer: writer, VM: writer, MaxAppendsPerSecond: 200, Burst: 50})
 }
 
 // publish puts a sheet in force that names all engines and services.
--- a/internal/logclient/client.go
+++ b/internal/logclient/client.go
@@ -29,8 +29,8 @@
 	Writer string // incarnation of this process
 	VM     string
 
-	// Rate and Burst are the process's share of the log's appends a second.
-	Rate  float64
+	// MaxAppendsPerSecond and Burst are the process's share of the log's appends a second.
+	MaxAppendsPerSecond  float64
 	Burst int
 	// Attempt bounds one append call; an answer after it counts as lost.
 	Attempt time.Duration
@@ -75,7 +75,7 @@
 	opt.defaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{
-		opt: opt, limit: rate.NewLimiter(rate.Limit(opt.Rate), opt.Burst),
+		opt: opt, limit: rate.NewLimiter(rate.Limit(opt.MaxAppendsPerSecond), opt.Burst),
 		ctx: ctx, cancel: cancel,
 		queues: map[string]*queue{}, streams: map[string]Progress{},
 		health: Health{Healthy: true},
@@ -83,7 +83,7 @@
 }
 
 func (o *Options) defaults() {
-	o.Rate = cmp.Or(o.Rate, defaultRate)
+	o.MaxAppendsPerSecond = cmp.Or(o.MaxAppendsPerSecond, defaultRate)
 	o.Burst = cmp.Or(o.Burst, defaultBurst)
 	o.Attempt = cmp.Or(o.Attempt, defaultAttempt)
 	o.GiveUp = cmp.Or(o.GiveUp, defaultGiveUp)
