--- a/internal/logclient/append.go
+++ b/internal/logclient/append.go
@@ -233,7 +233,7 @@
 }
 
 func (q *queue) attempt(data []byte) (uint64, error) {
-	ctx, cancel := context.WithTimeout(q.c.ctx, q.c.opt.Attempt)
+	ctx, cancel := context.WithTimeout(q.c.ctx, q.c.opt.AttemptTimeout)
 	defer cancel()
 	return q.c.opt.Log.Append(ctx, q.stream, data)
 }
--- a/internal/logclient/client.go
+++ b/internal/logclient/client.go
@@ -32,8 +32,8 @@
 	// MaxAppendsPerSecond and Burst are the process's share of the log's appends a second.
 	MaxAppendsPerSecond  float64
 	Burst int
-	// Attempt bounds one append call; an answer after it counts as lost.
-	Attempt time.Duration
+	// AttemptTimeout bounds one append call; an answer after it counts as lost.
+	AttemptTimeout time.Duration
 	// GiveUp bounds the tries of one append. What isn't known then stays so.
 	GiveUp time.Duration
 	// FailFast is how long appends may fail before new ones are refused at
@@ -85,7 +85,7 @@
 func (o *Options) defaults() {
 	o.MaxAppendsPerSecond = cmp.Or(o.MaxAppendsPerSecond, defaultRate)
 	o.Burst = cmp.Or(o.Burst, defaultBurst)
-	o.Attempt = cmp.Or(o.Attempt, defaultAttempt)
+	o.AttemptTimeout = cmp.Or(o.AttemptTimeout, defaultAttempt)
 	o.GiveUp = cmp.Or(o.GiveUp, defaultGiveUp)
 	o.FailFast = cmp.Or(o.FailFast, defaultFailFast)
 	o.Poll = cmp.Or(o.Poll, defaultPoll)
--- a/internal/logclient/tail.go
+++ b/internal/logclient/tail.go
@@ -67,7 +67,7 @@
 // read delivers what one call of the log gives.
 func (t *tail) read(ctx context.Context) (progressed bool, err error) {
 	opt := &t.c.opt
-	callCtx, cancel := context.WithTimeout(ctx, opt.Poll+opt.Attempt)
+	callCtx, cancel := context.WithTimeout(ctx, opt.Poll+opt.AttemptTimeout)
 	defer cancel()
 	var wait time.Duration
 	if t.atEnd {
