--- a/internal/logclient/append.go
+++ b/internal/logclient/append.go
@@ -75,7 +75,7 @@
 		return code.Wrap(code.LogDown, err, "append to %s not begun", q.stream)
 	}
 	if q.flying && !q.failing.IsZero() && time.Since(q.failing) > q.c.opt.FailFast {
-		return code.New(code.LogDown, "appends to %s fail", q.stream).WithRetryAfter(q.c.opt.GiveUp)
+		return code.New(code.LogDown, "appends to %s fail", q.stream).WithRetryAfter(q.c.opt.AppendTimeout)
 	}
 	q.pending = append(q.pending, cl)
 	if !q.flying {
@@ -198,7 +198,7 @@
 		if !mayBeThere {
 			q.rest(batch)
 		}
-		again := time.Since(started) <= q.c.opt.GiveUp && q.c.pause(q.c.ctx, try)
+		again := time.Since(started) <= q.c.opt.AppendTimeout && q.c.pause(q.c.ctx, try)
 		if !mayBeThere {
 			batch = q.rest(nil)
 		}
@@ -229,7 +229,7 @@
 	if mayBeThere {
 		return outcome{err: lost(err, q.stream)}
 	}
-	return outcome{err: code.Wrap(code.LogDown, err, "append to %s", q.stream).WithRetryAfter(q.c.opt.GiveUp)}
+	return outcome{err: code.Wrap(code.LogDown, err, "append to %s", q.stream).WithRetryAfter(q.c.opt.AppendTimeout)}
 }
 
 func (q *queue) attempt(data []byte) (uint64, error) {
--- a/internal/logclient/client.go
+++ b/internal/logclient/client.go
@@ -34,8 +34,8 @@
 	Burst int
 	// AttemptTimeout bounds one append call; an answer after it counts as lost.
 	AttemptTimeout time.Duration
-	// GiveUp bounds the tries of one append. What isn't known then stays so.
-	GiveUp time.Duration
+	// AppendTimeout bounds the tries of one append. What isn't known then stays so.
+	AppendTimeout time.Duration
 	// FailFast is how long appends may fail before new ones are refused at
 	// once, while one still tries.
 	FailFast time.Duration
@@ -86,7 +86,7 @@
 	o.MaxAppendsPerSecond = cmp.Or(o.MaxAppendsPerSecond, defaultRate)
 	o.Burst = cmp.Or(o.Burst, defaultBurst)
 	o.AttemptTimeout = cmp.Or(o.AttemptTimeout, defaultAttempt)
-	o.GiveUp = cmp.Or(o.GiveUp, defaultGiveUp)
+	o.AppendTimeout = cmp.Or(o.AppendTimeout, defaultGiveUp)
 	o.FailFast = cmp.Or(o.FailFast, defaultFailFast)
 	o.Poll = cmp.Or(o.Poll, defaultPoll)
 }
