--- a/internal/logclient/append.go
+++ b/internal/logclient/append.go
@@ -74,7 +74,7 @@
 	if err := errors.Join(ctx.Err(), q.c.ctx.Err()); err != nil {
 		return code.Wrap(code.LogDown, err, "append to %s not begun", q.stream)
 	}
-	if q.flying && !q.failing.IsZero() && time.Since(q.failing) > q.c.opt.FailFast {
+	if q.flying && !q.failing.IsZero() && time.Since(q.failing) > q.c.opt.FailFastAfter {
 		return code.New(code.LogDown, "appends to %s fail", q.stream).WithRetryAfter(q.c.opt.AppendTimeout)
 	}
 	q.pending = append(q.pending, cl)
--- a/internal/logclient/client.go
+++ b/internal/logclient/client.go
@@ -36,9 +36,9 @@
 	AttemptTimeout time.Duration
 	// AppendTimeout bounds the tries of one append. What isn't known then stays so.
 	AppendTimeout time.Duration
-	// FailFast is how long appends may fail before new ones are refused at
+	// FailFastAfter is how long appends may fail before new ones are refused at
 	// once, while one still tries.
-	FailFast time.Duration
+	FailFastAfter time.Duration
 	// Poll is how long a read waits at the log for the next record.
 	Poll time.Duration
 }
@@ -87,7 +87,7 @@
 	o.Burst = cmp.Or(o.Burst, defaultBurst)
 	o.AttemptTimeout = cmp.Or(o.AttemptTimeout, defaultAttempt)
 	o.AppendTimeout = cmp.Or(o.AppendTimeout, defaultGiveUp)
-	o.FailFast = cmp.Or(o.FailFast, defaultFailFast)
+	o.FailFastAfter = cmp.Or(o.FailFastAfter, defaultFailFast)
 	o.Poll = cmp.Or(o.Poll, defaultPoll)
 }
 
