--- a/internal/logclient/client.go
+++ b/internal/logclient/client.go
@@ -39,8 +39,8 @@
 	// FailFastAfter is how long appends may fail before new ones are refused at
 	// once, while one still tries.
 	FailFastAfter time.Duration
-	// Poll is how long a read waits at the log for the next record.
-	Poll time.Duration
+	// PollWait is how long a read waits at the log for the next record.
+	PollWait time.Duration
 }
 
 // Grounds for the defaults: the log takes several hundred appends a second; 16
@@ -88,7 +88,7 @@
 	o.AttemptTimeout = cmp.Or(o.AttemptTimeout, defaultAttempt)
 	o.AppendTimeout = cmp.Or(o.AppendTimeout, defaultGiveUp)
 	o.FailFastAfter = cmp.Or(o.FailFastAfter, defaultFailFast)
-	o.Poll = cmp.Or(o.Poll, defaultPoll)
+	o.PollWait = cmp.Or(o.PollWait, defaultPoll)
 }
 
 // Close stops the appends on their way; their callers get an unknown outcome.
--- a/internal/logclient/tail.go
+++ b/internal/logclient/tail.go
@@ -67,11 +67,11 @@
 // read delivers what one call of the log gives.
 func (t *tail) read(ctx context.Context) (progressed bool, err error) {
 	opt := &t.c.opt
-	callCtx, cancel := context.WithTimeout(ctx, opt.Poll+opt.AttemptTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, opt.PollWait+opt.AttemptTimeout)
 	defer cancel()
 	var wait time.Duration
 	if t.atEnd {
-		wait = opt.Poll
+		wait = opt.PollWait
 	}
 	page, err := opt.Log.Read(callCtx, t.stream, t.next, readLimit, wait)
 	if page.First > t.next && (err == nil || errors.Is(err, driver.ErrExpired)) {
