--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -84,7 +84,7 @@
 // renewLeases appends a heartbeat when one is due or when there are scopes to claim or release.
 func (s *state) renewLeases() {
 	now := s.now()
-	if !s.authority.Established() || !s.opt.Log.Progress(s.opt.Stream).Read {
+	if !s.authority.Established() || !s.opt.Log.Progress(s.opt.Stream).CaughtUp {
 		s.renewal.claimNotBefore = 0
 		return
 	}
--- a/internal/control/checkpoint.go
+++ b/internal/control/checkpoint.go
@@ -39,7 +39,7 @@
 	if s.ckpt.writing {
 		return
 	}
-	if !p.Read || !logclient.CheckpointDue(s.authority.LastCheckpoint(), p, time.Now(), s.opt.CheckpointInterval) {
+	if !p.CaughtUp || !logclient.CheckpointDue(s.authority.LastCheckpoint(), p, time.Now(), s.opt.CheckpointInterval) {
 		s.ckpt.scheduled = false
 		return
 	}
--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -53,7 +53,7 @@
 func (j *journal) awaitEnd(ctx context.Context, t *commit.Table) error {
 	tick := time.NewTicker(readyCheck)
 	defer tick.Stop()
-	for !j.log.Progress(j.stream).Read {
+	for !j.log.Progress(j.stream).CaughtUp {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/logclient/client.go
+++ b/internal/logclient/client.go
@@ -161,13 +161,13 @@
 	Next  uint64 // offset to be read next
 	First uint64 // oldest offset kept, as of the newest read
 	End   uint64 // offset of the next append, as of the newest read
-	Read  bool   // the stream was read to its end once
+	CaughtUp  bool   // the stream was read to its end once
 	at    time.Time
 }
 
 // Fresh reports whether the stream was read to its end and the newest read is
 // no older than a long poll and a try.
-func (p *Progress) Fresh() bool { return p.Read && time.Since(p.at) < 2*defaultPoll }
+func (p *Progress) Fresh() bool { return p.CaughtUp && time.Since(p.at) < 2*defaultPoll }
 
 // Progress returns how far Tail got with a stream.
 func (c *Client) Progress(stream string) Progress {
@@ -180,5 +180,5 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.streams[stream]
-	c.streams[stream] = Progress{Next: next, First: p.First, End: p.End, Read: old.Read || next >= p.End, at: time.Now()}
+	c.streams[stream] = Progress{Next: next, First: p.First, End: p.End, CaughtUp: old.CaughtUp || next >= p.End, at: time.Now()}
 }
--- a/internal/replica/checkpoint.go
+++ b/internal/replica/checkpoint.go
@@ -40,7 +40,7 @@
 		return
 	}
 	s.ckpt.lost = 0
-	if !progress.Read || !logclient.CheckpointDue(s.fold.LastCheckpoint(), progress, time.Now(), r.opt.CheckpointInterval) {
+	if !progress.CaughtUp || !logclient.CheckpointDue(s.fold.LastCheckpoint(), progress, time.Now(), r.opt.CheckpointInterval) {
 		s.ckpt.waiting = false
 		return
 	}
--- a/internal/replica/publish.go
+++ b/internal/replica/publish.go
@@ -17,7 +17,7 @@
 // with the newest verdicts.
 func ReadAccepted(ctx context.Context, c *logclient.Client, stream string) (fold.AcceptedSheet, []*wire.Verdict, error) {
 	f := fold.NewConfig(1)
-	err := follow(ctx, c, stream, f, func() bool { return c.Progress(stream).Read && f.Established() })
+	err := follow(ctx, c, stream, f, func() bool { return c.Progress(stream).CaughtUp && f.Established() })
 	if err != nil {
 		return fold.AcceptedSheet{}, nil, code.Wrap(code.LogDown, err, "reading %s", stream)
 	}
@@ -94,7 +94,7 @@
 		}
 		return nil
 	}, func() error {
-		if a.Established() && c.Progress(stream).Read {
+		if a.Established() && c.Progress(stream).CaughtUp {
 			return errDone
 		}
 		return nil
