--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -88,9 +88,9 @@
 		p.log.setCut(false)
 	case 3:
 		seq := c.rng.Uint64()
-		c.log.SetFate(func(string, []byte) logtest.Fate {
+		c.log.SetFate(func(string, []byte) logtest.Outcome {
 			seq = seq*6364136223846793005 + 1
-			return []logtest.Fate{logtest.Applied, logtest.Lost, logtest.Vanished, logtest.Postponed, logtest.Applied}[seq>>40%5]
+			return []logtest.Outcome{logtest.Applied, logtest.Lost, logtest.Vanished, logtest.Postponed, logtest.Applied}[seq>>40%5]
 		})
 	case 4:
 		c.log.SetFate(nil)
--- a/internal/logclient/client_test.go
+++ b/internal/logclient/client_test.go
@@ -88,8 +88,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		c := newClient(t, l)
-		fates := []logtest.Fate{logtest.Lost, logtest.Vanished, logtest.Applied}
-		l.SetFate(func(string, []byte) logtest.Fate {
+		fates := []logtest.Outcome{logtest.Lost, logtest.Vanished, logtest.Applied}
+		l.SetFate(func(string, []byte) logtest.Outcome {
 			f := fates[0]
 			fates = fates[1:]
 			return f
@@ -109,7 +109,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		c := newClient(t, l)
-		l.SetFate(func(string, []byte) logtest.Fate { return logtest.Postponed })
+		l.SetFate(func(string, []byte) logtest.Outcome { return logtest.Postponed })
 		r, err := c.Append(t.Context(), "s", entry("late"))
 		assert.Equal(t, code.Of(err).Run, code.Unknown)
 		assert.Equal(t, code.Of(err).Code, code.LogLostAnswer)
@@ -152,7 +152,7 @@
 func TestCallerWhoLeavesInTheMiddleHearsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
-		l.SetFate(func(string, []byte) logtest.Fate { return logtest.Vanished })
+		l.SetFate(func(string, []byte) logtest.Outcome { return logtest.Vanished })
 		c := newClient(t, l)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
--- a/internal/logclient/logtest/logtest.go
+++ b/internal/logclient/logtest/logtest.go
@@ -15,12 +15,12 @@
 // errLost stands for an answer that never came.
 var errLost = errors.New("answer lost")
 
-// Fate is what becomes of one append.
-type Fate int
+// Outcome is what becomes of one append.
+type Outcome int
 
 // The fates of an append.
 const (
-	Applied   Fate = iota // in the log, answer received
+	Applied   Outcome = iota // in the log, answer received
 	Refused               // not in the log, and said so
 	Lost                  // in the log, answer lost
 	Vanished              // not in the log, answer lost
@@ -33,7 +33,7 @@
 	mu      sync.Mutex
 	streams map[string]*stream
 	down    bool
-	fate    func(stream string, data []byte) Fate
+	fate    func(stream string, data []byte) Outcome
 	stale   int // reads still to be answered from an older state
 	late    []lateAppend
 	changed chan struct{}
@@ -66,7 +66,7 @@
 func (l *Log) SetLatency(d time.Duration) { l.with(func() { l.latency = d }) }
 
 // SetFate sets the fate of the appends from now on; nil applies all.
-func (l *Log) SetFate(f func(stream string, data []byte) Fate) { l.with(func() { l.fate = f }) }
+func (l *Log) SetFate(f func(stream string, data []byte) Outcome) { l.with(func() { l.fate = f }) }
 
 // SetStale answers the next n reads from an older, shorter state.
 func (l *Log) SetStale(n int) { l.with(func() { l.stale = n }) }
@@ -149,7 +149,7 @@
 	return offset, err
 }
 
-func (l *Log) apply(fate Fate, name string, data []byte) (uint64, error) {
+func (l *Log) apply(fate Outcome, name string, data []byte) (uint64, error) {
 	switch fate {
 	case Refused:
 		return 0, driver.ErrNotSent
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -105,10 +105,10 @@
 	l.SetLatency(5 * time.Millisecond)
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	var mu sync.Mutex
-	l.SetFate(func(string, []byte) logtest.Fate {
+	l.SetFate(func(string, []byte) logtest.Outcome {
 		mu.Lock()
 		defer mu.Unlock()
-		return []logtest.Fate{logtest.Applied, logtest.Applied, logtest.Lost, logtest.Vanished, logtest.Refused}[rnd.IntN(5)]
+		return []logtest.Outcome{logtest.Applied, logtest.Applied, logtest.Lost, logtest.Vanished, logtest.Refused}[rnd.IntN(5)]
 	})
 	var rec recorder
 	var wg sync.WaitGroup
