--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -88,12 +88,12 @@
 		p.log.setCut(false)
 	case 3:
 		seq := c.rng.Uint64()
-		c.log.SetFate(func(string, []byte) logtest.Outcome {
+		c.log.SetOutcome(func(string, []byte) logtest.Outcome {
 			seq = seq*6364136223846793005 + 1
 			return []logtest.Outcome{logtest.Applied, logtest.Lost, logtest.Vanished, logtest.Postponed, logtest.Applied}[seq>>40%5]
 		})
 	case 4:
-		c.log.SetFate(nil)
+		c.log.SetOutcome(nil)
 	case 5:
 		c.log.Release()
 	case 6:
@@ -147,7 +147,7 @@
 	for _, p := range c.processes {
 		p.log.setCut(false)
 	}
-	c.log.SetFate(nil)
+	c.log.SetOutcome(nil)
 	c.log.Release()
 	c.resumeOrders()
 	c.setUnresponsive(false)
--- a/internal/logclient/client_test.go
+++ b/internal/logclient/client_test.go
@@ -89,7 +89,7 @@
 		l := logtest.New()
 		c := newClient(t, l)
 		fates := []logtest.Outcome{logtest.Lost, logtest.Vanished, logtest.Applied}
-		l.SetFate(func(string, []byte) logtest.Outcome {
+		l.SetOutcome(func(string, []byte) logtest.Outcome {
 			f := fates[0]
 			fates = fates[1:]
 			return f
@@ -109,11 +109,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		c := newClient(t, l)
-		l.SetFate(func(string, []byte) logtest.Outcome { return logtest.Postponed })
+		l.SetOutcome(func(string, []byte) logtest.Outcome { return logtest.Postponed })
 		r, err := c.Append(t.Context(), "s", entry("late"))
 		assert.Equal(t, code.Of(err).Run, code.Unknown)
 		assert.Equal(t, code.Of(err).Code, code.LogLostAnswer)
-		l.SetFate(nil)
+		l.SetOutcome(nil)
 		next, err := c.Append(t.Context(), "s", entry("next"))
 		assert.NilError(t, err)
 		assert.Assert(t, next.Seq > r.Seq)
@@ -152,7 +152,7 @@
 func TestCallerWhoLeavesInTheMiddleHearsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
-		l.SetFate(func(string, []byte) logtest.Outcome { return logtest.Vanished })
+		l.SetOutcome(func(string, []byte) logtest.Outcome { return logtest.Vanished })
 		c := newClient(t, l)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
--- a/internal/logclient/logtest/logtest.go
+++ b/internal/logclient/logtest/logtest.go
@@ -65,8 +65,8 @@
 // SetLatency sets how long an append takes.
 func (l *Log) SetLatency(d time.Duration) { l.with(func() { l.latency = d }) }
 
-// SetFate sets the fate of the appends from now on; nil applies all.
-func (l *Log) SetFate(f func(stream string, data []byte) Outcome) { l.with(func() { l.fate = f }) }
+// SetOutcome sets the fate of the appends from now on; nil applies all.
+func (l *Log) SetOutcome(f func(stream string, data []byte) Outcome) { l.with(func() { l.fate = f }) }
 
 // SetStale answers the next n reads from an older, shorter state.
 func (l *Log) SetStale(n int) { l.with(func() { l.stale = n }) }
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -105,7 +105,7 @@
 	l.SetLatency(5 * time.Millisecond)
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	var mu sync.Mutex
-	l.SetFate(func(string, []byte) logtest.Outcome {
+	l.SetOutcome(func(string, []byte) logtest.Outcome {
 		mu.Lock()
 		defer mu.Unlock()
 		return []logtest.Outcome{logtest.Applied, logtest.Applied, logtest.Lost, logtest.Vanished, logtest.Refused}[rnd.IntN(5)]
@@ -143,7 +143,7 @@
 // settleUnknown gives the publishes without a verdict the one that the log
 // shows in the end. They may have taken effect at any time since they began.
 func settleUnknown(t *testing.T, l *logtest.Log, ops []porcupine.Operation) {
-	l.SetFate(nil)
+	l.SetOutcome(nil)
 	c := logclient.New(logclient.Options{Log: l, Writer: "auditor", VM: "room"})
 	defer func() { assert.NilError(t, c.Close()) }()
 	_, verdicts, err := ReadAccepted(t.Context(), c, "config")
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -190,7 +190,7 @@
 		f := newFleet(t)
 		defer f.close()
 		n := 0
-		f.log.SetFate(func(string, []byte) logtest.Outcome {
+		f.log.SetOutcome(func(string, []byte) logtest.Outcome {
 			n++
 			if n < 10 {
 				return logtest.Postponed
