--- a/internal/logclient/client_test.go
+++ b/internal/logclient/client_test.go
@@ -88,7 +88,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		c := newClient(t, l)
-		fates := []logtest.Outcome{logtest.Lost, logtest.Vanished, logtest.Applied}
+		fates := []logtest.Outcome{logtest.AnswerLost, logtest.Vanished, logtest.Applied}
 		l.SetOutcome(func(string, []byte) logtest.Outcome {
 			f := fates[0]
 			fates = fates[1:]
--- a/internal/logclient/logtest/logtest.go
+++ b/internal/logclient/logtest/logtest.go
@@ -22,7 +22,7 @@
 const (
 	Applied   Outcome = iota // in the log, answer received
 	Refused               // not in the log, and said so
-	Lost                  // in the log, answer lost
+	AnswerLost                  // in the log, answer lost
 	Vanished              // not in the log, answer lost
 	Postponed             // answer lost, in the log once Release is called
 )
@@ -153,7 +153,7 @@
 	switch fate {
 	case Refused:
 		return 0, driver.ErrNotSent
-	case Lost:
+	case AnswerLost:
 		l.add(name, data)
 		return 0, errLost
 	case Vanished:
