--- a/internal/logclient/client_test.go
+++ b/internal/logclient/client_test.go
@@ -88,7 +88,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		c := newClient(t, l)
-		fates := []logtest.Outcome{logtest.AnswerLost, logtest.Vanished, logtest.Applied}
+		fates := []logtest.Outcome{logtest.AnswerLost, logtest.Dropped, logtest.Applied}
 		l.SetOutcome(func(string, []byte) logtest.Outcome {
 			f := fates[0]
 			fates = fates[1:]
@@ -152,7 +152,7 @@
 func TestCallerWhoLeavesInTheMiddleHearsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
-		l.SetOutcome(func(string, []byte) logtest.Outcome { return logtest.Vanished })
+		l.SetOutcome(func(string, []byte) logtest.Outcome { return logtest.Dropped })
 		c := newClient(t, l)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
--- a/internal/logclient/logtest/logtest.go
+++ b/internal/logclient/logtest/logtest.go
@@ -23,7 +23,7 @@
 	Applied   Outcome = iota // in the log, answer received
 	Refused               // not in the log, and said so
 	AnswerLost                  // in the log, answer lost
-	Vanished              // not in the log, answer lost
+	Dropped              // not in the log, answer lost
 	Postponed             // answer lost, in the log once Release is called
 )
 
@@ -156,7 +156,7 @@
 	case AnswerLost:
 		l.add(name, data)
 		return 0, errLost
-	case Vanished:
+	case Dropped:
 		return 0, errLost
 	case Postponed:
 		l.late = append(l.late, lateAppend{name, data})
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -108,7 +108,7 @@
 	l.SetOutcome(func(string, []byte) logtest.Outcome {
 		mu.Lock()
 		defer mu.Unlock()
-		return []logtest.Outcome{logtest.Applied, logtest.Applied, logtest.AnswerLost, logtest.Vanished, logtest.Refused}[rnd.IntN(5)]
+		return []logtest.Outcome{logtest.Applied, logtest.Applied, logtest.AnswerLost, logtest.Dropped, logtest.Refused}[rnd.IntN(5)]
 	})
 	var rec recorder
 	var wg sync.WaitGroup
