--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -90,7 +90,7 @@
 		seq := c.rng.Uint64()
 		c.log.SetOutcome(func(string, []byte) logtest.Outcome {
 			seq = seq*6364136223846793005 + 1
-			return []logtest.Outcome{logtest.Applied, logtest.AnswerLost, logtest.Dropped, logtest.Postponed, logtest.Applied}[seq>>40%5]
+			return []logtest.Outcome{logtest.Applied, logtest.AnswerLost, logtest.Dropped, logtest.Delayed, logtest.Applied}[seq>>40%5]
 		})
 	case 4:
 		c.log.SetOutcome(nil)
--- a/internal/logclient/client_test.go
+++ b/internal/logclient/client_test.go
@@ -109,7 +109,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		c := newClient(t, l)
-		l.SetOutcome(func(string, []byte) logtest.Outcome { return logtest.Postponed })
+		l.SetOutcome(func(string, []byte) logtest.Outcome { return logtest.Delayed })
 		r, err := c.Append(t.Context(), "s", entry("late"))
 		assert.Equal(t, code.Of(err).Run, code.Unknown)
 		assert.Equal(t, code.Of(err).Code, code.LogLostAnswer)
--- a/internal/logclient/logtest/logtest.go
+++ b/internal/logclient/logtest/logtest.go
@@ -24,7 +24,7 @@
 	Refused               // not in the log, and said so
 	AnswerLost                  // in the log, answer lost
 	Dropped              // not in the log, answer lost
-	Postponed             // answer lost, in the log once Release is called
+	Delayed             // answer lost, in the log once Release is called
 )
 
 // Log is the service. Its fields are set before its first use; the methods
@@ -158,7 +158,7 @@
 		return 0, errLost
 	case Dropped:
 		return 0, errLost
-	case Postponed:
+	case Delayed:
 		l.late = append(l.late, lateAppend{name, data})
 		return 0, errLost
 	default:
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -193,7 +193,7 @@
 		f.log.SetOutcome(func(string, []byte) logtest.Outcome {
 			n++
 			if n < 10 {
-				return logtest.Postponed
+				return logtest.Delayed
 			}
 			return logtest.Applied
 		})
