--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -95,7 +95,7 @@
 	case 4:
 		c.log.SetOutcome(nil)
 	case 5:
-		c.log.Release()
+		c.log.ReleaseDelayed()
 	case 6:
 		e.withLock(func() { e.crashDuringOrder = true })
 	case 7:
@@ -148,7 +148,7 @@
 		p.log.setCut(false)
 	}
 	c.log.SetOutcome(nil)
-	c.log.Release()
+	c.log.ReleaseDelayed()
 	c.resumeOrders()
 	c.setUnresponsive(false)
 	for _, e := range c.engines {
--- a/internal/logclient/client_test.go
+++ b/internal/logclient/client_test.go
@@ -117,7 +117,7 @@
 		next, err := c.Append(t.Context(), "s", entry("next"))
 		assert.NilError(t, err)
 		assert.Assert(t, next.Seq > r.Seq)
-		l.Release()
+		l.ReleaseDelayed()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		assert.DeepEqual(t, ids(collect(ctx, c, 1)()), []string{"next"})
--- a/internal/logclient/logtest/logtest.go
+++ b/internal/logclient/logtest/logtest.go
@@ -71,8 +71,8 @@
 // SetStale answers the next n reads from an older, shorter state.
 func (l *Log) SetStale(n int) { l.with(func() { l.stale = n }) }
 
-// Release lets the postponed appends appear.
-func (l *Log) Release() {
+// ReleaseDelayed lets the postponed appends appear.
+func (l *Log) ReleaseDelayed() {
 	l.with(func() {
 		for _, a := range l.late {
 			l.add(a.stream, a.data)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -199,7 +199,7 @@
 		})
 		_, err := f.publish(0, "lost")
 		assert.Equal(t, code.Of(err).Run, code.NotRun, "%v", err)
-		f.log.Release()
+		f.log.ReleaseDelayed()
 		r := f.start("vm0", false)
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, r.View().Version, uint64(0))
