--- a/internal/logclient/client_test.go
+++ b/internal/logclient/client_test.go
@@ -178,7 +178,7 @@
 			synctest.Wait()
 		}
 		add("1")
-		l.SetStale(3)
+		l.SetStaleReads(3)
 		add("2")
 		time.Sleep(10 * time.Second)
 		_, err := l.Append(ctx, "s", []byte("no envelope"))
--- a/internal/logclient/logtest/logtest.go
+++ b/internal/logclient/logtest/logtest.go
@@ -68,8 +68,8 @@
 // SetOutcome sets the fate of the appends from now on; nil applies all.
 func (l *Log) SetOutcome(f func(stream string, data []byte) Outcome) { l.with(func() { l.fate = f }) }
 
-// SetStale answers the next n reads from an older, shorter state.
-func (l *Log) SetStale(n int) { l.with(func() { l.stale = n }) }
+// SetStaleReads answers the next n reads from an older, shorter state.
+func (l *Log) SetStaleReads(n int) { l.with(func() { l.stale = n }) }
 
 // ReleaseDelayed lets the postponed appends appear.
 func (l *Log) ReleaseDelayed() {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -258,7 +258,7 @@
 		}
 		base := uint64(0)
 		for i := range 30 {
-			f.log.SetStale(i % 4)
+			f.log.SetStaleReads(i % 4)
 			f.logs["vm1"].set(i%3 == 0)
 			v, err := f.publish(base, fmt.Sprint("p", i))
 			assert.NilError(t, err)
