--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -82,18 +82,18 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.markReceived(e.Offset)
-	if e.Newest || !e.Heard && !x.IsReader() {
+	if e.Newest || !e.FromPeer && !x.IsReader() {
 		x.newestOffset = max(x.newestOffset, e.Offset)
 		return
 	}
 	c := &wire.Change{Key: e.Key, Value: e.Value, Offset: uint64(e.Offset), Previous: uint64(x.newestOffset), KeptMs: uint32(max(e.Kept, 0).Milliseconds())}
-	if e.Heard {
+	if e.FromPeer {
 		c.Previous = uint64(x.previous[e.Offset])
 	}
 	now := x.clock.Now()
 	x.recent = slices.DeleteFunc(x.recent, func(t announcedChange) bool { return now.Sub(t.at) >= announceFor })
 	if len(x.recent) < maxRecentChanges {
-		x.recent = append(x.recent, announcedChange{c, now, e.Heard, forwardsPerChange})
+		x.recent = append(x.recent, announcedChange{c, now, e.FromPeer, forwardsPerChange})
 	}
 	x.newestOffset = max(x.newestOffset, e.Offset)
 }
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -89,7 +89,7 @@
 	b := nextBeat(x)
 	assert.Equal(t, len(b.GetChanges()), 0)
 	assert.Equal(t, b.GetLastChange(), uint64(3))
-	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Heard: true})
+	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, FromPeer: true})
 	x.fillForwarded(b)
 	assert.Equal(t, len(b.GetChanges()), 1, "a received change is forwarded")
 }
@@ -167,9 +167,9 @@
 	first, second := sent.GetChanges()[0], sent.GetChanges()[1]
 	forward := func(changes ...*wire.Change) { x.receive(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
 	forward(second)
-	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Heard: true})
+	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, FromPeer: true})
 	forward(first)
-	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 3, Heard: true})
+	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 3, FromPeer: true})
 	c.T = c.T.Add(maxLag)
 	forward()
 	assert.DeepEqual(t, applied, map[string]string{"a": "1", "b": "1"})
--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -20,7 +20,7 @@
 	Key    string
 	Value  []byte
 	Offset int64
-	Heard  bool // read elsewhere, and told to this process
+	FromPeer  bool // read elsewhere, and told to this process
 	Newest bool // one of the newest records that a reader starts from
 	// Kept is how long the process that read the key's end still goes by the
 	// value before it.
@@ -86,7 +86,7 @@
 
 // Hear applies an entry that was read elsewhere.
 func (f *Follower) Hear(e Entry) {
-	e.Heard = true
+	e.FromPeer = true
 	f.apply(e)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -158,7 +158,7 @@
 		n.fresh.InForce(c.Version)
 	}
 	n.share.Set(e)
-	if !e.Heard {
+	if !e.FromPeer {
 		n.gossip.Soon() // those that don't read the store wait for it
 	}
 	n.news()
