--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -82,7 +82,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.markReceived(e.Offset)
-	if e.Newest || !e.FromPeer && !x.IsReader() {
+	if e.Initial || !e.FromPeer && !x.IsReader() {
 		x.newestOffset = max(x.newestOffset, e.Offset)
 		return
 	}
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -74,7 +74,7 @@
 func TestEntriesReadAtStartAreNotAnnounced(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	x := NewChanges(c, nil)
-	x.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3, Newest: true})
+	x.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3, Initial: true})
 	b := nextBeat(x)
 	assert.Equal(t, len(b.GetChanges()), 0)
 	assert.Equal(t, b.GetLastChange(), uint64(3))
@@ -130,7 +130,7 @@
 func TestGapBelowTheNewestChangeIsFound(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	x, _, reads := startFollower(t, c)
-	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 2, Newest: true})
+	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 2, Initial: true})
 	forward := func(changes ...*wire.Change) { x.receive(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
 	forward(&wire.Change{Key: "d", Offset: 9, Previous: 2})
 	forward(&wire.Change{Key: "b", Offset: 6, Previous: 5})
--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -21,7 +21,7 @@
 	Value  []byte
 	Offset int64
 	FromPeer  bool // read elsewhere, and told to this process
-	Newest bool // one of the newest records that a reader starts from
+	Initial bool // one of the newest records that a reader starts from
 	// Kept is how long the process that read the key's end still goes by the
 	// value before it.
 	Kept time.Duration
@@ -258,7 +258,7 @@
 	present := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		present[e.Key] = true
-		e.Newest = true
+		e.Initial = true
 		f.apply(e)
 	}
 	f.mu.Lock()
