--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -86,7 +86,7 @@
 		x.newestOffset = max(x.newestOffset, e.Offset)
 		return
 	}
-	c := &wire.Change{Key: e.Key, Value: e.Value, Offset: uint64(e.Offset), Previous: uint64(x.newestOffset), KeptMs: uint32(max(e.Kept, 0).Milliseconds())}
+	c := &wire.Change{Key: e.Key, Value: e.Value, Offset: uint64(e.Offset), Previous: uint64(x.newestOffset), KeptMs: uint32(max(e.GracePeriod, 0).Milliseconds())}
 	if e.FromPeer {
 		c.Previous = uint64(x.previous[e.Offset])
 	}
@@ -131,7 +131,7 @@
 	x.recordIncoming(b.GetChanges())
 	for _, c := range b.GetChanges() {
 		e := keyedlog.Entry{
-			Key: c.GetKey(), Offset: int64(c.GetOffset()), Kept: time.Duration(c.GetKeptMs()) * time.Millisecond,
+			Key: c.GetKey(), Offset: int64(c.GetOffset()), GracePeriod: time.Duration(c.GetKeptMs()) * time.Millisecond,
 		}
 		if len(c.GetValue()) > 0 {
 			e.Value = c.GetValue()
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -60,7 +60,7 @@
 	reader := NewChanges(c, nil)
 	x, applied, reads := startFollower(t, c)
 	reader.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3})
-	reader.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Kept: time.Second})
+	reader.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, GracePeriod: time.Second})
 	sent := nextBeat(reader)
 	assert.Equal(t, sent.GetChanges()[1].GetKeptMs(), uint32(1000))
 	x.receive(sent)
--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -22,9 +22,9 @@
 	Offset int64
 	FromPeer  bool // read elsewhere, and told to this process
 	Initial bool // one of the newest records that a reader starts from
-	// Kept is how long the process that read the key's end still goes by the
+	// GracePeriod is how long the process that read the key's end still goes by the
 	// value before it.
-	Kept time.Duration
+	GracePeriod time.Duration
 }
 
 // Source is a keyed log.
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -184,10 +184,10 @@
 // what the VM that read it makes of it.
 func (n *Node) endEndpoint(e keyedlog.Entry) {
 	changed := false
-	if e.Kept > 0 {
-		changed = n.catalog.Lapse(e.Key, e.Kept)
+	if e.GracePeriod > 0 {
+		changed = n.catalog.Lapse(e.Key, e.GracePeriod)
 	} else {
-		changed, e.Kept = n.catalog.RemoveEndpoint(e.Key)
+		changed, e.GracePeriod = n.catalog.RemoveEndpoint(e.Key)
 	}
 	if changed {
 		n.changes.RecordApplied(e)
