--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -42,9 +42,9 @@
 type Follower struct {
 	Name   string // for logs
 	Source Source
-	// Wait is how long a read waits for a record, as it is now; zero returns
+	// ReadWait is how long a read waits for a record, as it is now; zero returns
 	// at once.
-	Wait func() time.Duration
+	ReadWait func() time.Duration
 	// Pause is the time between two reads, as it is now. Changes that come
 	// within it cost one read together. Without it reads follow each other.
 	Pause func() time.Duration
@@ -78,7 +78,7 @@
 func New(name string, source Source) *Follower {
 	return &Follower{
 		Name: name, Source: source, Lost: func() {}, Read: func(clock.Time) {}, Clock: clock.Boot{}, Pause: func() time.Duration { return 0 },
-		Wait:  func() time.Duration { return 0 },
+		ReadWait:  func() time.Duration { return 0 },
 		Begin: func() {}, End: func() {},
 		offsets: map[string]int64{}, nudged: make(chan struct{}, 1),
 	}
@@ -211,7 +211,7 @@
 // read waits for records, unless it is nudged: then the connection that it waits
 // on may have gone silent, and the records are read on another one.
 func (f *Follower) read(ctx context.Context) ([]Entry, int64, error) {
-	wait, from := f.Wait(), f.from()
+	wait, from := f.ReadWait(), f.from()
 	f.sentAt = f.Clock.Now()
 	if wait == 0 {
 		return f.Source.Read(ctx, from, 0)
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -41,7 +41,7 @@
 func (n *Node) followers() {
 	n.config = keyedlog.New("config", n.adapter.Configs())
 	n.config.Apply, n.config.OneKey = n.applyConfig, true
-	n.config.Wait, n.config.Pause, n.config.Clock = n.configWait, n.configPause, n.clock
+	n.config.ReadWait, n.config.Pause, n.config.Clock = n.configWait, n.configPause, n.clock
 	if n.fresh != nil {
 		n.config.Read = n.fresh.Read
 	}
