--- a/internal/configsync/configsync_test.go
+++ b/internal/configsync/configsync_test.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	v := &vm{clock: &clock.Manual{T: clock.Time(time.Hour)}, store: &awayLog{}}
 	f := keyedlog.New("config", v.store)
-	f.Pause = func() time.Duration { return time.Hour }
+	f.ReadInterval = func() time.Duration { return time.Hour }
 	f.Apply = func(e keyedlog.Entry) { v.version.Store(uint64(len(e.Value))) }
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -31,7 +31,7 @@
 	src := emptyLog{make(chan struct{}, 8)}
 	f := keyedlog.New("fleet", src)
 	f.Apply = func(e keyedlog.Entry) { applied[e.Key] = string(e.Value) }
-	f.Pause = func() time.Duration { return time.Hour }
+	f.ReadInterval = func() time.Duration { return time.Hour }
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = f.Run(ctx) }()
--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -45,9 +45,9 @@
 	// ReadWait is how long a read waits for a record, as it is now; zero returns
 	// at once.
 	ReadWait func() time.Duration
-	// Pause is the time between two reads, as it is now. Changes that come
+	// ReadInterval is the time between two reads, as it is now. Changes that come
 	// within it cost one read together. Without it reads follow each other.
-	Pause func() time.Duration
+	ReadInterval func() time.Duration
 	// Apply takes a change. Offsets of one key only grow.
 	Apply func(Entry)
 	// Read is called after each read that succeeded, once what it found is applied,
@@ -77,7 +77,7 @@
 // New returns a follower of source; its other fields are set by the caller.
 func New(name string, source Source) *Follower {
 	return &Follower{
-		Name: name, Source: source, Lost: func() {}, Read: func(clock.Time) {}, Clock: clock.Boot{}, Pause: func() time.Duration { return 0 },
+		Name: name, Source: source, Lost: func() {}, Read: func(clock.Time) {}, Clock: clock.Boot{}, ReadInterval: func() time.Duration { return 0 },
 		ReadWait:  func() time.Duration { return 0 },
 		Begin: func() {}, End: func() {},
 		offsets: map[string]int64{}, nudged: make(chan struct{}, 1),
@@ -170,9 +170,9 @@
 // pauseNow is how long the pause is; one after a failure has a least length.
 func (f *Follower) pauseNow() time.Duration {
 	if f.failing {
-		return max(f.Pause(), retryPause)
+		return max(f.ReadInterval(), retryPause)
 	}
-	return f.Pause()
+	return f.ReadInterval()
 }
 
 // note logs the loss and the return of the source once each.
--- a/internal/keyedlog/keyedlog_test.go
+++ b/internal/keyedlog/keyedlog_test.go
@@ -145,7 +145,7 @@
 	s.cancel = cancel
 	f := New("test", s)
 	f.Apply = func(Entry) {}
-	f.Pause = func() time.Duration {
+	f.ReadInterval = func() time.Duration {
 		if len(s.from) == 0 {
 			return 0
 		}
