--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -50,9 +50,9 @@
 	ReadInterval func() time.Duration
 	// Apply takes a change. Offsets of one key only grow.
 	Apply func(Entry)
-	// Read is called after each read that succeeded, once what it found is applied,
+	// OnRead is called after each read that succeeded, once what it found is applied,
 	// with the moment at which it was sent.
-	Read func(sentAt clock.Time)
+	OnRead func(sentAt clock.Time)
 	// Clock gives that moment.
 	Clock clock.Clock
 	// Lost is called after each read that failed.
@@ -77,7 +77,7 @@
 // New returns a follower of source; its other fields are set by the caller.
 func New(name string, source Source) *Follower {
 	return &Follower{
-		Name: name, Source: source, Lost: func() {}, Read: func(clock.Time) {}, Clock: clock.Boot{}, ReadInterval: func() time.Duration { return 0 },
+		Name: name, Source: source, Lost: func() {}, OnRead: func(clock.Time) {}, Clock: clock.Boot{}, ReadInterval: func() time.Duration { return 0 },
 		ReadWait:  func() time.Duration { return 0 },
 		Begin: func() {}, End: func() {},
 		offsets: map[string]int64{}, nudged: make(chan struct{}, 1),
@@ -123,7 +123,7 @@
 		}
 		f.note(err)
 		if err == nil {
-			f.Read(f.sentAt)
+			f.OnRead(f.sentAt)
 		} else {
 			f.Lost()
 		}
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -43,13 +43,13 @@
 	n.config.Apply, n.config.OneKey = n.applyConfig, true
 	n.config.ReadWait, n.config.ReadInterval, n.config.Clock = n.configWait, n.configPause, n.clock
 	if n.fresh != nil {
-		n.config.Read = n.fresh.Read
+		n.config.OnRead = n.fresh.Read
 	}
 	n.puller = configsync.NewPuller(n.clock, n.version, n.config)
 	n.fleet = keyedlog.New("fleet", n.adapter.Endpoints())
 	n.fleet.Apply, n.fleet.Begin, n.fleet.End = n.applyEndpoint, n.catalog.Hold, n.catalog.Release
 	n.fleet.ReadInterval, n.fleet.Lost = n.members.ReadPause, n.catalog.Unreachable
-	n.fleet.Read = func(clock.Time) {
+	n.fleet.OnRead = func(clock.Time) {
 		n.members.HaveRead()
 		n.changes.RecordRead(n.fleet.Next())
 	}
