--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -55,8 +55,8 @@
 	OnRead func(sentAt clock.Time)
 	// Clock gives that moment.
 	Clock clock.Clock
-	// Lost is called after each read that failed.
-	Lost func()
+	// OnReadError is called after each read that failed.
+	OnReadError func()
 	// Begin and End are called around the entries of one read.
 	Begin, End func()
 	// OneKey tells that only one key matters, so that what lies before a record
@@ -77,7 +77,7 @@
 // New returns a follower of source; its other fields are set by the caller.
 func New(name string, source Source) *Follower {
 	return &Follower{
-		Name: name, Source: source, Lost: func() {}, OnRead: func(clock.Time) {}, Clock: clock.Boot{}, ReadInterval: func() time.Duration { return 0 },
+		Name: name, Source: source, OnReadError: func() {}, OnRead: func(clock.Time) {}, Clock: clock.Boot{}, ReadInterval: func() time.Duration { return 0 },
 		ReadWait:  func() time.Duration { return 0 },
 		Begin: func() {}, End: func() {},
 		offsets: map[string]int64{}, nudged: make(chan struct{}, 1),
@@ -125,7 +125,7 @@
 		if err == nil {
 			f.OnRead(f.sentAt)
 		} else {
-			f.Lost()
+			f.OnReadError()
 		}
 		if !f.started {
 			if !clock.Sleep(ctx, retry) {
--- a/internal/keyedlog/keyedlog_test.go
+++ b/internal/keyedlog/keyedlog_test.go
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	s.cancel = cancel
 	f := New("test", s)
-	f.Lost = func() { lost++ }
+	f.OnReadError = func() { lost++ }
 	f.Apply = func(e Entry) {
 		value := string(e.Value)
 		if e.Value == nil {
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -48,7 +48,7 @@
 	n.puller = configsync.NewPuller(n.clock, n.version, n.config)
 	n.fleet = keyedlog.New("fleet", n.adapter.Endpoints())
 	n.fleet.Apply, n.fleet.Begin, n.fleet.End = n.applyEndpoint, n.catalog.Hold, n.catalog.Release
-	n.fleet.ReadInterval, n.fleet.Lost = n.members.ReadPause, n.catalog.Unreachable
+	n.fleet.ReadInterval, n.fleet.OnReadError = n.members.ReadPause, n.catalog.Unreachable
 	n.fleet.OnRead = func(clock.Time) {
 		n.members.HaveRead()
 		n.changes.RecordRead(n.fleet.Next())
