--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -57,8 +57,8 @@
 	Clock clock.Clock
 	// OnReadError is called after each read that failed.
 	OnReadError func()
-	// Begin and End are called around the entries of one read.
-	Begin, End func()
+	// BeginBatch and End are called around the entries of one read.
+	BeginBatch, End func()
 	// OneKey tells that only one key matters, so that what lies before a record
 	// that was heard needn't be read.
 	OneKey bool
@@ -79,7 +79,7 @@
 	return &Follower{
 		Name: name, Source: source, OnReadError: func() {}, OnRead: func(clock.Time) {}, Clock: clock.Boot{}, ReadInterval: func() time.Duration { return 0 },
 		ReadWait:  func() time.Duration { return 0 },
-		Begin: func() {}, End: func() {},
+		BeginBatch: func() {}, End: func() {},
 		offsets: map[string]int64{}, nudged: make(chan struct{}, 1),
 	}
 }
@@ -199,7 +199,7 @@
 	if err != nil {
 		return err
 	}
-	f.Begin()
+	f.BeginBatch()
 	defer f.End()
 	for _, e := range entries {
 		f.apply(e)
@@ -253,7 +253,7 @@
 	if err != nil {
 		return err
 	}
-	f.Begin()
+	f.BeginBatch()
 	defer f.End()
 	present := make(map[string]bool, len(entries))
 	for _, e := range entries {
