--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -57,8 +57,8 @@
 	Clock clock.Clock
 	// OnReadError is called after each read that failed.
 	OnReadError func()
-	// BeginBatch and End are called around the entries of one read.
-	BeginBatch, End func()
+	// BeginBatch and EndBatch are called around the entries of one read.
+	BeginBatch, EndBatch func()
 	// OneKey tells that only one key matters, so that what lies before a record
 	// that was heard needn't be read.
 	OneKey bool
@@ -79,7 +79,7 @@
 	return &Follower{
 		Name: name, Source: source, OnReadError: func() {}, OnRead: func(clock.Time) {}, Clock: clock.Boot{}, ReadInterval: func() time.Duration { return 0 },
 		ReadWait:  func() time.Duration { return 0 },
-		BeginBatch: func() {}, End: func() {},
+		BeginBatch: func() {}, EndBatch: func() {},
 		offsets: map[string]int64{}, nudged: make(chan struct{}, 1),
 	}
 }
@@ -200,7 +200,7 @@
 		return err
 	}
 	f.BeginBatch()
-	defer f.End()
+	defer f.EndBatch()
 	for _, e := range entries {
 		f.apply(e)
 	}
@@ -254,7 +254,7 @@
 		return err
 	}
 	f.BeginBatch()
-	defer f.End()
+	defer f.EndBatch()
 	present := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		present[e.Key] = true
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -47,7 +47,7 @@
 	}
 	n.puller = configsync.NewPuller(n.clock, n.version, n.config)
 	n.fleet = keyedlog.New("fleet", n.adapter.Endpoints())
-	n.fleet.Apply, n.fleet.BeginBatch, n.fleet.End = n.applyEndpoint, n.catalog.Hold, n.catalog.Release
+	n.fleet.Apply, n.fleet.BeginBatch, n.fleet.EndBatch = n.applyEndpoint, n.catalog.Hold, n.catalog.Release
 	n.fleet.ReadInterval, n.fleet.OnReadError = n.members.ReadPause, n.catalog.Unreachable
 	n.fleet.OnRead = func(clock.Time) {
 		n.members.HaveRead()
