--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -59,9 +59,9 @@
 	OnReadError func()
 	// BeginBatch and EndBatch are called around the entries of one read.
 	BeginBatch, EndBatch func()
-	// OneKey tells that only one key matters, so that what lies before a record
+	// SingleKey tells that only one key matters, so that what lies before a record
 	// that was heard needn't be read.
-	OneKey bool
+	SingleKey bool
 
 	mu      sync.Mutex // guards offsets and heard, and makes Apply go one by one
 	offsets map[string]int64
@@ -239,7 +239,7 @@
 func (f *Follower) from() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.OneKey {
+	if f.SingleKey {
 		return max(f.next, f.heard)
 	}
 	return f.next
--- a/internal/keyedlog/keyedlog_test.go
+++ b/internal/keyedlog/keyedlog_test.go
@@ -124,7 +124,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		s.cancel = cancel
 		f := New("test", s)
-		f.OneKey = oneKey
+		f.SingleKey = oneKey
 		f.Apply = func(Entry) {}
 		f.Hear(entry("a", "5", 5))
 		assert.ErrorIs(t, f.Run(ctx), context.Canceled)
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -40,7 +40,7 @@
 // followers makes what follows the platform's keyed logs.
 func (n *Node) followers() {
 	n.config = keyedlog.New("config", n.adapter.Configs())
-	n.config.Apply, n.config.OneKey = n.applyConfig, true
+	n.config.Apply, n.config.SingleKey = n.applyConfig, true
 	n.config.ReadWait, n.config.ReadInterval, n.config.Clock = n.configWait, n.configPause, n.clock
 	if n.fresh != nil {
 		n.config.OnRead = n.fresh.Read
