--- a/internal/configsync/puller.go
+++ b/internal/configsync/puller.go
@@ -83,7 +83,7 @@
 func (p *Puller) pull(addr string) {
 	e, err := p.get(addr)
 	if err == nil {
-		p.config.Hear(e)
+		p.config.ReceiveEntry(e)
 	}
 	log.WithError(err).WithField("vm", addr).WithField("offset", e.Offset).WithField("version", p.own()).Info("configuration asked of a VM")
 	p.mu.Lock()
--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -136,7 +136,7 @@
 		if len(c.GetValue()) > 0 {
 			e.Value = c.GetValue()
 		}
-		x.follower.Hear(e)
+		x.follower.ReceiveEntry(e)
 	}
 	gap := x.findGaps(b.GetChanges()) && b.GetProbe() == nil
 	if gap || x.lagsBehindPeer(int64(b.GetLastChange())) || x.missingOverdue() {
--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// Hear applies an entry that was read elsewhere.
-func (f *Follower) Hear(e Entry) {
+// ReceiveEntry applies an entry that was read elsewhere.
+func (f *Follower) ReceiveEntry(e Entry) {
 	e.FromPeer = true
 	f.apply(e)
 	f.mu.Lock()
--- a/internal/keyedlog/keyedlog_test.go
+++ b/internal/keyedlog/keyedlog_test.go
@@ -126,7 +126,7 @@
 		f := New("test", s)
 		f.SingleKey = oneKey
 		f.Apply = func(Entry) {}
-		f.Hear(entry("a", "5", 5))
+		f.ReceiveEntry(entry("a", "5", 5))
 		assert.ErrorIs(t, f.Run(ctx), context.Canceled)
 		want := []int64{1, 1}
 		if oneKey {
