--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -93,8 +93,8 @@
 	f.heard = max(f.heard, e.Offset+1)
 }
 
-// Next is the offset that the next read begins at. It is for the functions that Run calls.
-func (f *Follower) Next() int64 { return f.next }
+// NextOffset is the offset that the next read begins at. It is for the functions that Run calls.
+func (f *Follower) NextOffset() int64 { return f.next }
 
 // Nudge ends a pause, or a read that waits for a record: there is something to
 // read that this process should have seen.
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -51,7 +51,7 @@
 	n.fleet.ReadInterval, n.fleet.OnReadError = n.members.ReadPause, n.catalog.Unreachable
 	n.fleet.OnRead = func(clock.Time) {
 		n.members.HaveRead()
-		n.changes.RecordRead(n.fleet.Next())
+		n.changes.RecordRead(n.fleet.NextOffset())
 	}
 	n.changes = gateway.NewChanges(n.clock, n.fleet)
 	n.changes.IsReader = n.members.Reads
