--- a/internal/configsync/puller.go
+++ b/internal/configsync/puller.go
@@ -65,7 +65,7 @@
 		return
 	case now.Sub(p.behind) >= storeAfter:
 		p.behind = now
-		p.config.Nudge()
+		p.config.Wake()
 	}
 	if version > own && !p.busy && now >= p.next && now.Sub(p.behind) >= pullAfter {
 		p.busy = true
--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -140,7 +140,7 @@
 	}
 	gap := x.findGaps(b.GetChanges()) && b.GetProbe() == nil
 	if gap || x.lagsBehindPeer(int64(b.GetLastChange())) || x.missingOverdue() {
-		x.follower.Nudge()
+		x.follower.Wake()
 	}
 }
 
--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -96,9 +96,9 @@
 // NextOffset is the offset that the next read begins at. It is for the functions that Run calls.
 func (f *Follower) NextOffset() int64 { return f.next }
 
-// Nudge ends a pause, or a read that waits for a record: there is something to
+// Wake ends a pause, or a read that waits for a record: there is something to
 // read that this process should have seen.
-func (f *Follower) Nudge() {
+func (f *Follower) Wake() {
 	select {
 	case f.nudged <- struct{}{}:
 	default:
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -135,7 +135,7 @@
 	now := n.clock.Now()
 	if age, _, ok := n.fresh.Age(); ok && age > confirmedAge && now.Sub(n.nudgedAt) > confirmedAge {
 		n.nudgedAt = now
-		n.config.Nudge()
+		n.config.Wake()
 	}
 }
 
