--- a/internal/fold/authority.go
+++ b/internal/fold/authority.go
@@ -8,67 +8,66 @@
 	"fescuestand/internal/wire"
 )
 
-// Holding says who has the authority over one scope.
+// Holding is the lease of one process on one scope (an engine).
 type Holding struct {
 	Scope  string
 	Writer string // incarnation of the holding process
 	VM     string
-	// Token is the fencing token: the offset of the claim that won.
+	// Token is the fencing token: the offset of the successful claim.
 	Token uint64
-	// Renewal is the offset of the claim, heartbeat or release that last
-	// touched the holding. A claim against it has to name Token and Renewal.
+	// Renewal is the offset of the last claim, heartbeat or release that changed the holding. A
+	// claim on the scope must name the current Token and Renewal.
 	Renewal  uint64
-	Released bool // given up: it may be claimed at once
+	Released bool // the holder gave it up: others may claim it immediately
 }
 
-// Authority is the fold of the control stream: which process holds which
-// engine.
+// Authority is the state of the control stream: which process holds which engine.
 //
-// Failure: two processes hold one engine at once and send it conflicting
-// orders. A claim wins iff the holding's token and last renewal are exactly
-// those that the claimant saw before it concluded that the lease had lapsed.
-// A holder that renewed in the meantime, another claimant that came first and
-// a claim that appears late in the log all change that pair, which never
-// recurs since offsets only grow. No clock takes part, so that readers of the
+// Failure: two processes hold one engine at the same time and send it conflicting orders. Therefore
+// a claim succeeds only if the token and the last renewal of the holding are exactly those that the
+// claimant saw before it concluded that the lease had expired. A renewal by the holder in the
+// meantime, an earlier claim of another process and a claim that appears late in the log all change
+// this pair. A pair never recurs, as offsets only grow. No clock is involved, so readers of the
 // same prefix agree.
 type Authority struct {
-	from        uint64
-	upto        uint64
+	firstOffset uint64
+	lastApplied uint64
 	established bool
-	held        []Item
+	pending     []Item
 
-	scopes    map[string]*Holding
-	writers   map[string]*holder // those that hold a scope
-	lastPoint CheckpointPosition
-	begun     uint64 // offset of the newest record that began the state anew
-	off       guardsOff
+	scopes         map[string]*Holding
+	writers        map[string]*holder // those that hold a scope
+	lastCheckpoint CheckpointPosition
+	resetOffset    uint64 // offset of the newest record that reset the state
+	disabled       disabledGuards
 }
 
+// holder is a writer that holds at least one scope.
 type holder struct {
-	seq    uint64 // last record that counted
+	seq    uint64 // last applied record
 	offset uint64 // of that record
 	scopes map[string]bool
 }
 
-// NewAuthority returns the fold of a stream that is read from offset from on.
-func NewAuthority(from uint64) *Authority {
-	from = max(from, 1)
+// NewAuthority returns the state of a stream that is read from offset firstOffset.
+func NewAuthority(firstOffset uint64) *Authority {
+	firstOffset = max(firstOffset, 1)
 	return &Authority{
-		from: from, upto: from - 1, established: from <= 1,
+		firstOffset: firstOffset, lastApplied: firstOffset - 1, established: firstOffset <= 1,
 		scopes: map[string]*Holding{}, writers: map[string]*holder{},
 	}
 }
 
-// Established reports whether the state is known; see Config.Established.
+// Established reports whether the state is complete; see Config.Established.
 func (a *Authority) Established() bool { return a.established }
 
-// LastApplied returns the newest offset folded.
-func (a *Authority) LastApplied() uint64 { return a.upto }
+// LastApplied returns the newest applied offset.
+func (a *Authority) LastApplied() uint64 { return a.lastApplied }
 
-// LastCheckpoint returns where the newest checkpoint stands.
-func (a *Authority) LastCheckpoint() CheckpointPosition { return a.lastPoint }
+// LastCheckpoint returns the position of the newest checkpoint.
+func (a *Authority) LastCheckpoint() CheckpointPosition { return a.lastCheckpoint }
 
-// Get returns the holding of a scope; ok is false if nobody ever held it.
+// Get returns the holding of a scope; ok is false if no process ever claimed it.
 func (a *Authority) Get(scope string) (h Holding, ok bool) {
 	p, ok := a.scopes[scope]
 	if !ok {
@@ -80,7 +79,7 @@
 // Holds reports whether a writer holds any scope.
 func (a *Authority) Holds(writer string) bool { return a.writers[writer] != nil }
 
-// HeldBy returns the scopes that a writer holds, in order.
+// HeldBy returns the scopes that a writer holds, sorted.
 func (a *Authority) HeldBy(writer string) []string {
 	h := a.writers[writer]
 	if h == nil {
@@ -89,7 +88,7 @@
 	return slices.Sorted(maps.Keys(h.scopes))
 }
 
-// Holdings returns every holding by scope.
+// Holdings returns all holdings, sorted by scope.
 func (a *Authority) Holdings() []Holding {
 	out := make([]Holding, 0, len(a.scopes))
 	for _, name := range slices.Sorted(maps.Keys(a.scopes)) {
@@ -98,34 +97,34 @@
 	return out
 }
 
-// Apply folds the next item. Items come in the order of the log.
+// Apply applies the next item. Items must come in log order.
 func (a *Authority) Apply(it Item) {
 	if it.Gap {
-		last, off := a.lastPoint, a.off
+		lastCheckpoint, disabled := a.lastCheckpoint, a.disabled
 		*a = *NewAuthority(it.Offset)
-		a.lastPoint, a.off = last, off
+		a.lastCheckpoint, a.disabled = lastCheckpoint, disabled
 		a.established = false
 		return
 	}
-	a.upto = it.Offset
+	a.lastApplied = it.Offset
 	if cp := it.Entry.GetAuthorityCheckpoint(); cp != nil {
-		a.checkpoint(&it, cp)
+		a.applyCheckpoint(&it, cp)
 		return
 	}
 	if !a.established {
-		a.held = append(a.held, it)
+		a.pending = append(a.pending, it)
 		return
 	}
-	a.step(&it)
+	a.applyEntry(&it)
 }
 
-// step folds one item into a known state.
+// applyEntry applies one item to a complete state.
 //
-// The records of a holder count in the order of their numbers, like those that
-// pass Dedup. Others need no such filter: without a holding a heartbeat and a
-// release change nothing, and a claim is judged by the pair it names.
-func (a *Authority) step(it *Item) {
-	if h := a.writers[it.Writer]; h != nil && !a.off.dedup {
+// The records of a holder are applied in increasing order of their sequence numbers, as with Dedup.
+// Records of other writers need no such filter: without a holding, a heartbeat or release has no
+// effect, and a claim is checked by the token and renewal that it names.
+func (a *Authority) applyEntry(it *Item) {
+	if h := a.writers[it.Writer]; h != nil && !a.disabled.dedup {
 		if it.Seq < h.seq || it.Seq == h.seq && it.Offset != h.offset {
 			return
 		}
@@ -134,35 +133,35 @@
 	switch k := it.Entry.GetKind().(type) {
 	case *wire.Entry_Claim:
 		for _, s := range k.Claim.Scopes {
-			a.claim(it, s)
+			a.applyClaim(it, s)
 		}
 	case *wire.Entry_Heartbeat:
-		a.renew(it)
+		a.applyHeartbeat(it)
 	case *wire.Entry_Release:
 		for _, s := range k.Release.Scopes {
-			a.release(it, s)
+			a.applyRelease(it, s)
 		}
 	}
 }
 
-func (a *Authority) claim(it *Item, s *wire.ScopeClaim) {
+func (a *Authority) applyClaim(it *Item, s *wire.ScopeClaim) {
 	cur := a.scopes[s.Scope]
 	if cur == nil {
 		cur = &Holding{Scope: s.Scope}
 	}
-	seen := cur.Token == s.SeenToken && (cur.Renewal == s.SeenRenewal || a.off.renewal)
+	seen := cur.Token == s.SeenToken && (cur.Renewal == s.SeenRenewal || a.disabled.renewalCheck)
 	if s.Scope == "" || !seen {
 		return
 	}
-	a.drop(cur.Writer, s.Scope)
+	a.removeScope(cur.Writer, s.Scope)
 	a.scopes[s.Scope] = &Holding{
 		Scope: s.Scope, Writer: it.Writer, VM: it.VM, Token: it.Offset, Renewal: it.Offset,
 	}
-	a.hold(it.Writer, it.Seq, it.Offset)[s.Scope] = true
+	a.addHolder(it.Writer, it.Seq, it.Offset)[s.Scope] = true
 }
 
-// hold returns the scopes of a writer, which counts as a holder from now on.
-func (a *Authority) hold(writer string, seq, offset uint64) map[string]bool {
+// addHolder returns the scopes that a writer holds, and tracks the writer as a holder.
+func (a *Authority) addHolder(writer string, seq, offset uint64) map[string]bool {
 	h := a.writers[writer]
 	if h == nil {
 		h = &holder{seq: seq, offset: offset, scopes: map[string]bool{}}
@@ -171,7 +170,7 @@
 	return h.scopes
 }
 
-func (a *Authority) drop(writer, scope string) {
+func (a *Authority) removeScope(writer, scope string) {
 	h := a.writers[writer]
 	if h == nil {
 		return
@@ -182,7 +181,7 @@
 	}
 }
 
-func (a *Authority) renew(it *Item) {
+func (a *Authority) applyHeartbeat(it *Item) {
 	h := a.writers[it.Writer]
 	if h == nil {
 		return
@@ -192,79 +191,78 @@
 	}
 }
 
-func (a *Authority) release(it *Item, scope string) {
+func (a *Authority) applyRelease(it *Item, scope string) {
 	cur := a.scopes[scope]
 	if cur == nil || cur.Writer != it.Writer || cur.Released {
 		return
 	}
 	cur.Released, cur.Renewal = true, it.Offset
-	a.drop(it.Writer, scope)
+	a.removeScope(it.Writer, scope)
 }
 
-// checkpoint takes the state from a checkpoint, unless it is already known;
-// see Config.checkpoint for the failure that the test on Upto guards against.
-func (a *Authority) checkpoint(it *Item, cp *wire.AuthorityCheckpoint) {
+// applyCheckpoint takes the state from a checkpoint, unless the state is already complete. See
+// Config.applyCheckpoint for the failure that the check of Upto prevents.
+func (a *Authority) applyCheckpoint(it *Item, cp *wire.AuthorityCheckpoint) {
 	if cp.Upto >= it.Offset {
 		return
 	}
-	a.lastPoint = CheckpointPosition{Offset: it.Offset, Time: it.Time}
+	a.lastCheckpoint = CheckpointPosition{Offset: it.Offset, Time: it.Time}
 	if cp.Begin {
-		a.begin(it.Offset)
+		a.reset(it.Offset)
 		return
 	}
-	if a.established || cp.Upto+1 < a.from && !a.off.gapCheck {
+	if a.established || cp.Upto+1 < a.firstOffset && !a.disabled.gapCheck {
 		return
 	}
 	a.established = true
 	a.restore(cp)
-	held := a.held
-	a.held = nil
-	for i := range held {
-		if held[i].Offset > cp.Upto {
-			a.step(&held[i])
+	pending := a.pending
+	a.pending = nil
+	for i := range pending {
+		if pending[i].Offset > cp.Upto {
+			a.applyEntry(&pending[i])
 		}
 	}
 }
 
-// begin ends every holding.
+// reset removes all holdings.
 //
-// Failure: every process was gone, or cut off, for longer than the retention;
-// the last checkpoint has expired and nobody can ever claim again. A process
-// that finds no state and hears nobody renew begins anew. All readers obey,
-// those that know a state too, so that all agree afterwards whatever each knew;
-// what a former holder may still do is for the leases to wait out.
-func (a *Authority) begin(offset uint64) {
-	a.established, a.begun, a.held = true, offset, nil
+// Failure: all processes were down or disconnected for longer than the retention, the last
+// checkpoint has expired, and no process can ever claim again. A process that finds no state and
+// observes no renewals then resets the state. All readers apply the reset, including those with a
+// complete state, so that they agree afterwards whatever state each had. The leases must be waited
+// out for any orders that a former holder may still send.
+func (a *Authority) reset(offset uint64) {
+	a.established, a.resetOffset, a.pending = true, offset, nil
 	a.scopes, a.writers = map[string]*Holding{}, map[string]*holder{}
 }
 
-// ResetOffset returns the offset of the newest record that began the state anew, 0
-// if there is none.
-func (a *Authority) ResetOffset() uint64 { return a.begun }
+// ResetOffset returns the offset of the newest record that reset the state, or 0 if there is none.
+func (a *Authority) ResetOffset() uint64 { return a.resetOffset }
 
 func (a *Authority) restore(cp *wire.AuthorityCheckpoint) {
-	marks := make(map[string]*wire.WriterSeq, len(cp.Writers))
+	seqs := make(map[string]*wire.WriterSeq, len(cp.Writers))
 	for _, w := range cp.Writers {
-		marks[w.Writer] = w
+		seqs[w.Writer] = w
 	}
 	for _, h := range cp.Holdings {
 		a.scopes[h.Scope] = &Holding{
 			Scope: h.Scope, Writer: h.Writer, VM: h.Vm, Token: h.Token, Renewal: h.Renewal, Released: h.Released,
 		}
 		if !h.Released {
-			m := marks[h.Writer]
-			a.hold(h.Writer, m.GetSeq(), m.GetOffset())[h.Scope] = true
+			m := seqs[h.Writer]
+			a.addHolder(h.Writer, m.GetSeq(), m.GetOffset())[h.Scope] = true
 		}
 	}
 }
 
-// Checkpoint returns the state for a new reader, nil while it isn't known. It
-// may be called after whole records only.
+// Checkpoint returns the state for new readers, or nil if it isn't complete. It must be called only
+// when all items of a record have been applied.
 func (a *Authority) Checkpoint() *wire.AuthorityCheckpoint {
 	if !a.established {
 		return nil
 	}
-	cp := &wire.AuthorityCheckpoint{Upto: a.upto}
+	cp := &wire.AuthorityCheckpoint{Upto: a.lastApplied}
 	for _, h := range a.Holdings() {
 		cp.Holdings = append(cp.Holdings, &wire.Holding{
 			Scope: h.Scope, Writer: h.Writer, Vm: h.VM, Token: h.Token, Renewal: h.Renewal, Released: h.Released,
--- a/internal/fold/config.go
+++ b/internal/fold/config.go
@@ -13,75 +13,74 @@
 )
 
 const (
-	// maxVerdicts bounds the verdicts kept. At the design size of 11,000
-	// changes a day 512 of them reach back an hour, and a publisher that has
-	// lost its answer asks within minutes.
+	// maxVerdicts bounds the stored verdicts. At the design size of 11,000 changes a day, 512
+	// verdicts cover an hour, and a publisher that lost its answer asks within minutes.
 	maxVerdicts = 512
-	// maxPublishers bounds the writers whose overtaken records are recognised.
-	// Every publish comes from a new process.
+	// maxPublishers bounds the writers that are tracked for deduplication. Every publish comes from
+	// a new process.
 	maxPublishers = 512
-	// maxDetail bounds the reasons kept with a verdict, in bytes: a sheet with
-	// thousands of faults must not bloat every checkpoint after it.
-	maxDetail = 2048
+	// maxDetailBytes bounds the reason stored with a verdict: a sheet with thousands of errors must
+	// not inflate every later checkpoint.
+	maxDetailBytes = 2048
 )
 
 // AcceptedSheet is one accepted version of the sheet. It is immutable.
 type AcceptedSheet struct {
-	Version uint64 // offset of the publish that was accepted; 0 before the first
+	Version uint64 // offset of the accepted publish; 0 before the first one
 	Body    []byte
 	Sheet   *sheet.Sheet
 }
 
-// Config is the fold of the config stream: which sheet is accepted.
+// Config is the state of the config stream: which sheet is accepted, and the verdicts on the newest
+// publishes.
 //
-// Failure: two operators publish at the same time, each from the version it
-// saw, and the later one silently undoes the earlier. A publish is accepted
-// iff it is valid and names the current version as its base, so that of any
-// number of racing publishes the first in log order wins and the others are
-// refused, with the same verdict at every reader.
+// Failure: two operators publish at the same time, each based on the version it read, and the later
+// one silently reverts the earlier. Therefore a publish is accepted only if it is valid and names
+// the current version as its base. Of several concurrent publishes the first in log order wins and
+// the others are rejected, with the same verdict at every reader.
 type Config struct {
-	from        uint64 // oldest offset read
-	upto        uint64 // newest offset folded
-	established bool   // the state is known, not only the records since from
-	held        []Item // records that wait for a checkpoint
-
-	cur       AcceptedSheet
-	doc       *sheet.Document // of cur, nil until a patch needs it
-	verdicts  []*wire.Verdict // oldest first
-	dedup     *Dedup
-	lastPoint CheckpointPosition
-	off       guardsOff
+	firstOffset uint64 // oldest offset that is read
+	lastApplied uint64 // newest applied offset
+	established bool   // the state is complete, not only built from the records since firstOffset
+	pending     []Item // records that wait for a checkpoint
+
+	current        AcceptedSheet
+	doc            *sheet.Document // parsed form of current; nil until a patch needs it
+	verdicts       []*wire.Verdict // oldest first
+	dedup          *Dedup
+	lastCheckpoint CheckpointPosition
+	disabled       disabledGuards
 }
 
-// CheckpointPosition is where a checkpoint was last read.
+// CheckpointPosition is the place of a checkpoint in the log and the time of its append.
 type CheckpointPosition struct {
 	Offset uint64
 	Time   time.Time
 }
 
-// NewConfig returns the fold of a stream that is read from offset from on.
-func NewConfig(from uint64) *Config {
-	from = max(from, 1)
+// NewConfig returns the state of a stream that is read from offset firstOffset.
+func NewConfig(firstOffset uint64) *Config {
+	firstOffset = max(firstOffset, 1)
 	return &Config{
-		from: from, upto: from - 1, established: from <= 1,
+		firstOffset: firstOffset, lastApplied: firstOffset - 1, established: firstOffset <= 1,
 		dedup: NewDedup(maxPublishers),
 	}
 }
 
-// Established reports whether the state is known: the stream was read from its
-// start, or a checkpoint was found whose successors are all read.
+// Established reports whether the state is complete: the stream was read from its start, or from a
+// checkpoint after which every record was read.
 func (c *Config) Established() bool { return c.established }
 
-// Current returns the accepted sheet, of version 0 if there is none.
-func (c *Config) Current() AcceptedSheet { return c.cur }
+// Current returns the accepted sheet; its version is 0 if there is none.
+func (c *Config) Current() AcceptedSheet { return c.current }
 
-// LastApplied returns the newest offset folded.
-func (c *Config) LastApplied() uint64 { return c.upto }
+// LastApplied returns the newest applied offset.
+func (c *Config) LastApplied() uint64 { return c.lastApplied }
 
-// LastCheckpoint returns where the newest checkpoint stands.
-func (c *Config) LastCheckpoint() CheckpointPosition { return c.lastPoint }
+// LastCheckpoint returns the position of the newest checkpoint.
+func (c *Config) LastCheckpoint() CheckpointPosition { return c.lastCheckpoint }
 
-// Verdict returns what became of a publish, nil if nothing is known of it.
+// Verdict returns the verdict on a publish, or nil if none is stored.
 func (c *Config) Verdict(publishID string) *wire.Verdict {
 	for _, v := range slices.Backward(c.verdicts) {
 		if v.PublishId == publishID {
@@ -91,105 +90,104 @@
 	return nil
 }
 
-// Verdicts returns the outcome of the newest publishes, oldest first.
+// Verdicts returns the verdicts on the newest publishes, oldest first.
 func (c *Config) Verdicts() []*wire.Verdict { return slices.Clone(c.verdicts) }
 
-// Apply folds the next item. Items come in the order of the log.
+// Apply applies the next item. Items must come in log order.
 func (c *Config) Apply(it Item) {
 	if it.Gap {
-		last, off := c.lastPoint, c.off
+		lastCheckpoint, disabled := c.lastCheckpoint, c.disabled
 		*c = *NewConfig(it.Offset)
-		c.lastPoint, c.off = last, off
+		c.lastCheckpoint, c.disabled = lastCheckpoint, disabled
 		c.established = false
 		return
 	}
-	c.upto = it.Offset
+	c.lastApplied = it.Offset
 	if cp := it.Entry.GetConfigCheckpoint(); cp != nil {
-		c.checkpoint(&it, cp)
+		c.applyCheckpoint(&it, cp)
 		return
 	}
 	if !c.established {
-		c.held = append(c.held, it)
+		c.pending = append(c.pending, it)
 		return
 	}
-	c.step(&it)
+	c.applyEntry(&it)
 }
 
-// step folds one item into a known state.
-func (c *Config) step(it *Item) {
-	if !c.dedup.Accept(it) && !c.off.dedup {
+// applyEntry applies one item to a complete state.
+func (c *Config) applyEntry(it *Item) {
+	if !c.dedup.Accept(it) && !c.disabled.dedup {
 		return
 	}
 	switch k := it.Entry.GetKind().(type) {
 	case *wire.Entry_Sheet:
-		c.publish(it.Offset, k.Sheet.Base, k.Sheet.PublishId, func() (*sheet.Document, error) {
+		c.applyPublish(it.Offset, k.Sheet.Base, k.Sheet.PublishId, func() (*sheet.Document, error) {
 			s, err := sheet.Parse("sheet", k.Sheet.Body)
 			return sheet.NewDocument(k.Sheet.Body, s), err
 		})
 	case *wire.Entry_Patch:
-		c.publish(it.Offset, k.Patch.Base, k.Patch.PublishId, func() (*sheet.Document, error) {
+		c.applyPublish(it.Offset, k.Patch.Base, k.Patch.PublishId, func() (*sheet.Document, error) {
 			if c.doc == nil {
-				c.doc = sheet.NewDocument(c.cur.Body, c.cur.Sheet)
+				c.doc = sheet.NewDocument(c.current.Body, c.current.Sheet)
 			}
 			return c.doc.Patch(k.Patch.Body)
 		})
 	}
 }
 
-// publish judges one publish. A base at or above the publish's own offset is
-// no version yet; refusing it keeps the verdict from depending on what that
-// offset will hold.
-func (c *Config) publish(offset, base uint64, id string, build func() (*sheet.Document, error)) {
+// applyPublish accepts or rejects one publish. A base at or above the offset of the publish itself
+// isn't a version yet; it is rejected so that the verdict doesn't depend on the record that will be
+// at that offset.
+func (c *Config) applyPublish(offset, base uint64, id string, build func() (*sheet.Document, error)) {
 	if id != "" && c.Verdict(id) != nil {
 		return
 	}
-	if base != c.cur.Version && !c.off.base {
-		c.refuse(offset, id, code.RacingPublish, fmt.Sprintf("replaces version %d; version %d is in force", base, c.cur.Version))
+	if base != c.current.Version && !c.disabled.baseCheck {
+		c.reject(offset, id, code.RacingPublish, fmt.Sprintf("replaces version %d; version %d is in force", base, c.current.Version))
 		return
 	}
 	doc, err := build()
 	if err != nil {
-		why := code.BadSheet
-		var bad *sheet.ErrPatch
-		if errors.As(err, &bad) {
-			why = code.BadPatch
+		reason := code.BadSheet
+		var patchErr *sheet.ErrPatch
+		if errors.As(err, &patchErr) {
+			reason = code.BadPatch
 		}
-		c.refuse(offset, id, why, err.Error())
+		c.reject(offset, id, reason, err.Error())
 		return
 	}
 	c.doc = doc
-	c.cur = AcceptedSheet{Version: offset, Body: doc.Body(), Sheet: doc.Sheet()}
-	c.judge(&wire.Verdict{PublishId: id, Offset: offset, Accepted: true})
+	c.current = AcceptedSheet{Version: offset, Body: doc.Body(), Sheet: doc.Sheet()}
+	c.recordVerdict(&wire.Verdict{PublishId: id, Offset: offset, Accepted: true})
 }
 
-func (c *Config) refuse(offset uint64, id string, why code.Code, detail string) {
-	if len(detail) > maxDetail {
-		detail = string(bytes.ToValidUTF8([]byte(detail[:maxDetail]), nil)) + "…"
+func (c *Config) reject(offset uint64, id string, reason code.Code, detail string) {
+	if len(detail) > maxDetailBytes {
+		detail = string(bytes.ToValidUTF8([]byte(detail[:maxDetailBytes]), nil)) + "…"
 	}
 	detail = string(bytes.ToValidUTF8([]byte(detail), []byte("?")))
-	c.judge(&wire.Verdict{PublishId: id, Offset: offset, Code: uint32(why), Detail: detail})
+	c.recordVerdict(&wire.Verdict{PublishId: id, Offset: offset, Code: uint32(reason), Detail: detail})
 }
 
-func (c *Config) judge(v *wire.Verdict) {
+func (c *Config) recordVerdict(v *wire.Verdict) {
 	if len(c.verdicts) == maxVerdicts {
 		c.verdicts = slices.Delete(c.verdicts, 0, 1)
 	}
 	c.verdicts = append(c.verdicts, v)
 }
 
-// checkpoint takes the state from a checkpoint, unless it is already known.
+// applyCheckpoint takes the state from a checkpoint, unless the state is already complete.
 //
-// Failure: a checkpoint whose append was slow appears after newer publishes
-// whose records have expired. Taken as the state it would let a reader that
-// starts now accept a publish that everyone else refused. It counts only if
-// every record after the one it stands for was read; those are folded again
-// on top of it.
-func (c *Config) checkpoint(it *Item, cp *wire.ConfigCheckpoint) {
+// Failure: the append of a checkpoint is slow, and it appears in the log after newer publishes
+// whose records have since expired. A reader that starts now and uses it as its state would accept
+// a publish that all other readers rejected. Therefore a checkpoint is used only if every record
+// after the state that it holds was read; those records are then applied on top of it.
+func (c *Config) applyCheckpoint(it *Item, cp *wire.ConfigCheckpoint) {
 	if cp.Upto >= it.Offset {
 		return
 	}
-	c.lastPoint = CheckpointPosition{Offset: it.Offset, Time: it.Time}
-	if c.established || cp.Upto+1 < c.from && !c.off.gapCheck {
+	c.lastCheckpoint = CheckpointPosition{Offset: it.Offset, Time: it.Time}
+	if c.established || cp.Upto+1 < c.firstOffset && !c.disabled.gapCheck {
 		return
 	}
 	next := AcceptedSheet{Version: cp.Version, Body: cp.Body}
@@ -201,25 +199,25 @@
 		next.Sheet = s
 	}
 	c.doc = nil
-	c.cur, c.verdicts, c.established = next, slices.Clone(cp.Recent), true
+	c.current, c.verdicts, c.established = next, slices.Clone(cp.Recent), true
 	c.dedup.Restore(cp.Writers)
-	held := c.held
-	c.held = nil
-	for i := range held {
-		if held[i].Offset > cp.Upto {
-			c.step(&held[i])
+	pending := c.pending
+	c.pending = nil
+	for i := range pending {
+		if pending[i].Offset > cp.Upto {
+			c.applyEntry(&pending[i])
 		}
 	}
 }
 
-// Checkpoint returns the state for a new reader, nil while it isn't known. It
-// may be called after whole records only.
+// Checkpoint returns the state for new readers, or nil if it isn't complete. It must be called only
+// when all items of a record have been applied.
 func (c *Config) Checkpoint() *wire.ConfigCheckpoint {
 	if !c.established {
 		return nil
 	}
 	return &wire.ConfigCheckpoint{
-		Version: c.cur.Version, Body: c.cur.Body, Upto: c.upto,
+		Version: c.current.Version, Body: c.current.Body, Upto: c.lastApplied,
 		Recent: slices.Clone(c.verdicts), Writers: c.dedup.WriterSeqs(),
 	}
 }
--- a/internal/fold/dedup.go
+++ b/internal/fold/dedup.go
@@ -7,39 +7,39 @@
 	"fescuestand/internal/wire"
 )
 
-// Dedup drops records that a writer's later record has overtaken.
+// Dedup drops records that a later record of the same writer has overtaken.
 //
-// Failure: an append's answer is lost, the writer sends the record again or
-// gives it up and goes on, and the first copy appears in the log minutes
-// later. It would then count twice, or count after its writer was told to
-// forget it. A writer's records count in the order of their numbers only: one
-// that isn't above the last that counted is dropped. So a repeat is harmless,
-// and a writer that gave a record up knows it dead once a later one of its own
-// stands in the log.
+// Failure: the answer to an append is lost. The writer retries the record, or abandons it and
+// continues with others, and the first copy appears in the log minutes later. It would be applied
+// twice, or applied after its writer was told that it was abandoned. Therefore the records of a
+// writer are applied only in increasing order of their sequence numbers: a record whose number
+// isn't above the last applied one is dropped. Retries are thus harmless, and a writer knows that
+// an abandoned record can't take effect once a later one of its own is in the log.
 //
-// It remembers the writers heard most recently. The zero value is not usable.
+// It tracks the writers with the most recent records. The zero value is not usable.
 type Dedup struct {
-	limit int
-	last  map[string]*mark
+	maxWriters int
+	records    map[string]*lastRecord
 }
 
-type mark struct {
+// lastRecord is the last record of a writer that was applied.
+type lastRecord struct {
 	seq    uint64
 	offset uint64
 }
 
-// NewDedup returns a filter that remembers limit writers.
-func NewDedup(limit int) *Dedup {
-	return &Dedup{limit: limit, last: map[string]*mark{}}
+// NewDedup returns a filter that tracks up to maxWriters writers.
+func NewDedup(maxWriters int) *Dedup {
+	return &Dedup{maxWriters: maxWriters, records: map[string]*lastRecord{}}
 }
 
-// Accept reports whether the item counts, and remembers it if so. The items of
-// one envelope count together.
+// Accept reports whether the item is to be applied, and records it if so. All items of one envelope
+// are accepted together.
 func (d *Dedup) Accept(it *Item) bool {
-	m, known := d.last[it.Writer]
+	m, tracked := d.records[it.Writer]
 	switch {
-	case !known:
-		d.last[it.Writer] = &mark{seq: it.Seq, offset: it.Offset}
+	case !tracked:
+		d.records[it.Writer] = &lastRecord{seq: it.Seq, offset: it.Offset}
 		d.evict()
 		return true
 	case it.Offset == m.offset && it.Seq == m.seq:
@@ -51,36 +51,36 @@
 	return true
 }
 
-// evict forgets the writer that has been silent for longest. Offsets decide,
-// so that every reader forgets the same one.
+// evict removes the writer whose last record is the oldest. It compares offsets, so that every
+// reader evicts the same writer.
 func (d *Dedup) evict() {
-	if len(d.last) <= d.limit {
+	if len(d.records) <= d.maxWriters {
 		return
 	}
 	var oldest string
-	low := ^uint64(0)
-	for w, m := range d.last {
-		if m.offset < low {
-			oldest, low = w, m.offset
+	lowest := ^uint64(0)
+	for w, m := range d.records {
+		if m.offset < lowest {
+			oldest, lowest = w, m.offset
 		}
 	}
-	delete(d.last, oldest)
+	delete(d.records, oldest)
 }
 
-// WriterSeqs returns what a checkpoint has to carry, in the order of the writers.
+// WriterSeqs returns the tracked writers for a checkpoint, sorted by writer.
 func (d *Dedup) WriterSeqs() []*wire.WriterSeq {
-	out := make([]*wire.WriterSeq, 0, len(d.last))
-	for w, m := range d.last {
+	out := make([]*wire.WriterSeq, 0, len(d.records))
+	for w, m := range d.records {
 		out = append(out, &wire.WriterSeq{Writer: w, Seq: m.seq, Offset: m.offset})
 	}
 	slices.SortFunc(out, func(a, b *wire.WriterSeq) int { return strings.Compare(a.Writer, b.Writer) })
 	return out
 }
 
-// Restore replaces the filter's memory by a checkpoint's.
-func (d *Dedup) Restore(marks []*wire.WriterSeq) {
-	d.last = make(map[string]*mark, len(marks))
-	for _, m := range marks {
-		d.last[m.Writer] = &mark{seq: m.Seq, offset: m.Offset}
+// Restore replaces the tracked writers by those of a checkpoint.
+func (d *Dedup) Restore(seqs []*wire.WriterSeq) {
+	d.records = make(map[string]*lastRecord, len(seqs))
+	for _, m := range seqs {
+		d.records[m.Writer] = &lastRecord{seq: m.Seq, offset: m.Offset}
 	}
 }
--- a/internal/fold/fold_test.go
+++ b/internal/fold/fold_test.go
@@ -11,7 +11,7 @@
 	"fescuestand/internal/wire"
 )
 
-// sheetText is a valid sheet that carries note.
+// sheetText returns a valid sheet with the given note.
 func sheetText(note string) []byte {
 	return fmt.Appendf(nil, `{"deployment": "d", "note": %q, "engines": [], "pools": [],
 		"classes": [{"name": "c", "priority": 1, "deadline": "8s", "first_token": "1s", "between_tokens": "50ms", "objective": 0.9}],
@@ -63,9 +63,9 @@
 	assert.Assert(t, c.Verdict("p9") == nil)
 }
 
-// Story: a publisher's first append is slow and its answer lost; it sends the
-// publish again and gets a verdict. Meanwhile a colleague publishes. When the
-// first copy turns up in the log after all it must not count a second time.
+// Guards against applying a publish twice. The answer to the first append is lost, so the publisher
+// retries and gets a verdict, and another operator publishes. Then the first copy appears in the
+// log.
 func TestLateCopyOfAPublishChangesNothing(t *testing.T) {
 	c := NewConfig(1)
 	c.Apply(item(1, "a", 1, publishEntry(0, "p1", sheetText("one"))))
@@ -75,36 +75,36 @@
 	assert.Assert(t, c.Verdict("p1").Accepted)
 }
 
-// Story: a publisher gives up a publish whose answer was lost, tells its
-// operator so and appends something else. The given-up record appears last,
-// with a base that is still in force. It must stay dead.
-func TestGivenUpRecordStaysDead(t *testing.T) {
-	run := func(off guardsOff) uint64 {
+// Guards against applying an abandoned publish. The answer is lost, the publisher reports the
+// publish as abandoned and appends another record. Then the abandoned record appears, with a base
+// that is still current.
+func TestAbandonedRecordIsIgnored(t *testing.T) {
+	run := func(disabled disabledGuards) uint64 {
 		c := NewConfig(1)
-		c.off = off
+		c.disabled = disabled
 		c.Apply(item(1, "a", 2, publishEntry(9, "settle", sheetText("refused"))))
 		c.Apply(item(2, "a", 1, publishEntry(0, "given-up", sheetText("late"))))
 		return c.Current().Version
 	}
-	assert.Equal(t, run(guardsOff{}), uint64(0))
-	assert.Equal(t, run(guardsOff{dedup: true}), uint64(2), "without the guard the late record counts")
+	assert.Equal(t, run(disabledGuards{}), uint64(0))
+	assert.Equal(t, run(disabledGuards{dedup: true}), uint64(2), "without the guard the late record counts")
 }
 
-// Story: holder w stalls, x concludes from what it read that w's lease has
-// lapsed and claims. Between x's reading and its claim w's renewal reached the
-// log. If the claim won, w and x would both give orders.
-func TestClaimLosesAgainstAnUnseenRenewal(t *testing.T) {
-	run := func(off guardsOff) string {
+// Guards against two holders of one engine. Holder w stalls, and x concludes from its read that w's
+// lease has expired. w's renewal reaches the log after x's read and before x's claim; if the claim
+// succeeded, both would send orders.
+func TestClaimFailsAfterUnseenRenewal(t *testing.T) {
+	run := func(disabled disabledGuards) string {
 		a := NewAuthority(1)
-		a.off = off
+		a.disabled = disabled
 		a.Apply(item(1, "w", 1, claimEntry("e", 0, 0)))
 		a.Apply(item(2, "w", 2, heartbeatEntry()))
 		a.Apply(item(3, "x", 1, claimEntry("e", 1, 1)))
 		h, _ := a.Get("e")
 		return h.Writer
 	}
-	assert.Equal(t, run(guardsOff{}), "w")
-	assert.Equal(t, run(guardsOff{renewal: true}), "x", "without the guard the holder loses a live lease")
+	assert.Equal(t, run(disabledGuards{}), "w")
+	assert.Equal(t, run(disabledGuards{renewalCheck: true}), "x", "without the guard the holder loses a live lease")
 }
 
 func TestClaimAfterLapseAndLateRenewal(t *testing.T) {
@@ -122,49 +122,49 @@
 	assert.Equal(t, h.Token, uint64(7))
 }
 
-// Story: w releases an engine, the answer is lost, w keeps renewing and so
-// knows that the release is dead. The old release appears in the log later. If
-// it counted, another process would claim at once while w still gives orders.
+// Guards against releasing an engine that is still in use. w releases it, the answer is lost, and w
+// keeps renewing, which makes the release void. If the release took effect when it appears in the
+// log, another process could claim the engine while w still sends orders.
 func TestLateReleaseOfALiveHolderIsDropped(t *testing.T) {
-	run := func(off guardsOff) bool {
+	run := func(disabled disabledGuards) bool {
 		a := NewAuthority(1)
-		a.off = off
+		a.disabled = disabled
 		a.Apply(item(1, "w", 1, claimEntry("e", 0, 0)))
 		a.Apply(item(2, "w", 3, heartbeatEntry()))
 		a.Apply(item(3, "w", 2, releaseEntry("e")))
 		h, _ := a.Get("e")
 		return h.Released
 	}
-	assert.Assert(t, !run(guardsOff{}))
-	assert.Assert(t, run(guardsOff{dedup: true}))
+	assert.Assert(t, !run(disabledGuards{}))
+	assert.Assert(t, run(disabledGuards{dedup: true}))
 }
 
-// Story: a checkpoint's append hangs for so long that the publishes after its
-// state have expired when it appears. A process that starts now takes it for
-// the newest state and accepts a publish that everybody else refused.
-func TestCheckpointAcrossAGapIsNotTaken(t *testing.T) {
-	whole := NewConfig(1)
-	whole.Apply(item(1, "a", 1, publishEntry(0, "p1", sheetText("one"))))
-	old := whole.Checkpoint()
+// Guards against a diverging reader. The append of a checkpoint is so slow that the publishes after
+// its state have expired when it appears. A process that starts now and uses it would accept a
+// publish that all others rejected.
+func TestCheckpointAcrossAGapIsIgnored(t *testing.T) {
+	full := NewConfig(1)
+	full.Apply(item(1, "a", 1, publishEntry(0, "p1", sheetText("one"))))
+	oldCheckpoint := full.Checkpoint()
 	rest := []Item{
 		item(2, "a", 2, publishEntry(1, "p2", sheetText("two"))),
-		item(3, "c", 1, &wire.Entry{Kind: &wire.Entry_ConfigCheckpoint{ConfigCheckpoint: old}}),
+		item(3, "c", 1, &wire.Entry{Kind: &wire.Entry_ConfigCheckpoint{ConfigCheckpoint: oldCheckpoint}}),
 		item(4, "b", 1, publishEntry(1, "p3", sheetText("three"))),
 	}
-	run := func(off guardsOff) *Config {
-		late := NewConfig(3)
-		late.off = off
+	run := func(disabled disabledGuards) *Config {
+		lateReader := NewConfig(3)
+		lateReader.disabled = disabled
 		for _, it := range rest[1:] {
-			late.Apply(it)
+			lateReader.Apply(it)
 		}
-		return late
+		return lateReader
 	}
 	for _, it := range rest {
-		whole.Apply(it)
+		full.Apply(it)
 	}
-	assert.Equal(t, whole.Current().Version, uint64(2))
-	assert.Assert(t, !run(guardsOff{}).Established())
-	assert.Equal(t, run(guardsOff{gapCheck: true}).Current().Version, uint64(4), "without the guard the reader diverges")
+	assert.Equal(t, full.Current().Version, uint64(2))
+	assert.Assert(t, !run(disabledGuards{}).Established())
+	assert.Equal(t, run(disabledGuards{gapCheck: true}).Current().Version, uint64(4), "without the guard the reader diverges")
 }
 
 func FuzzDecode(f *testing.F) {
--- a/internal/fold/property_test.go
+++ b/internal/fold/property_test.go
@@ -11,10 +11,10 @@
 	"fescuestand/internal/wire"
 )
 
-// drawConfig makes a history of racing, repeated, late and unknown records.
-func drawConfig(t *rapid.T) []Item {
+// randomConfigStream generates a stream with racing, duplicated, late and unknown records.
+func randomConfigStream(t *rapid.T) []Item {
 	n := rapid.IntRange(1, 40).Draw(t, "records")
-	whole, items := NewConfig(1), []Item{}
+	full, items := NewConfig(1), []Item{}
 	seqs := map[string]uint64{}
 	for off := uint64(1); off <= uint64(n); off++ {
 		w := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "writer")
@@ -22,7 +22,7 @@
 		it := item(off, w, seqs[w], nil)
 		base := uint64(rapid.IntRange(0, int(off)).Draw(t, "base"))
 		if rapid.Bool().Draw(t, "current") {
-			base = whole.Current().Version
+			base = full.Current().Version
 		}
 		id := fmt.Sprint("p", rapid.IntRange(0, 30).Draw(t, "id"))
 		switch rapid.IntRange(0, 5).Draw(t, "kind") {
@@ -37,7 +37,7 @@
 		case 3:
 			it.Entry = publishEntry(base, id, []byte("{"))
 		case 4:
-			it.Entry = &wire.Entry{Kind: &wire.Entry_ConfigCheckpoint{ConfigCheckpoint: whole.Checkpoint()}}
+			it.Entry = &wire.Entry{Kind: &wire.Entry_ConfigCheckpoint{ConfigCheckpoint: full.Checkpoint()}}
 		case 5:
 			if len(items) > 0 {
 				it = rapid.SampledFrom(items).Draw(t, "copy")
@@ -47,34 +47,34 @@
 			}
 		}
 		items = append(items, it)
-		whole.Apply(it)
+		full.Apply(it)
 	}
 	return items
 }
 
 func TestConfigCheckpointAndTailEqualTheWholeLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		items := drawConfig(t)
+		items := randomConfigStream(t)
 		from := uint64(rapid.IntRange(1, len(items)).Draw(t, "from"))
-		whole, late := NewConfig(1), NewConfig(from)
+		full, lateReader := NewConfig(1), NewConfig(from)
 		last := uint64(0)
 		for _, it := range items {
-			whole.Apply(it)
+			full.Apply(it)
 			if it.Offset >= from {
-				late.Apply(it)
+				lateReader.Apply(it)
 			}
-			assert.Assert(t, whole.Current().Version >= last, "version fell")
-			last = whole.Current().Version
-			if late.Established() {
-				assert.Assert(t, proto.Equal(whole.Checkpoint(), late.Checkpoint()))
+			assert.Assert(t, full.Current().Version >= last, "version decreased")
+			last = full.Current().Version
+			if lateReader.Established() {
+				assert.Assert(t, proto.Equal(full.Checkpoint(), lateReader.Checkpoint()))
 			}
 		}
 	})
 }
 
-func drawAuthority(t *rapid.T) []Item {
+func randomAuthorityStream(t *rapid.T) []Item {
 	n := rapid.IntRange(1, 60).Draw(t, "records")
-	whole, items := NewAuthority(1), []Item{}
+	full, items := NewAuthority(1), []Item{}
 	seqs := map[string]uint64{}
 	scopes := []string{"e1", "e2", "e3"}
 	for off := uint64(1); off <= uint64(n); off++ {
@@ -86,14 +86,14 @@
 		case 6:
 			it.Entry = &wire.Entry{Kind: &wire.Entry_AuthorityCheckpoint{AuthorityCheckpoint: &wire.AuthorityCheckpoint{Begin: true}}}
 		case 0, 1:
-			h, _ := whole.Get(scope)
+			h, _ := full.Get(scope)
 			it.Entry = claimEntry(scope, h.Token, h.Renewal)
 		case 2:
 			it.Entry = heartbeatEntry()
 		case 3:
 			it.Entry = releaseEntry(scope)
 		case 4:
-			it.Entry = &wire.Entry{Kind: &wire.Entry_AuthorityCheckpoint{AuthorityCheckpoint: whole.Checkpoint()}}
+			it.Entry = &wire.Entry{Kind: &wire.Entry_AuthorityCheckpoint{AuthorityCheckpoint: full.Checkpoint()}}
 		case 5:
 			if len(items) > 0 {
 				it = rapid.SampledFrom(items).Draw(t, "copy")
@@ -101,28 +101,28 @@
 			}
 		}
 		items = append(items, it)
-		whole.Apply(it)
+		full.Apply(it)
 	}
 	return items
 }
 
 func TestAuthorityCheckpointAndTailEqualTheWholeLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		items := drawAuthority(t)
+		items := randomAuthorityStream(t)
 		from := uint64(rapid.IntRange(1, len(items)).Draw(t, "from"))
-		whole, late := NewAuthority(1), NewAuthority(from)
+		full, lateReader := NewAuthority(1), NewAuthority(from)
 		tokens := map[string]uint64{}
 		for _, it := range items {
-			whole.Apply(it)
+			full.Apply(it)
 			if it.Offset >= from {
-				late.Apply(it)
+				lateReader.Apply(it)
 			}
-			for _, h := range whole.Holdings() {
-				assert.Assert(t, h.Token >= tokens[h.Scope], "token fell")
+			for _, h := range full.Holdings() {
+				assert.Assert(t, h.Token >= tokens[h.Scope], "token decreased")
 				tokens[h.Scope] = h.Token
 			}
-			if late.Established() {
-				assert.Assert(t, proto.Equal(whole.Checkpoint(), late.Checkpoint()))
+			if lateReader.Established() {
+				assert.Assert(t, proto.Equal(full.Checkpoint(), lateReader.Checkpoint()))
 			}
 		}
 	})
