--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -16,10 +16,10 @@
 	"fescuestand/internal/wire"
 )
 
-// folded carries items of the config stream.
-type folded struct{ items []logclient.Item }
+// itemsRead has new items of the config stream.
+type itemsRead struct{ items []logclient.Item }
 
-func (e folded) apply(s *state) {
+func (e itemsRead) apply(s *state) {
 	for _, it := range e.items {
 		s.fold.Apply(it)
 	}
@@ -28,44 +28,45 @@
 	}
 }
 
-// listed carries an answer of the VM list.
-type listed struct{ vms []driver.VM }
+// vmsListed has an answer of the VM list.
+type vmsListed struct{ vms []driver.VM }
 
-func (e listed) apply(s *state) {
+func (e vmsListed) apply(s *state) {
 	s.table.List(s.now(), e.vms)
 	rounds := max(1, (len(e.vms)+s.r.opt.Fanout-1)/s.r.opt.Fanout)
-	cover := time.Duration(rounds) * s.r.opt.GossipInterval
-	// A VM is suspect after two missed turns, if that is longer than set.
-	suspect := max(s.r.opt.SuspectTimeout, 2*cover)
+	cycle := time.Duration(rounds) * s.r.opt.GossipInterval
+	// A VM is suspect after it missed two cycles of rounds, if that is longer than the configured
+	// timeout.
+	suspect := max(s.r.opt.SuspectTimeout, 2*cycle)
 	s.table.SetSilence(suspect, max(s.r.opt.GoneTimeout, 2*suspect))
 }
 
-// self is this process's own heartbeat.
-type self struct{ g *wire.Gossip }
+// ownGossip has this process's own heartbeat.
+type ownGossip struct{ g *wire.Gossip }
 
-func (e self) apply(s *state) {
+func (e ownGossip) apply(s *state) {
 	if s.r.opt.Process == processEntry {
 		s.table.Heard(s.now(), heartbeatOf(e.g))
 	}
 }
 
-// heard carries what a peer says.
-type heard struct {
+// peerGossip has a gossip message of a peer.
+type peerGossip struct {
 	g    *wire.Gossip
-	addr string // to ask it back, empty if not known
+	addr string // address of the peer, empty if unknown
 }
 
-func (e heard) apply(s *state) {
+func (e peerGossip) apply(s *state) {
 	g := e.g
 	if g.Process == processEntry && g.Vm != "" {
 		s.table.Heard(s.now(), heartbeatOf(g))
 	}
 	switch {
-	case g.SheetVersion > s.best.Version:
-		s.lag(g.Vm, e.addr)
-	case g.SheetVersion == s.best.Version && g.SheetHash != s.hash && g.SheetVersion > 0:
+	case g.SheetVersion > s.inForce.Version:
+		s.recordPeerAhead(g.Vm, e.addr)
+	case g.SheetVersion == s.inForce.Version && g.SheetHash != s.hash && g.SheetVersion > 0:
 		log.WithField("peer", g.Vm).WithField("version", g.SheetVersion).WithField("code", int(code.Internal)).
-			Error("peer has another body under the same sheet version")
+			Error("peer has a different sheet of the same version")
 	}
 }
 
@@ -75,29 +76,30 @@
 	}
 }
 
-// lag asks a peer for its newer sheet once it has been ahead for a while.
-func (s *state) lag(vm, addr string) {
-	since, known := s.behind[vm]
-	if !known {
+// recordPeerAhead requests a peer's newer sheet once the peer has been ahead for pullDelay, or
+// immediately if no sheet is in force.
+func (s *state) recordPeerAhead(vm, addr string) {
+	since, tracked := s.aheadSince[vm]
+	if !tracked {
 		since = s.now()
-		s.behind[vm] = since
+		s.aheadSince[vm] = since
 	}
-	waited := s.now().Sub(since) >= pullAfter || s.best.Sheet == nil
-	if !waited || s.pulling || addr == "" {
+	waited := s.now().Sub(since) >= pullDelay || s.inForce.Sheet == nil
+	if !waited || s.pullInFlight || addr == "" {
 		return
 	}
-	s.pulling = true
-	above := s.best.Version
+	s.pullInFlight = true
+	above := s.inForce.Version
 	s.r.wg.Go(func() { s.r.pull(s.ctx, addr, above) })
 }
 
-// pull asks the peer at addr for a sheet above the given version.
+// pull requests a sheet above the given version from the peer at addr.
 func (r *Replica) pull(ctx context.Context, addr string, above uint64) {
 	a, err := r.fetchSheet(ctx, addr, above)
 	if err != nil {
-		log.WithError(err).WithField("peer", addr).Warn("no sheet from peer")
+		log.WithError(err).WithField("peer", addr).Warn("fetching the sheet from a peer failed")
 	}
-	_ = r.postWait(ctx, pulled{a})
+	_ = r.postWait(ctx, sheetPulled{a})
 }
 
 func (r *Replica) fetchSheet(ctx context.Context, addr string, above uint64) (fold.AcceptedSheet, error) {
@@ -122,10 +124,10 @@
 	return fold.AcceptedSheet{Version: body.Version, Body: body.Body, Sheet: s}, nil
 }
 
-// pulled ends a pull, with a sheet unless it failed.
-type pulled struct{ sheet fold.AcceptedSheet }
+// sheetPulled ends a pull; sheet is empty if it failed.
+type sheetPulled struct{ sheet fold.AcceptedSheet }
 
-func (e pulled) apply(s *state) {
-	s.pulling = false
+func (e sheetPulled) apply(s *state) {
+	s.pullInFlight = false
 	s.adopt(e.sheet, "peer")
 }
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -24,42 +24,42 @@
 	os.Exit(m.Run())
 }
 
-// bubbleClock follows the test's fake time.
+// bubbleClock returns the fake time of the synctest bubble.
 type bubbleClock struct{}
 
 func (bubbleClock) Now() clock.Time { return clock.Time(time.Now().UnixNano()) }
 
-// switchLog gives one process its own outage of the log.
+// switchLog simulates an outage of the log for a single process.
 type switchLog struct {
 	driver.Log
 	mu  sync.Mutex
 	cut bool
 }
 
-func (l *switchLog) set(cut bool) {
+func (l *switchLog) setCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
 }
 
-func (l *switchLog) failing() bool {
+func (l *switchLog) isCut() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cut
 }
 
 func (l *switchLog) Read(ctx context.Context, s string, from uint64, n int, wait time.Duration) (driver.Page, error) {
-	if l.failing() {
+	if l.isCut() {
 		return driver.Page{}, driver.ErrNotSent
 	}
 	p, err := l.Log.Read(ctx, s, from, n, min(wait, 50*time.Millisecond))
-	if l.failing() {
+	if l.isCut() {
 		return driver.Page{}, driver.ErrNotSent
 	}
 	return p, err
 }
 
-// fleet is a set of replicas that reach each other in memory.
+// fleet is a set of replicas that call each other in memory.
 type fleet struct {
 	t   *testing.T
 	log *logtest.Log
@@ -92,7 +92,7 @@
 	return r.Handle(req), nil
 }
 
-// start starts a VM's entry; its log is cut from the beginning if cut is set.
+// start starts the entry of a VM; with cut set its log is unavailable from the beginning.
 func (f *fleet) start(vm string, cut bool) *Replica {
 	l := &switchLog{Log: f.log, cut: cut}
 	c := logclient.New(logclient.Options{Log: l, Writer: vm + "-1", VM: vm})
--- a/internal/replica/gossip.go
+++ b/internal/replica/gossip.go
@@ -14,19 +14,17 @@
 )
 
 const (
-	// processEntry is the process whose heartbeat stands for its VM.
+	// processEntry is the process whose heartbeat counts as the heartbeat of its VM.
 	processEntry = "entry"
-	// callTimeout bounds one call to a peer: a frozen peer accepts the call
-	// and never answers.
+	// callTimeout bounds one call to a peer: a frozen peer accepts the call and never answers.
 	callTimeout = 2 * time.Second
 )
 
-// Handle answers a peer's request if it is this package's: gossip and sheets.
-// Others get nil.
+// Handle answers gossip and sheet requests of peers. It returns nil for other requests.
 func (r *Replica) Handle(req *wire.PeerRequest) *wire.PeerResponse {
 	switch k := req.GetKind().(type) {
 	case *wire.PeerRequest_Gossip:
-		r.hear(k.Gossip, r.addressOf(k.Gossip.GetVm()))
+		r.receive(k.Gossip, r.addressOf(k.Gossip.GetVm()))
 		return &wire.PeerResponse{Kind: &wire.PeerResponse_Gossip{Gossip: r.compose()}}
 	case *wire.PeerRequest_GetSheet:
 		return r.serveSheet(k.GetSheet.GetAbove())
@@ -51,8 +49,8 @@
 	return ""
 }
 
-func (r *Replica) hear(g *wire.Gossip, addr string) {
-	r.post(heard{g, addr})
+func (r *Replica) receive(g *wire.Gossip, addr string) {
+	r.tryPost(peerGossip{g, addr})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.listeners {
@@ -60,7 +58,7 @@
 	}
 }
 
-// compose returns what this process says now.
+// compose returns the current gossip message of this process.
 func (r *Replica) compose() *wire.Gossip {
 	v := r.View()
 	g := &wire.Gossip{
@@ -69,20 +67,21 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, f := range r.contributors {
+	for _, f := range r.composeFuncs {
 		f(g)
 	}
 	return g
 }
 
-// gossip asks a few peers each round, in turns, and all of them when urgent.
+// gossip calls a few peers in each round, in random order until all have been called, and all of
+// them in an urgent round.
 func (r *Replica) gossip(ctx context.Context) error {
 	tick := time.NewTicker(r.opt.GossipInterval)
 	defer tick.Stop()
-	var turns []string
+	var remaining []string
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	busy := &inFlight{vms: map[string]bool{}}
+	busy := &inFlight{callAgain: map[string]bool{}}
 	for {
 		all := false
 		select {
@@ -92,10 +91,10 @@
 			all = true
 		case <-tick.C:
 		}
-		r.post(self{r.compose()})
+		r.tryPost(ownGossip{r.compose()})
 		peers := r.peers()
 		var round []string
-		round, turns = nextRound(peers, turns, r.opt.Fanout, all)
+		round, remaining = nextRound(peers, remaining, r.opt.Fanout, all)
 		for _, vm := range round {
 			if addr := peers[vm]; busy.start(vm, all) {
 				wg.Go(func() {
@@ -108,8 +107,8 @@
 	}
 }
 
-// peers returns the address of every other VM's entry by VM; a control process
-// talks to its own VM's entry too.
+// peers returns the addresses of the other VMs' entries by VM. A control process also exchanges
+// gossip with the entry of its own VM.
 func (r *Replica) peers() map[string]string {
 	out := map[string]string{}
 	for _, m := range r.View().Members {
@@ -121,92 +120,92 @@
 	return out
 }
 
-// nextRound takes the peers whose turn it is and returns the rest. When the
-// turns are over, they begin anew in another order, so that processes don't
-// all ask the same peer at once.
-func nextRound(peers map[string]string, turns []string, fanout int, all bool) (round, rest []string) {
+// nextRound returns the peers of the next round and those that remain for later rounds. When none
+// remain it starts over in a new random order, so that the processes don't all call the same peer
+// at once.
+func nextRound(peers map[string]string, remaining []string, fanout int, all bool) (round, rest []string) {
 	if all {
-		turns, fanout = nil, len(peers)
+		remaining, fanout = nil, len(peers)
 	}
-	if len(turns) == 0 {
+	if len(remaining) == 0 {
 		for vm := range peers {
-			turns = append(turns, vm)
+			remaining = append(remaining, vm)
 		}
-		rand.Shuffle(len(turns), func(i, j int) { turns[i], turns[j] = turns[j], turns[i] })
+		rand.Shuffle(len(remaining), func(i, j int) { remaining[i], remaining[j] = remaining[j], remaining[i] })
 	}
-	n := min(fanout, len(turns))
-	for _, vm := range turns[:n] {
+	n := min(fanout, len(remaining))
+	for _, vm := range remaining[:n] {
 		if peers[vm] != "" {
 			round = append(round, vm)
 		}
 	}
-	return round, turns[n:]
+	return round, remaining[n:]
 }
 
-// exchange tells one peer and hears its answer.
+// exchange sends gossip to one peer and receives its answer.
 func (r *Replica) exchange(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req := &wire.PeerRequest{Kind: &wire.PeerRequest_Gossip{Gossip: r.compose()}}
 	resp, err := r.opt.Peers.Call(ctx, addr, req)
 	if g := resp.GetGossip(); err == nil && g != nil {
-		r.hear(g, addr)
+		r.receive(g, addr)
 	}
 }
 
-// inFlight keeps a slow peer from gathering calls.
+// inFlight allows one call at a time to each peer, so that calls to a slow peer don't accumulate.
 //
-// Failure: a VM is told to leave while a call to a peer is under way, which was
-// composed before. Skipped as busy, that peer would hear of it a round of turns
-// later and go on naming the VM to callers. An urgent call is not skipped but
-// made as soon as the one under way has ended.
+// Failure: a VM starts to leave during a call to a peer whose message was composed before. If that
+// peer were skipped as busy, it would receive the announcement only when its turn comes again, and
+// would go on advertising the VM to callers until then. Therefore an urgent call to a busy peer is
+// made as soon as the current one ends.
 type inFlight struct {
-	mu  sync.Mutex
-	vms map[string]bool // whether another call has to follow
+	mu        sync.Mutex
+	callAgain map[string]bool // by VM with a call in flight: whether another call must follow
 }
 
-// start tells whether the caller is to make the call.
+// start reports whether the caller may make the call now.
 func (f *inFlight) start(vm string, urgent bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if follow, busy := f.vms[vm]; busy {
-		f.vms[vm] = follow || urgent
+	if again, busy := f.callAgain[vm]; busy {
+		f.callAgain[vm] = again || urgent
 		return false
 	}
-	f.vms[vm] = false
+	f.callAgain[vm] = false
 	return true
 }
 
-// end tells whether the call has to be made again.
+// end reports whether the call must be made again.
 func (f *inFlight) end(vm string) (again bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.vms[vm] {
-		f.vms[vm] = false
+	if f.callAgain[vm] {
+		f.callAgain[vm] = false
 		return true
 	}
-	delete(f.vms, vm)
+	delete(f.callAgain, vm)
 	return false
 }
 
-// followList reads the VM list again and again; while it is down the last
-// answer stands.
-func (r *Replica) followList(ctx context.Context) error {
+// pollVMList reads the VM list periodically. While it is unavailable, the last answer remains
+// valid.
+func (r *Replica) pollVMList(ctx context.Context) error {
 	down := false
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, listTimeout)
 		vms, err := r.opt.VMs.List(callCtx)
 		cancel()
 		if err == nil {
-			if err := r.postWait(ctx, listed{vms}); err != nil {
+			if err := r.postWait(ctx, vmsListed{vms}); err != nil {
 				return err
 			}
 		}
 		if failed := err != nil; failed != down && ctx.Err() == nil {
 			down = failed
-			log.WithError(err).WithField("down", down).WithField("code", int(code.VMListDown)).Warn("VM list")
+			log.WithError(err).WithField("down", down).WithField("code", int(code.VMListDown)).Warn("VM list availability changed")
 		}
-		wait := time.NewTimer(listEvery/2 + rand.N(listEvery))
+		wait := time.NewTimer(listInterval/2 + rand.N(listInterval))
 		select {
 		case <-ctx.Done():
 			wait.Stop()
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -23,16 +23,16 @@
 	base    uint64
 }
 
-// historyOutput is what the operator or reader was told.
+// historyOutput is the result that the operator or reader got.
 type historyOutput struct {
 	version  uint64 // accepted or read
 	accepted bool
-	notRun   bool   // told that it can't count
-	unknown  string // publish id, if the operator was told that the verdict is to come
+	notRun   bool   // reported that it can't take effect
+	unknown  string // publish id, if the verdict was reported as pending
 }
 
-// acceptedModel is the accepted version as one register: a publish takes
-// effect iff its base is the current version, and versions only rise.
+// acceptedModel models the accepted version as one register: a publish takes effect if and only if
+// its base is the current version, and versions only increase.
 func acceptedModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return uint64(0) },
@@ -69,10 +69,10 @@
 	return out
 }
 
-// Story: several operators publish and read at the same time while the log
-// loses answers and reads lag. What they were told must fit one order of
-// events in which every accepted sheet replaced exactly its base and no reader
-// saw an older version after a newer one.
+// Guards against lost updates and stale reads. Several operators publish and read concurrently
+// while the log loses answers and reads lag. Their results must fit one order of events in which
+// every accepted sheet replaced exactly its base and no reader got an older version after a newer
+// one.
 func TestPublishesAndReadsAreLinearizable(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
@@ -83,8 +83,7 @@
 	}
 }
 
-// With a reader that takes any answer of the log for the newest, the same
-// check must fail.
+// The same check must fail with readers that use any answer of the log as the newest state.
 func TestStaleReadersAreNotLinearizable(t *testing.T) {
 	failed := 0
 	for seed := range uint64(10) {
@@ -97,9 +96,9 @@
 	assert.Assert(t, failed > 0)
 }
 
-// runHistory drives operators over one log. forgetful readers keep what they
-// read first and so show a stale state.
-func runHistory(t *testing.T, seed uint64, forgetful bool) []porcupine.Operation {
+// runHistory runs operators against one log. Stale readers keep their first result and so return an
+// old state.
+func runHistory(t *testing.T, seed uint64, stale bool) []porcupine.Operation {
 	const operators, rounds = 4, 8
 	l := logtest.New()
 	l.SetLatency(5 * time.Millisecond)
@@ -118,13 +117,13 @@
 			cached, base := false, uint64(0)
 			for round := range rounds {
 				time.Sleep(time.Duration(rnd.Int64N(int64(200 * time.Millisecond))))
-				if !cached || !forgetful {
+				if !cached || !stale {
 					base = readVersion(t, l, op)
 					cached = true
 				}
 				read := base
 				rec.record(op, historyInput{}, func() historyOutput {
-					if !forgetful {
+					if !stale {
 						read = readVersion(t, l, op)
 					}
 					return historyOutput{version: read}
@@ -136,13 +135,13 @@
 		})
 	}
 	wg.Wait()
-	settleUnknown(t, l, rec.ops)
+	resolveUnknown(t, l, rec.ops)
 	return rec.ops
 }
 
-// settleUnknown gives the publishes without a verdict the one that the log
-// shows in the end. They may have taken effect at any time since they began.
-func settleUnknown(t *testing.T, l *logtest.Log, ops []porcupine.Operation) {
+// resolveUnknown replaces each unknown verdict by the one that the log has in the end. Such a
+// publish may have taken effect at any time since it began.
+func resolveUnknown(t *testing.T, l *logtest.Log, ops []porcupine.Operation) {
 	l.SetOutcome(nil)
 	c := logclient.New(logclient.Options{Log: l, Writer: "auditor", VM: "room"})
 	defer func() { assert.NilError(t, c.Close()) }()
@@ -153,13 +152,13 @@
 		if o.unknown == "" {
 			continue
 		}
-		settled := historyOutput{notRun: true}
+		resolved := historyOutput{notRun: true}
 		for _, v := range verdicts {
 			if v.PublishId == o.unknown {
-				settled = historyOutput{version: v.Offset, accepted: v.Accepted}
+				resolved = historyOutput{version: v.Offset, accepted: v.Accepted}
 			}
 		}
-		ops[i].Output, ops[i].Return = settled, time.Now().UnixNano()
+		ops[i].Output, ops[i].Return = resolved, time.Now().UnixNano()
 	}
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -29,9 +29,9 @@
 	return &wire.Entry{Kind: &wire.Entry_Sheet{Sheet: &wire.Sheet{Base: base, PublishId: id, Body: sheetText(id)}}}
 }
 
-// Story: one VM's log access is cut when the morning sheet is accepted. Its
-// callers must be served by the new sheet within seconds all the same. The
-// peers tell each other of their version and hand the sheet over.
+// Guards against callers of a VM without log access being served by an old sheet. The VM loses the
+// log before a sheet is accepted, and must have the sheet within seconds all the same: gossip
+// announces the version and a peer sends the sheet.
 func TestSheetReachesAProcessWithoutTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -40,7 +40,7 @@
 			f.start(fmt.Sprint("vm", i), false)
 		}
 		time.Sleep(3 * time.Second)
-		f.logs["vm3"].set(true)
+		f.logs["vm3"].setCut(true)
 		time.Sleep(time.Second)
 		v, err := f.publish(0, "morning")
 		assert.NilError(t, err)
@@ -53,9 +53,9 @@
 	})
 }
 
-// Story: the log is down for long. A VM starts in the middle of it: with peers
-// that know the sheet it becomes ready, with none it says that it isn't.
-func TestLateStarterInAnOutage(t *testing.T) {
+// Guards against a VM that can't start, or reports ready without a sheet, during a long outage of
+// the log. With peers that have the sheet it becomes ready; without them it does not.
+func TestStartDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.close()
@@ -65,25 +65,25 @@
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
 		f.log.SetDown(true)
-		late := f.start("vm1", false)
+		joined := f.start("vm1", false)
 		time.Sleep(4 * time.Second)
-		assert.Assert(t, late.View().Ready)
-		assert.Equal(t, late.View().Version, v.Offset)
+		assert.Assert(t, joined.View().Ready)
+		assert.Equal(t, joined.View().Version, v.Offset)
 		f.stop["vm0"]()
 		f.mu.Lock()
 		delete(f.reps, "vm0")
 		delete(f.stop, "vm0")
 		delete(f.reps, "vm1")
 		f.mu.Unlock()
-		alone := f.start("vm2", false)
+		isolated := f.start("vm2", false)
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, !alone.View().Ready)
+		assert.Assert(t, !isolated.View().Ready)
 	})
 }
 
-// Story: two operators in the room publish at once, fifty times. Each round
-// has one winner, and every VM names the same one.
-func TestRacingOperatorsHaveOneWinnerEachRound(t *testing.T) {
+// Guards against two accepted publishes on one base. Two operators publish at the same time, fifty
+// times; each round has one winner, and all VMs have the same verdicts.
+func TestRacingPublishesHaveOneWinner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.close()
@@ -125,9 +125,8 @@
 	})
 }
 
-// Story: the record of the accepted sheet passes its retention while the VMs
-// are replaced one after another. The fleet must still know the sheet.
-func TestSheetOutlivesItsRecord(t *testing.T) {
+// Guards against losing the sheet when its record expires while VMs are replaced one after another.
+func TestSheetSurvivesRecordExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.close()
@@ -135,7 +134,7 @@
 		time.Sleep(time.Second)
 		v, err := f.publish(0, "one")
 		assert.NilError(t, err)
-		time.Sleep(2 * checkpointSpread)
+		time.Sleep(2 * checkpointJitter)
 		f.stop["vm0"]()
 		f.mu.Lock()
 		delete(f.stop, "vm0")
@@ -147,14 +146,14 @@
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, next.View().Version, v.Offset)
 		assert.Equal(t, next.View().Sheet.Note, "one")
-		time.Sleep(2 * defaultCheckpointEvery)
+		time.Sleep(2 * defaultCheckpointInterval)
 		assert.Assert(t, f.log.End("config") > v.Offset+2, "the checkpoint was renewed")
 	})
 }
 
-// Story: the log is down for longer than it keeps records, and all VMs are
-// replaced one after another meanwhile. They hand the sheet to each other, but
-// no record of it is left. Operators must be able to publish again.
+// Guards against publishes that can never be accepted again. The log is down for longer than its
+// retention, and all VMs are replaced one after another meanwhile. They get the sheet from each
+// other, but no record of it is left in the log.
 func TestSheetIsRestoredWhenNoRecordIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -163,7 +162,7 @@
 		time.Sleep(time.Second)
 		v, err := f.publish(0, "one")
 		assert.NilError(t, err)
-		time.Sleep(2 * checkpointSpread)
+		time.Sleep(2 * checkpointJitter)
 		f.log.SetDown(true)
 		f.start("vm1", false)
 		time.Sleep(5 * time.Second)
@@ -174,7 +173,7 @@
 		f.mu.Unlock()
 		f.log.Expire("config", f.log.End("config"))
 		f.log.SetDown(false)
-		time.Sleep(restoreAfter + 2*checkpointSpread)
+		time.Sleep(restoreAfter + 2*checkpointJitter)
 		assert.Equal(t, f.reps["vm1"].View().Version, v.Offset)
 		next, err := f.publish(v.Offset, "two")
 		assert.NilError(t, err)
@@ -182,10 +181,10 @@
 	})
 }
 
-// Story: the publish's answer is lost for good and the record never appears.
-// The operator must hear that it can't count, not "unknown" for ever; if it
-// does appear later, it must stay without effect.
-func TestPublishWithALostAnswerIsSettled(t *testing.T) {
+// Guards against an outcome that stays unknown. The answer of a publish is lost and its record
+// doesn't appear. The operator must get the answer that it can't take effect, and it must have no
+// effect if the record appears later.
+func TestPublishWithLostAnswerIsResolved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.close()
@@ -206,9 +205,9 @@
 	})
 }
 
-// Story: a VM is told to leave. Every other VM must stop naming it to callers
-// at once, not when the VM list or a silence tells.
-func TestLeavingIsHeardAtOnce(t *testing.T) {
+// Guards against callers being sent to a leaving VM. All other VMs must learn of it at once, and
+// not only from the VM list or from missing heartbeats.
+func TestLeavingIsAnnouncedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.close()
@@ -229,23 +228,23 @@
 	})
 }
 
-// Story: a process asks a peer for its sheet; before the answer comes, the log
-// brings a newer one. The late answer must not put the older sheet in force.
-func TestLateAnswerOfAPeerDoesNotRevert(t *testing.T) {
-	run := func(off bool) uint64 {
-		s := &state{r: New(Options{}), behind: map[string]clock.Time{}}
-		s.r.opt.anyVersion = off
+// Guards against going back to an older sheet. A process requests the sheet of a peer, and a newer
+// one arrives from the log before the peer's answer.
+func TestLateSheetFromPeerIsIgnored(t *testing.T) {
+	run := func(allowOlder bool) uint64 {
+		s := &state{r: New(Options{}), aheadSince: map[string]clock.Time{}}
+		s.r.opt.allowOlderVersion = allowOlder
 		s.adopt(fold.AcceptedSheet{Version: 5, Sheet: &sheet.Sheet{}}, "log")
-		pulled{fold.AcceptedSheet{Version: 3, Sheet: &sheet.Sheet{}}}.apply(s)
-		return s.best.Version
+		sheetPulled{fold.AcceptedSheet{Version: 3, Sheet: &sheet.Sheet{}}}.apply(s)
+		return s.inForce.Version
 	}
 	assert.Equal(t, run(false), uint64(5))
 	assert.Equal(t, run(true), uint64(3), "without the guard the sheet reverts")
 }
 
-// Story: a reader's log and peers show old and new states in any order. The
-// version that it has in force never falls.
-func TestVersionNeverFalls(t *testing.T) {
+// Guards against a version in force that decreases when the log and the peers return old and new
+// states in any order.
+func TestVersionNeverDecreases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.close()
@@ -259,7 +258,7 @@
 		base := uint64(0)
 		for i := range 30 {
 			f.log.SetStaleReads(i % 4)
-			f.logs["vm1"].set(i%3 == 0)
+			f.logs["vm1"].setCut(i%3 == 0)
 			v, err := f.publish(base, fmt.Sprint("p", i))
 			assert.NilError(t, err)
 			base = v.Offset
@@ -275,7 +274,7 @@
 		changed := r.Updated()
 		v := r.View().Version
 		if v < last {
-			t.Errorf("version fell from %d to %d", last, v)
+			t.Errorf("version decreased from %d to %d", last, v)
 		}
 		last = v
 		select {
--- a/internal/replica/spread_test.go
+++ b/internal/replica/spread_test.go
@@ -10,20 +10,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// inForceLimit is the users' bound for a change to be in force everywhere.
+// inForceLimit is the users' limit for a change to be in force on all VMs.
 const inForceLimit = 8 * time.Second
 
-// Story: the log is well, cut off for one VM, or cut off for all VMs but one.
-// Every change must be in force on every VM within the users' bound, since a
-// caller is sent to any of them.
+// Guards against slow propagation of a change. The log is healthy, unavailable to one VM, or
+// unavailable to all VMs but one. A caller may be sent to any VM, so each change must be in force
+// on all of them within the users' limit.
 func TestChangeIsInForceEverywhereInTime(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		cut  int // VMs without the log
-	}{{"log well", 0}, {"log cut off for one", 1}, {"log cut off for all but one", 7}} {
+	}{{"log healthy", 0}, {"log unavailable to one VM", 1}, {"log unavailable to all but one VM", 7}} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				times := spreadTimes(t, c.cut)
+				times := propagationTimes(t, c.cut)
 				p50, slowest := times[len(times)/2], times[len(times)-1]
 				t.Logf("%s: p50 %s, max %s of %d publishes on 8 VMs", c.name, p50, slowest, len(times))
 				assert.Assert(t, slowest < inForceLimit)
@@ -32,7 +32,7 @@
 	}
 }
 
-func spreadTimes(t *testing.T, cut int) []time.Duration {
+func propagationTimes(t *testing.T, cut int) []time.Duration {
 	const publishes = 20
 	f := newFleet(t)
 	defer f.close()
@@ -42,7 +42,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	for i := range cut {
-		f.logs[fmt.Sprint("vm", i)].set(true)
+		f.logs[fmt.Sprint("vm", i)].setCut(true)
 	}
 	base := uint64(0)
 	var out []time.Duration
--- a/internal/replica/view.go
+++ b/internal/replica/view.go
@@ -1,11 +1,12 @@
-// Package replica keeps one process's copy of what all share: the accepted
-// sheet and the VMs. It follows the config stream, talks to peers, and
-// publishes an immutable View that traffic reads without a lock.
+// Package replica maintains one process's copy of the shared state: the accepted sheet and the list
+// of VMs. It follows the config stream, exchanges gossip with peers, and publishes an immutable
+// View that request handling reads without a lock.
 //
-// A sheet comes from the log or from a peer, whichever is first, so that a
-// process whose log access is slow or cut still has it within seconds. Only
-// sheets that some process has folded from the log are spread. The version in
-// force never falls, whatever a read or a peer says.
+// A sheet is taken from the log or from a peer, whichever has it first, so that a process with slow
+// or no log access still gets it within seconds. Peers serve only sheets that some process has read
+// from the log.
+//
+// Guarantee: the version in force never decreases, whatever a read or a peer returns.
 package replica
 
 import (
@@ -19,21 +20,21 @@
 	"fescuestand/internal/wire"
 )
 
-// View is one state of the copy. It and all it points to are immutable.
+// View is one state of the copy. It and everything that it points to are immutable.
 type View struct {
-	Ready    bool   // there is an accepted sheet
+	Ready    bool   // an accepted sheet is in force
 	Version  uint64 // of Sheet: the offset at which it was accepted
 	Sheet    *sheet.Sheet
 	Body     []byte
 	Hash     uint64 // of Body
 	Members  []membership.Member
-	Leaving  bool // this process has been told to leave
+	Leaving  bool // this process is leaving
 	Log      logclient.Health
-	Offset   uint64 // of the config stream, next to be read
+	Offset   uint64 // of the config stream, to be read next
 	Verdicts []*wire.Verdict
 }
 
-// Member returns the named VM, nil if it isn't known.
+// Member returns the VM of that name, or nil if it isn't in the view.
 func (v *View) Member(vm string) *membership.Member {
 	for i := range v.Members {
 		if v.Members[i].Name == vm {
@@ -43,24 +44,24 @@
 	return nil
 }
 
-// state is what the owner goroutine holds.
+// state is the state that the owner goroutine owns.
 type state struct {
-	ctx     context.Context
-	r       *Replica
-	fold    *fold.Config
-	table   *membership.Table
-	best    fold.AcceptedSheet // highest ever in force here
-	hash    uint64
-	behind  map[string]clock.Time // peer to when it was first seen to be ahead
-	pulling bool
-	ckpt    pacer
+	ctx          context.Context
+	r            *Replica
+	fold         *fold.Config
+	table        *membership.Table
+	inForce      fold.AcceptedSheet // highest version that was ever in force here
+	hash         uint64
+	aheadSince   map[string]clock.Time // by peer: when its newer sheet was first observed
+	pullInFlight bool
+	ckpt         checkpointSchedule
 }
 
 // event is one input of the owner goroutine.
 type event interface{ apply(s *state) }
 
-// snapshot is what View and Updated read together.
+// snapshot holds what View and Updated return, so that both are replaced together.
 type snapshot struct {
 	view    *View
-	changed chan struct{} // closed when a newer snapshot is there
+	changed chan struct{} // closed when a newer snapshot is stored
 }
