--- a/internal/keyedlog/keyedlog_test.go
+++ b/internal/keyedlog/keyedlog_test.go
@@ -11,23 +11,25 @@
 	"fescuestand/internal/driver"
 )
 
-// script is a source whose reads are written down beforehand.
-type script struct {
+// scriptedSource is a source with predefined reads.
+type scriptedSource struct {
 	newest []Entry
 	next   int64
-	reads  []read
-	from   []int64 // offsets that were read from
+	reads  []readResult
+	from   []int64 // offsets of the reads
 	cancel func()
 }
 
-type read struct {
+type readResult struct {
 	entries []Entry
 	err     error
 }
 
-func (s *script) Newest(context.Context) ([]Entry, int64, error) { return s.newest, s.next, nil }
+func (s *scriptedSource) Newest(context.Context) ([]Entry, int64, error) {
+	return s.newest, s.next, nil
+}
 
-func (s *script) Read(_ context.Context, from int64, _ time.Duration) ([]Entry, int64, error) {
+func (s *scriptedSource) Read(_ context.Context, from int64, _ time.Duration) ([]Entry, int64, error) {
 	s.from = append(s.from, from)
 	if len(s.reads) == 0 {
 		s.cancel()
@@ -41,13 +43,14 @@
 	return r.entries, from + int64(len(r.entries)), nil
 }
 
-// follow runs the script to its end and returns what was applied.
-func follow(t *testing.T, s *script) (applied []string, lost int) {
+// runScript runs a follower to the end of the script and returns the applied entries and the number
+// of failed reads.
+func runScript(t *testing.T, s *scriptedSource) (applied []string, failedReads int) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	s.cancel = cancel
 	f := New("test", s)
-	f.OnReadError = func() { lost++ }
+	f.OnReadError = func() { failedReads++ }
 	f.Apply = func(e Entry) {
 		value := string(e.Value)
 		if e.Value == nil {
@@ -56,7 +59,7 @@
 		applied = append(applied, e.Key+"="+value)
 	}
 	assert.ErrorIs(t, f.Run(ctx), context.Canceled)
-	return applied, lost
+	return applied, failedReads
 }
 
 func entry(key, value string, offset int64) Entry {
@@ -68,31 +71,30 @@
 }
 
 func TestChangesFollowTheNewestRecords(t *testing.T) {
-	applied, lost := follow(t, &script{
+	applied, failedReads := runScript(t, &scriptedSource{
 		newest: []Entry{entry("a", "1", 3)}, next: 5,
-		reads: []read{{entries: []Entry{entry("a", "2", 5), entry("b", "", 6)}}},
+		reads: []readResult{{entries: []Entry{entry("a", "2", 5), entry("b", "", 6)}}},
 	})
 	assert.DeepEqual(t, applied, []string{"a=1", "a=2", "b=-"})
-	assert.Equal(t, lost, 0)
+	assert.Equal(t, failedReads, 0)
 }
 
-// The newest records come in pages that are no snapshot: the second page holds a
-// record that was written after the first was read, and the reads that follow
-// repeat an older one of the same key. Applied in that order, the key would have
-// its old value for good.
+// Guards against a key that keeps its old value. The pages of the newest records aren't a
+// consistent snapshot: the second page has a record that was written after the first was read, and
+// the reads that follow return an older record of that key again.
 func TestRepeatedOlderRecordsAreDropped(t *testing.T) {
-	applied, _ := follow(t, &script{
+	applied, _ := runScript(t, &scriptedSource{
 		newest: []Entry{entry("a", "new", 7)}, next: 6,
-		reads: []read{{entries: []Entry{entry("a", "old", 6), entry("a", "new", 7)}}},
+		reads: []readResult{{entries: []Entry{entry("a", "old", 6), entry("a", "new", 7)}}},
 	})
 	assert.DeepEqual(t, applied, []string{"a=new", "a=new"})
 }
 
-// The store drops history while a VM is cut off from it. A key that ended in
-// between shows only by its absence from the newest records.
-func TestKeysThatEndedOutOfSightEnd(t *testing.T) {
-	s := &script{newest: []Entry{entry("a", "1", 1), entry("b", "1", 2)}, next: 3}
-	s.reads = []read{{err: driver.ErrExpired}}
+// Guards against a key that never ends. The store deletes history while a VM is disconnected, so a
+// key that was deleted meanwhile is only missing from the newest records.
+func TestKeysDeletedDuringOutageAreReported(t *testing.T) {
+	s := &scriptedSource{newest: []Entry{entry("a", "1", 1), entry("b", "1", 2)}, next: 3}
+	s.reads = []readResult{{err: driver.ErrExpired}}
 	ctx, cancel := context.WithCancel(t.Context())
 	s.cancel = cancel
 	var ended []string
@@ -107,20 +109,20 @@
 	assert.DeepEqual(t, ended, []string{"a"})
 }
 
-func TestAFailedReadIsToldAndRepeated(t *testing.T) {
-	applied, lost := follow(t, &script{
+func TestFailedReadIsReportedAndRetried(t *testing.T) {
+	applied, failedReads := runScript(t, &scriptedSource{
 		next:  1,
-		reads: []read{{err: errors.New("down")}, {entries: []Entry{entry("a", "1", 1)}}},
+		reads: []readResult{{err: errors.New("down")}, {entries: []Entry{entry("a", "1", 1)}}},
 	})
 	assert.DeepEqual(t, applied, []string{"a=1"})
-	assert.Equal(t, lost, 1)
+	assert.Equal(t, failedReads, 1)
 }
 
-// A VM heard of five versions of a configuration from its peers. Its next read
-// would fetch them all from the store once more.
-func TestWhatWasHeardIsNotReadAgain(t *testing.T) {
+// Guards against redundant reads. A VM received five versions of a configuration from its peers,
+// and its next read would fetch all of them from the store again.
+func TestRecordsFromPeersAreNotReadAgain(t *testing.T) {
 	for _, oneKey := range []bool{true, false} {
-		s := &script{next: 1, reads: []read{{}}}
+		s := &scriptedSource{next: 1, reads: []readResult{{}}}
 		ctx, cancel := context.WithCancel(t.Context())
 		s.cancel = cancel
 		f := New("test", s)
@@ -136,11 +138,11 @@
 	}
 }
 
-// The store goes away while sixty VMs that hear of all changes from their peers
-// make their rare reads. Did each of them try until it succeeds, the store would be
+// Guards against a retry storm. The store fails while sixty VMs, which receive all changes from
+// their peers, make their infrequent reads. If each retried until it succeeds, the store would be
 // charged for a hundred calls a second.
-func TestAFailedReadIsRepeatedNoSoonerThanTheNext(t *testing.T) {
-	s := &script{next: 1, reads: []read{{err: errors.New("down")}, {}}}
+func TestFailedReadIsRetriedAtReadInterval(t *testing.T) {
+	s := &scriptedSource{next: 1, reads: []readResult{{err: errors.New("down")}, {}}}
 	ctx, cancel := context.WithCancel(t.Context())
 	s.cancel = cancel
 	f := New("test", s)
@@ -149,7 +151,7 @@
 		if len(s.from) == 0 {
 			return 0
 		}
-		cancel() // the read has failed, and the pause after it begins
+		cancel() // the read has failed and the wait for the next one begins
 		return time.Hour
 	}
 	assert.ErrorIs(t, f.Run(ctx), context.Canceled)
