--- a/internal/fold/authority.go
+++ b/internal/fold/authority.go
@@ -67,7 +67,7 @@
 // LastCheckpoint returns the position of the newest checkpoint.
 func (a *Authority) LastCheckpoint() CheckpointPosition { return a.lastCheckpoint }
 
-// Get returns the holding of a scope; ok is false if no process ever claimed it.
+// Get returns the holding of a scope; ok is false if the scope has none.
 func (a *Authority) Get(scope string) (h Holding, ok bool) {
 	p, ok := a.scopes[scope]
 	if !ok {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -66,7 +66,7 @@
 	listTimeout               = 2 * time.Second
 	// pullDelay is how long a peer may be ahead before its sheet is requested. A healthy log
 	// delivers the sheet within milliseconds, and a pull by every process for every change would
-	// transfer more bytes than all other gossip.
+	// transfer more bytes than everything else.
 	pullDelay = 300 * time.Millisecond
 	// controlIntervalFactor is how much longer the gossip interval of a control process is: it
 	// needs the totals of the entries only every second or two, and no process waits for its
