--- a/internal/logclient/append.go
+++ b/internal/logclient/append.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// maxBatch bounds one append, in bytes. A larger single one goes alone.
-	maxBatch = 256 << 10
-	// Waits between tries are drawn between half and the whole of a bound that
-	// doubles, so that processes don't come back to the log in step.
+	// maxBatchBytes bounds one append. A single larger one is sent alone.
+	maxBatchBytes = 256 << 10
+	// The delay before a retry is random, between half and all of a bound that doubles each time,
+	// so that processes don't retry in step.
 	backoffMin = 50 * time.Millisecond
 	backoffMax = 2 * time.Second
 )
 
-// queue carries the appends of one stream.
+// queue batches the appends of one stream.
 type queue struct {
 	c      *Client
 	stream string
 
-	mu      sync.Mutex
-	pending []*call
-	flying  bool
-	failing time.Time // first failure of the append on its way; zero if none
-	resting []*call   // batch between two tries, while none may be in the log
-	seq     uint64    // last number that may have reached the log
+	mu           sync.Mutex
+	pending      []*appendCall
+	sending      bool
+	failingSince time.Time     // first failure of the append in flight; zero if none
+	withdrawable []*appendCall // batch between two attempts, while none of them can be in the log
+	seq          uint64        // last number that may have reached the log
 }
 
-// call is one caller's entries.
-type call struct {
+// appendCall holds the entries of one caller.
+type appendCall struct {
 	entries []*wire.Entry
 	size    int
-	seq     uint64 // 0 until it is on its way
+	seq     uint64 // 0 until it is sent
 	done    chan outcome
 }
 
@@ -53,7 +53,7 @@
 }
 
 func (q *queue) append(ctx context.Context, entries []*wire.Entry) (Receipt, error) {
-	cl := &call{entries: entries, done: make(chan outcome, 1)}
+	cl := &appendCall{entries: entries, done: make(chan outcome, 1)}
 	for _, e := range entries {
 		cl.size += proto.Size(e)
 	}
@@ -64,30 +64,30 @@
 	case o := <-cl.done:
 		return o.receipt, o.err
 	case <-ctx.Done():
-		return q.leave(cl, ctx.Err())
+		return q.withdraw(cl, ctx.Err())
 	}
 }
 
-func (q *queue) enqueue(ctx context.Context, cl *call) error {
+func (q *queue) enqueue(ctx context.Context, cl *appendCall) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if err := errors.Join(ctx.Err(), q.c.ctx.Err()); err != nil {
 		return code.Wrap(code.LogDown, err, "append to %s not begun", q.stream)
 	}
-	if q.flying && !q.failing.IsZero() && time.Since(q.failing) > q.c.opt.FailFastAfter {
+	if q.sending && !q.failingSince.IsZero() && time.Since(q.failingSince) > q.c.opt.FailFastAfter {
 		return code.New(code.LogDown, "appends to %s fail", q.stream).WithRetryAfter(q.c.opt.AppendTimeout)
 	}
 	q.pending = append(q.pending, cl)
-	if !q.flying {
-		q.flying = true
-		q.c.wg.Go(q.fly)
+	if !q.sending {
+		q.sending = true
+		q.c.wg.Go(q.sendLoop)
 	}
 	return nil
 }
 
-// leave ends a caller's wait. Once its entries are on their way nobody can
-// say what becomes of them.
-func (q *queue) leave(cl *call, cause error) (Receipt, error) {
+// withdraw ends a caller's wait. The outcome of entries that were already sent is unknown, unless
+// every attempt was certainly refused.
+func (q *queue) withdraw(cl *appendCall, cause error) (Receipt, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	select {
@@ -97,118 +97,118 @@
 	}
 	if i := slices.Index(q.pending, cl); i >= 0 {
 		q.pending = slices.Delete(q.pending, i, i+1)
-		if q.failing.IsZero() {
+		if q.failingSince.IsZero() {
 			return Receipt{}, code.Wrap(code.CommitLogBudget, cause, "append to %s not begun in time", q.stream)
 		}
 		return Receipt{}, code.Wrap(code.LogDown, cause, "append to %s not begun in time", q.stream)
 	}
-	if i := slices.Index(q.resting, cl); i >= 0 {
-		q.resting = slices.Delete(q.resting, i, i+1)
+	if i := slices.Index(q.withdrawable, cl); i >= 0 {
+		q.withdrawable = slices.Delete(q.withdrawable, i, i+1)
 		return Receipt{}, code.Wrap(code.LogDown, cause, "append to %s refused until now, and withdrawn", q.stream)
 	}
-	return Receipt{Seq: cl.seq}, lost(cause, q.stream)
+	return Receipt{Seq: cl.seq}, unknownOutcome(cause, q.stream)
 }
 
-func lost(cause error, stream string) error {
+func unknownOutcome(cause error, stream string) error {
 	return code.Wrap(code.LogLostAnswer, cause, "append to %s", stream).WithRun(code.Unknown)
 }
 
-// fly sends batches until none is waiting.
-func (q *queue) fly() {
+// sendLoop sends batches until none is pending.
+func (q *queue) sendLoop() {
 	for {
-		err := q.c.limit.Wait(q.c.ctx)
-		batch := q.take()
+		err := q.c.limiter.Wait(q.c.ctx)
+		batch := q.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
 		if err != nil {
-			q.finish(batch, outcome{err: code.Wrap(code.LogDown, err, "append to %s not begun", q.stream)}, false)
+			q.complete(batch, outcome{err: code.Wrap(code.LogDown, err, "append to %s not begun", q.stream)}, false)
 			continue
 		}
-		q.finish(q.send(batch))
+		q.complete(q.sendBatch(batch))
 	}
 }
 
-// take moves the next batch out of the waiting ones, and ends the flight when
-// there is none.
-func (q *queue) take() []*call {
+// nextBatch removes the next batch from the pending calls, and marks the queue as idle if there is
+// none.
+func (q *queue) nextBatch() []*appendCall {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n, size := 0, 0
-	for n < len(q.pending) && (n == 0 || size+q.pending[n].size <= maxBatch) {
+	for n < len(q.pending) && (n == 0 || size+q.pending[n].size <= maxBatchBytes) {
 		size += q.pending[n].size
 		n++
 	}
 	batch := slices.Clone(q.pending[:n])
 	q.pending = slices.Delete(q.pending, 0, n)
-	q.flying = n > 0
+	q.sending = n > 0
 	for _, cl := range batch {
 		cl.seq = q.seq + 1
 	}
 	return batch
 }
 
-// finish tells the batch's callers. The number is used up as soon as a byte
-// may have reached the log.
-func (q *queue) finish(batch []*call, o outcome, mayBeThere bool) {
+// complete passes the outcome to the callers of a batch. The sequence number is consumed as soon as
+// any byte may have reached the log.
+func (q *queue) complete(batch []*appendCall, o outcome, maybeWritten bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if mayBeThere {
+	if maybeWritten {
 		q.seq++
 	}
 	if len(batch) == 0 {
-		return // all have left: the log still fails, and the next append finds out
+		return // all callers have left: the log still fails, which the next append detects
 	}
-	q.failing = time.Time{}
+	q.failingSince = time.Time{}
 	o.receipt.Seq = batch[0].seq
 	for _, cl := range batch {
 		cl.done <- o
 	}
 }
 
-// send tries one batch until it is in, or is given up. It returns those who
+// sendBatch retries one batch until it is written or its time is up. It returns the calls that
 // still wait for the outcome.
 //
-// Failure: the log applies an append and its answer is lost. Sent again under
-// a new number it would count twice; reported as not written it would be taken
-// for safe to repeat. From the first such try on, every try carries the same
-// bytes with the same number, so that readers drop the copies, and the outcome
-// can only be "written" or "unknown".
+// Failure: the log applies an append and its answer is lost. If it were sent again under a new
+// number it would be applied twice; if it were reported as not written, its caller would assume
+// that a retry is safe. Therefore, from the first attempt that may have been written, every attempt
+// sends the same bytes with the same number, so that readers drop the copies, and the outcome can
+// only be "written" or "unknown".
 //
-// As long as each try was certainly refused, as in a plain outage, a caller may
-// leave between two tries and knows that its entries were not written: they are
-// taken out before the next one.
-func (q *queue) send(batch []*call) (left []*call, o outcome, mayBeThere bool) {
+// As long as every attempt was certainly refused, as in a plain outage, a caller may withdraw
+// between two attempts and is certain that its entries were not written: they are removed before
+// the next attempt.
+func (q *queue) sendBatch(batch []*appendCall) (waiting []*appendCall, o outcome, maybeWritten bool) {
 	var data []byte
 	started := time.Now()
 	for try := 0; ; try++ {
-		if !mayBeThere {
+		if !maybeWritten {
 			var err error
 			if data, err = q.encode(batch); err != nil {
 				return batch, outcome{err: code.Wrap(code.Internal, err, "encoding a record")}, false
 			}
 		}
-		offset, err := q.attempt(data)
+		offset, err := q.appendOnce(data)
 		q.c.setHealth(err)
 		if err == nil {
 			return batch, outcome{receipt: Receipt{Offset: offset}}, true
 		}
-		mayBeThere = mayBeThere || !certainlyAbsent(err)
-		q.markFailing(err, try)
-		if !mayBeThere {
-			q.rest(batch)
+		maybeWritten = maybeWritten || !certainlyNotWritten(err)
+		q.recordFailure(err, try)
+		if !maybeWritten {
+			q.setWithdrawable(batch)
 		}
-		again := time.Since(started) <= q.c.opt.AppendTimeout && q.c.pause(q.c.ctx, try)
-		if !mayBeThere {
-			batch = q.rest(nil)
+		retry := time.Since(started) <= q.c.opt.AppendTimeout && q.c.backoff(q.c.ctx, try)
+		if !maybeWritten {
+			batch = q.setWithdrawable(nil)
 		}
-		if !again || len(batch) == 0 {
-			return batch, q.givenUp(err, mayBeThere), mayBeThere
+		if !retry || len(batch) == 0 {
+			return batch, q.failure(err, maybeWritten), maybeWritten
 		}
 	}
 }
 
-func (q *queue) encode(batch []*call) ([]byte, error) {
+func (q *queue) encode(batch []*appendCall) ([]byte, error) {
 	var entries []*wire.Entry
 	for _, cl := range batch {
 		entries = append(entries, cl.entries...)
@@ -216,50 +216,50 @@
 	return fold.Encode(q.c.opt.Writer, q.c.opt.VM, batch[0].seq, entries)
 }
 
-// rest puts a batch where its callers may leave it, and returns what is left
-// of the one that was there.
-func (q *queue) rest(batch []*call) (left []*call) {
+// setWithdrawable makes a batch withdrawable by its callers, and returns what remains of the
+// previous one.
+func (q *queue) setWithdrawable(batch []*appendCall) (remaining []*appendCall) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	left, q.resting = q.resting, batch
-	return left
+	remaining, q.withdrawable = q.withdrawable, batch
+	return remaining
 }
 
-func (q *queue) givenUp(err error, mayBeThere bool) outcome {
-	if mayBeThere {
-		return outcome{err: lost(err, q.stream)}
+func (q *queue) failure(err error, maybeWritten bool) outcome {
+	if maybeWritten {
+		return outcome{err: unknownOutcome(err, q.stream)}
 	}
 	return outcome{err: code.Wrap(code.LogDown, err, "append to %s", q.stream).WithRetryAfter(q.c.opt.AppendTimeout)}
 }
 
-func (q *queue) attempt(data []byte) (uint64, error) {
+func (q *queue) appendOnce(data []byte) (uint64, error) {
 	ctx, cancel := context.WithTimeout(q.c.ctx, q.c.opt.AttemptTimeout)
 	defer cancel()
 	return q.c.opt.Log.Append(ctx, q.stream, data)
 }
 
-func certainlyAbsent(err error) bool {
+func certainlyNotWritten(err error) bool {
 	return errors.Is(err, driver.ErrNotSent) || errors.Is(err, driver.ErrRefused)
 }
 
-func (q *queue) markFailing(err error, try int) {
+func (q *queue) recordFailure(err error, try int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.failing.IsZero() {
-		q.failing = time.Now()
+	if q.failingSince.IsZero() {
+		q.failingSince = time.Now()
 	}
 	if try == 0 {
-		log.WithError(err).WithField("stream", q.stream).WithField("code", int(code.LogLostAnswer)).Warn("append failed, trying again")
+		log.WithError(err).WithField("stream", q.stream).WithField("code", int(code.LogLostAnswer)).Warn("append failed, retrying")
 	}
 }
 
-// pause waits before try+1; false means that ctx or the client ended.
-func (c *Client) pause(ctx context.Context, try int) bool {
-	d := backoffMax
+// backoff waits before attempt try+1; it returns false if ctx or the client ended.
+func (c *Client) backoff(ctx context.Context, try int) bool {
+	bound := backoffMax
 	if try < 6 {
-		d = min(backoffMin<<try, backoffMax)
+		bound = min(backoffMin<<try, backoffMax)
 	}
-	t := time.NewTimer(d/2 + rand.N(d/2))
+	t := time.NewTimer(bound/2 + rand.N(bound/2))
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/internal/logclient/client_test.go
+++ b/internal/logclient/client_test.go
@@ -64,7 +64,7 @@
 	return out
 }
 
-func TestAppendsOfConcurrentCallersTravelTogether(t *testing.T) {
+func TestConcurrentAppendsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		l.SetLatency(10 * time.Millisecond)
@@ -82,30 +82,30 @@
 	})
 }
 
-// Story: the log applies an append, its answer is lost, the client sends it
-// again. The reader would see the entry twice. Both copies carry one number.
-func TestLostAnswerIsTriedAgainAndCountsOnce(t *testing.T) {
+// Guards against applying an entry twice. The log applies an append, its answer is lost, and the
+// client retries it. Both copies have the same sequence number.
+func TestLostAnswerIsRetriedAndAppliedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		c := newClient(t, l)
-		fates := []logtest.Outcome{logtest.AnswerLost, logtest.Dropped, logtest.Applied}
+		outcomes := []logtest.Outcome{logtest.AnswerLost, logtest.Dropped, logtest.Applied}
 		l.SetOutcome(func(string, []byte) logtest.Outcome {
-			f := fates[0]
-			fates = fates[1:]
-			return f
+			outcome := outcomes[0]
+			outcomes = outcomes[1:]
+			return outcome
 		})
 		r, err := c.Append(t.Context(), "s", entry("a"))
 		assert.NilError(t, err)
-		assert.Equal(t, r.Offset, uint64(2), "the second copy's")
+		assert.Equal(t, r.Offset, uint64(2), "offset of the second copy")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		assert.DeepEqual(t, ids(collect(ctx, c, 1)()), []string{"a"})
 	})
 }
 
-// Story: every answer is lost. The caller must hear "unknown", never "not
-// written": the record appears in the log a minute later.
-func TestLostAnswersNeverMeanNotWritten(t *testing.T) {
+// Guards against reporting an append as not written when it appears in the log later. All answers
+// are lost, so the caller must get an unknown outcome.
+func TestLostAnswersGiveUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		c := newClient(t, l)
@@ -124,7 +124,7 @@
 	})
 }
 
-func TestOutageRefusesAtOnceAndIsSureOfIt(t *testing.T) {
+func TestOutageFailsFastAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		l.SetDown(true)
@@ -134,7 +134,7 @@
 			defer close(firstEnded)
 			_, _ = c.Append(t.Context(), "s", entry("first"))
 		}()
-		time.Sleep(defaultFailFast + 500*time.Millisecond)
+		time.Sleep(defaultFailFastAfter + 500*time.Millisecond)
 		start := time.Now()
 		_, err := c.Append(t.Context(), "s", entry("a"))
 		assert.Equal(t, code.Of(err).Run, code.NotRun)
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestCallerWhoLeavesInTheMiddleHearsUnknown(t *testing.T) {
+func TestCallerCanceledDuringAppendGetsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		l.SetOutcome(func(string, []byte) logtest.Outcome { return logtest.Dropped })
@@ -162,9 +162,9 @@
 	})
 }
 
-// Story: the log answers from a lagging replica, an outage follows, then the
-// records that the reader wants expire. The reader sees every record once, in
-// order, a marker where some are lost, and never an older state.
+// Guards against lost, repeated and reverted records. A lagging replica of the log answers, then an
+// outage follows, then the next records expire. The reader must get every record once and in order,
+// a marker where records are lost, and never an older state.
 func TestTailSurvivesStaleReadsOutageAndExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
@@ -203,10 +203,10 @@
 	})
 }
 
-// Story: the log refuses everything, as in a plain outage. A caller with a short
-// deadline leaves while the client waits for its next try. It must hear that
-// nothing was written, and when the log is back its entries must not appear.
-func TestCallerWhoLeavesAnOutageKnowsItWasNotWritten(t *testing.T) {
+// Guards against an unclear outcome in a plain outage. The log refuses everything, and a caller
+// with a short deadline leaves between two attempts. It must get the answer that nothing was
+// written, and its entries must not appear when the log is available again.
+func TestCallerCanceledInOutageGetsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		l.SetDown(true)
@@ -230,8 +230,8 @@
 	})
 }
 
-// The same, with the caller's own append on its way when it leaves.
-func TestCallerWhoseAppendWasRefusedMayWithdrawIt(t *testing.T) {
+// The same, when the append in flight is the caller's own.
+func TestCallerCanWithdrawRefusedAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
 		l.SetDown(true)
--- a/internal/logclient/logtest/logtest.go
+++ b/internal/logclient/logtest/logtest.go
@@ -1,6 +1,6 @@
-// Package logtest is a log service in memory for tests, with the failures that
-// a real one has: outages, slowness, lost answers, appends that appear late,
-// stale and shortened reads, and retention.
+// Package logtest is an in-memory log service for tests. It simulates the failures of a real one:
+// outages, latency, lost answers, appends that appear late, stale and incomplete reads, and
+// retention.
 package logtest
 
 import (
@@ -12,34 +12,33 @@
 	"fescuestand/internal/driver"
 )
 
-// errLost stands for an answer that never came.
-var errLost = errors.New("answer lost")
+// errAnswerLost is the error of an append whose answer is lost.
+var errAnswerLost = errors.New("answer lost")
 
-// Outcome is what becomes of one append.
+// Outcome is the outcome of one append.
 type Outcome int
 
-// The fates of an append.
+// The outcomes of an append.
 const (
-	Applied   Outcome = iota // in the log, answer received
-	Refused               // not in the log, and said so
-	AnswerLost                  // in the log, answer lost
-	Dropped              // not in the log, answer lost
-	Delayed             // answer lost, in the log once Release is called
+	Applied    Outcome = iota // written, answer received
+	Refused                   // not written, refusal received
+	AnswerLost                // written, answer lost
+	Dropped                   // not written, answer lost
+	Delayed                   // answer lost, written when ReleaseDelayed is called
 )
 
-// Log is the service. Its fields are set before its first use; the methods
-// may be called at any time.
+// Log is the log service. Its methods may be called concurrently.
 type Log struct {
-	mu      sync.Mutex
-	streams map[string]*stream
-	down    bool
-	fate    func(stream string, data []byte) Outcome
-	stale   int // reads still to be answered from an older state
-	late    []lateAppend
-	changed chan struct{}
-	appends int
-	reads   int
-	latency time.Duration
+	mu         sync.Mutex
+	streams    map[string]*stream
+	down       bool
+	outcome    func(stream string, data []byte) Outcome
+	staleReads int // reads still to be answered from an older state
+	delayed    []delayedAppend
+	changed    chan struct{}
+	appends    int
+	reads      int
+	latency    time.Duration
 }
 
 type stream struct {
@@ -47,7 +46,7 @@
 	records []driver.Record
 }
 
-type lateAppend struct {
+type delayedAppend struct {
 	stream string
 	data   []byte
 }
@@ -60,30 +59,32 @@
 }
 
 // SetDown starts or ends an outage.
-func (l *Log) SetDown(down bool) { l.with(func() { l.down = down }) }
+func (l *Log) SetDown(down bool) { l.update(func() { l.down = down }) }
 
-// SetLatency sets how long an append takes.
-func (l *Log) SetLatency(d time.Duration) { l.with(func() { l.latency = d }) }
+// SetLatency sets the duration of an append.
+func (l *Log) SetLatency(d time.Duration) { l.update(func() { l.latency = d }) }
 
-// SetOutcome sets the fate of the appends from now on; nil applies all.
-func (l *Log) SetOutcome(f func(stream string, data []byte) Outcome) { l.with(func() { l.fate = f }) }
+// SetOutcome sets the function that decides the outcome of later appends; with nil all are applied.
+func (l *Log) SetOutcome(outcome func(stream string, data []byte) Outcome) {
+	l.update(func() { l.outcome = outcome })
+}
 
-// SetStaleReads answers the next n reads from an older, shorter state.
-func (l *Log) SetStaleReads(n int) { l.with(func() { l.stale = n }) }
+// SetStaleReads makes the next n reads return an older, shorter state.
+func (l *Log) SetStaleReads(n int) { l.update(func() { l.staleReads = n }) }
 
-// ReleaseDelayed lets the postponed appends appear.
+// ReleaseDelayed writes the delayed appends.
 func (l *Log) ReleaseDelayed() {
-	l.with(func() {
-		for _, a := range l.late {
-			l.add(a.stream, a.data)
+	l.update(func() {
+		for _, a := range l.delayed {
+			l.appendRecord(a.stream, a.data)
 		}
-		l.late = nil
+		l.delayed = nil
 	})
 }
 
-// Expire drops the records of a stream below offset first.
+// Expire deletes the records of a stream below offset first.
 func (l *Log) Expire(name string, first uint64) {
-	l.with(func() {
+	l.update(func() {
 		s := l.stream(name)
 		n := min(int(first-s.first), len(s.records))
 		s.records = s.records[n:]
@@ -91,14 +92,14 @@
 	})
 }
 
-// Appends returns how many appends were tried.
+// Appends returns the number of append attempts.
 func (l *Log) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends
 }
 
-// End returns the offset that the stream's next append gets.
+// End returns the offset of the stream's next append.
 func (l *Log) End(name string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +107,7 @@
 	return s.first + uint64(len(s.records))
 }
 
-func (l *Log) with(f func()) {
+func (l *Log) update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
@@ -123,7 +124,7 @@
 	return s
 }
 
-func (l *Log) add(name string, data []byte) uint64 {
+func (l *Log) appendRecord(name string, data []byte) uint64 {
 	s := l.stream(name)
 	offset := s.first + uint64(len(s.records))
 	s.records = append(s.records, driver.Record{Offset: offset, Time: time.Now(), Data: data})
@@ -133,36 +134,36 @@
 // Append implements driver.Log.
 func (l *Log) Append(_ context.Context, name string, data []byte) (offset uint64, err error) {
 	var latency time.Duration
-	l.with(func() { latency = l.latency })
+	l.update(func() { latency = l.latency })
 	time.Sleep(latency)
-	l.with(func() {
+	l.update(func() {
 		l.appends++
-		fate := Applied
-		if l.fate != nil {
-			fate = l.fate(name, data)
+		outcome := Applied
+		if l.outcome != nil {
+			outcome = l.outcome(name, data)
 		}
 		if l.down {
-			fate = Refused
+			outcome = Refused
 		}
-		offset, err = l.apply(fate, name, data)
+		offset, err = l.applyOutcome(outcome, name, data)
 	})
 	return offset, err
 }
 
-func (l *Log) apply(fate Outcome, name string, data []byte) (uint64, error) {
-	switch fate {
+func (l *Log) applyOutcome(outcome Outcome, name string, data []byte) (uint64, error) {
+	switch outcome {
 	case Refused:
 		return 0, driver.ErrNotSent
 	case AnswerLost:
-		l.add(name, data)
-		return 0, errLost
+		l.appendRecord(name, data)
+		return 0, errAnswerLost
 	case Dropped:
-		return 0, errLost
+		return 0, errAnswerLost
 	case Delayed:
-		l.late = append(l.late, lateAppend{name, data})
-		return 0, errLost
+		l.delayed = append(l.delayed, delayedAppend{name, data})
+		return 0, errAnswerLost
 	default:
-		return l.add(name, data), nil
+		return l.appendRecord(name, data), nil
 	}
 }
 
@@ -197,8 +198,8 @@
 	if from < s.first {
 		return page, nil, driver.ErrExpired
 	}
-	if l.stale > 0 && from > 1 {
-		l.stale--
+	if l.staleReads > 0 && from > 1 {
+		l.staleReads--
 		return driver.Page{First: s.first, End: from - 1}, nil, nil
 	}
 	for i := from - s.first; i < uint64(len(s.records)) && len(page.Records) < limit; i++ {
--- a/internal/logclient/tail.go
+++ b/internal/logclient/tail.go
@@ -12,32 +12,32 @@
 	"fescuestand/internal/fold"
 )
 
-// readLimit is the most records of one read: enough that a starter reads a
-// day's changes in a few hundred calls, few enough for one read's memory.
-const readLimit = 256
+// maxReadRecords bounds the records of one read: a starting process reads a day's changes in a few
+// hundred calls, and one read fits in memory.
+const maxReadRecords = 256
 
-// Tail delivers a stream's items from offset from on, 1 or 0 for the oldest,
-// in order and each once, until ctx ends or fn fails. Whole records are
-// delivered at once. It survives every error of the log service. When records
-// expire unread it delivers a Gap marker and goes on with the oldest kept.
+// Tail delivers the items of a stream in order and each once, from offset from (0 or 1 means the
+// oldest), until ctx ends or fn fails. The items of one record are delivered in the same call.
+// Errors of the log service don't end it. If records expire before they are read, it delivers a Gap
+// marker and continues with the oldest retained record.
 func (c *Client) Tail(ctx context.Context, stream string, from uint64, fn func([]Item) error) error {
 	return c.TailWith(ctx, stream, from, fn, func() error { return nil })
 }
 
-// TailWith is Tail that also calls each after every read of the log that went
-// well, delivered or not; its error ends the tail like one of fn.
-func (c *Client) TailWith(ctx context.Context, stream string, from uint64, fn func([]Item) error, each func() error) error {
+// TailWith is Tail that also calls afterRead after every successful read of the log, whether it
+// delivered items or not; an error of afterRead ends it like one of fn.
+func (c *Client) TailWith(ctx context.Context, stream string, from uint64, fn func([]Item) error, afterRead func() error) error {
 	t := &tail{c: c, stream: stream, next: max(from, 1), fn: fn}
 	for try := 0; ; {
 		progressed, err := t.read(ctx)
-		if err == nil && t.fatal == nil {
-			t.fatal = each()
+		if err == nil && t.callbackErr == nil {
+			t.callbackErr = afterRead()
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if t.fatal != nil {
-			return t.fatal
+		if t.callbackErr != nil {
+			return t.callbackErr
 		}
 		c.setHealth(err)
 		if err == nil || progressed {
@@ -45,9 +45,9 @@
 			continue
 		}
 		if try == 0 {
-			log.WithError(err).WithField("stream", stream).Warn("read of the log failed, trying again")
+			log.WithError(err).WithField("stream", stream).Warn("log read failed, retrying")
 		}
-		if !c.pause(ctx, try) {
+		if !c.backoff(ctx, try) {
 			return context.Canceled
 		}
 		try++
@@ -55,16 +55,16 @@
 }
 
 type tail struct {
-	c      *Client
-	stream string
-	next   uint64
-	fn     func([]Item) error
-	fatal  error // of fn
-	stale  bool  // the present run of stale reads was logged
-	atEnd  bool  // the newest read left nothing unread: the next may wait
+	c           *Client
+	stream      string
+	next        uint64
+	fn          func([]Item) error
+	callbackErr error // error of fn or afterRead
+	staleLogged bool  // the current sequence of stale reads was logged
+	atEnd       bool  // the newest read reached the end of the stream, so the next may wait
 }
 
-// read delivers what one call of the log gives.
+// read delivers the result of one read of the log.
 func (t *tail) read(ctx context.Context) (progressed bool, err error) {
 	opt := &t.c.opt
 	callCtx, cancel := context.WithTimeout(ctx, opt.PollWait+opt.AttemptTimeout)
@@ -73,9 +73,9 @@
 	if t.atEnd {
 		wait = opt.PollWait
 	}
-	page, err := opt.Log.Read(callCtx, t.stream, t.next, readLimit, wait)
+	page, err := opt.Log.Read(callCtx, t.stream, t.next, maxReadRecords, wait)
 	if page.First > t.next && (err == nil || errors.Is(err, driver.ErrExpired)) {
-		return true, t.jump(page)
+		return true, t.skipExpired(page)
 	}
 	if err != nil {
 		return false, err
@@ -86,38 +86,37 @@
 	before := t.next
 	items := t.decode(page.Records)
 	if len(items) > 0 {
-		if t.fatal = t.fn(items); t.fatal != nil {
-			return false, t.fatal
+		if t.callbackErr = t.fn(items); t.callbackErr != nil {
+			return false, t.callbackErr
 		}
 	}
 	t.atEnd = t.next >= page.End
 	t.c.setProgress(t.stream, t.next, page)
 	if t.next == before && len(page.Records) > 0 {
-		return false, t.hole(page.Records[0].Offset)
+		return false, t.gapError(page.Records[0].Offset)
 	}
 	return true, nil
 }
 
-func (t *tail) jump(page driver.Page) error {
+func (t *tail) skipExpired(page driver.Page) error {
 	log.WithField("stream", t.stream).WithField("code", int(code.LogExpired)).
-		WithField("wanted", t.next).WithField("first", page.First).Warn("records expired unread")
+		WithField("wanted", t.next).WithField("first", page.First).Warn("records expired before they were read")
 	t.next = page.First
-	if t.fatal = t.fn([]Item{{Offset: page.First, Gap: true}}); t.fatal != nil {
-		return t.fatal
+	if t.callbackErr = t.fn([]Item{{Offset: page.First, Gap: true}}); t.callbackErr != nil {
+		return t.callbackErr
 	}
 	t.c.setProgress(t.stream, t.next, page)
 	return nil
 }
 
-// checkStale refuses an answer from before what was already read.
+// checkStale rejects an answer that is older than what was already read.
 //
-// Failure: a replica of the log service that lags answers a read with an older
-// end. A reader that believed it would see an accepted sheet or a lease
-// vanish. Offsets only grow, so an end below the next offset proves the answer
-// old; it is ignored and asked again.
+// Failure: a lagging replica of the log service answers a read with an older end. A reader that
+// accepted it would see an accepted sheet or a lease disappear. Offsets only grow, so an end below
+// the next offset proves that the answer is old; it is ignored and the read is retried.
 func (t *tail) checkStale(page driver.Page) error {
 	if page.End >= t.next {
-		t.stale = false
+		t.staleLogged = false
 		return nil
 	}
 	err := code.New(code.LogStaleRead, "stream %s ends at %d, already read up to %d", t.stream, page.End, t.next)
@@ -125,22 +124,22 @@
 	return err
 }
 
-func (t *tail) hole(at uint64) error {
+func (t *tail) gapError(at uint64) error {
 	err := code.New(code.LogStaleRead, "stream %s lacks offsets %d to %d", t.stream, t.next, at-1)
 	t.logStale(err)
 	return err
 }
 
 func (t *tail) logStale(err error) {
-	if !t.stale {
+	if !t.staleLogged {
 		log.WithError(err).WithField("code", int(code.LogStaleRead)).Warn("stale read ignored")
 	}
-	t.stale = true
+	t.staleLogged = true
 }
 
-// decode returns the items of the records that follow without a hole. A
-// shortened read that lacks a record in the middle would otherwise make this
-// reader's state differ from everyone else's.
+// decode returns the items of the records that follow without a gap. Otherwise an incomplete read
+// that lacks a record in the middle would make the state of this reader differ from that of all
+// others.
 func (t *tail) decode(records []driver.Record) []Item {
 	var out []Item
 	for _, r := range records {
