--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -125,8 +125,8 @@
 // it before View.
 func (r *Replica) Updated() <-chan struct{} { return r.snap.Load().changed }
 
-// Contribute adds f to those that fill in this process's gossip. f must not
-// block. Call it before Run.
+// Contribute registers a function that fills in the gossip messages of this process. f must not
+// block. Call Contribute before Run.
 func (r *Replica) Contribute(f func(*wire.Gossip)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
