--- a/internal/fold/authority.go
+++ b/internal/fold/authority.go
@@ -44,7 +44,7 @@
 
 // holder is a writer that holds at least one scope.
 type holder struct {
-	seq    uint64 // last applied record
+	seq    uint64 // sequence number of the last applied record
 	offset uint64 // of that record
 	scopes map[string]bool
 }
--- a/internal/fold/dedup.go
+++ b/internal/fold/dedup.go
@@ -13,8 +13,8 @@
 // continues with others, and the first copy appears in the log minutes later. It would be applied
 // twice, or applied after it was reported as abandoned. Therefore the records of a writer are
 // applied only in increasing order of their sequence numbers: a record whose number isn't above the
-// last applied one is dropped. Retries are thus harmless, and an abandoned record certainly has no
-// effect once a later one of its writer is in the log.
+// last applied one is dropped. Retries are thus harmless, and an abandoned record can't take effect
+// any more once a later one of its writer precedes it in the log.
 //
 // It tracks the writers with the most recent records. The zero value is not usable.
 type Dedup struct {
--- a/internal/logclient/append.go
+++ b/internal/logclient/append.go
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// withdraw ends a caller's wait. The outcome of entries that were already sent is unknown, unless
-// every attempt was certainly refused.
+// withdraw ends a caller's wait. Entries that weren't sent, or whose attempts so far were all
+// certainly refused, are removed between two attempts; the outcome of others is unknown.
 func (q *queue) withdraw(cl *appendCall, cause error) (Receipt, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/logclient/client_test.go
+++ b/internal/logclient/client_test.go
@@ -230,7 +230,7 @@
 	})
 }
 
-// The same, when the append in flight is the caller's own.
+// Guards against the same failure when the append in flight is the caller's own.
 func TestCallerCanWithdrawRefusedAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := logtest.New()
--- a/internal/replica/publish.go
+++ b/internal/replica/publish.go
@@ -51,8 +51,9 @@
 }
 
 // appendBarrier appends an empty record after one whose answer was lost. If the empty record is
-// read and the lost one was not read before it, the lost one can't take effect, as readers drop
-// records of a writer that come after a later one. It returns 0 if its own answer is lost.
+// read and the lost one was not read before it, the lost one can't take effect, as readers drop a
+// record that appears after one of the same writer with a higher number. It returns 0 if its own
+// answer is lost.
 func appendBarrier(ctx context.Context, c *logclient.Client, stream string) uint64 {
 	receipt, err := c.Append(ctx, stream, &wire.Entry{})
 	if err != nil {
@@ -82,7 +83,7 @@
 	return err
 }
 
-// ReadHoldings reads the control stream to its end and returns which process owns each engine.
+// ReadHoldings reads the control stream to its end and returns which process holds each engine.
 func ReadHoldings(ctx context.Context, c *logclient.Client, stream string) ([]fold.Holding, error) {
 	a := fold.NewAuthority(1)
 	ctx, cancel := context.WithCancel(ctx)
