--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -48,8 +48,8 @@
 	return d.held, nil
 }
 
-// Informed implements Members.
-func (v *vm) Informed() []string {
+// CacheTrackers implements Members.
+func (v *vm) CacheTrackers() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var out []string
@@ -61,8 +61,8 @@
 	return out
 }
 
-// Heard implements Members: one more VM is heard each hearStep.
-func (v *vm) Heard() []string {
+// ResponsiveActive implements Members: one more VM is heard each hearStep.
+func (v *vm) ResponsiveActive() []string {
 	out := []string{v.addr}
 	for _, other := range v.vms {
 		if other != v && len(out) <= int(time.Since(v.started)/hearStep) {
@@ -75,15 +75,15 @@
 // hearStep is a beat's time.
 const hearStep = 35 * time.Millisecond
 
-// SetInformed implements Members.
-func (v *vm) SetInformed(informed bool) {
+// SetTracksCaches implements Members.
+func (v *vm) SetTracksCaches(informed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.informed = informed
 }
 
-// Active implements Members.
-func (v *vm) Active() bool {
+// IsActive implements Members.
+func (v *vm) IsActive() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return !v.outside
--- a/internal/cachesync/unit.go
+++ b/internal/cachesync/unit.go
@@ -50,16 +50,16 @@
 
 // Members are the VMs of the deployment.
 type Members interface {
-	// Informed returns the addresses of the VMs that know what engines have
+	// CacheTrackers returns the addresses of the VMs that know what engines have
 	// cached, the nearest first.
-	Informed() []string
-	// Heard returns the addresses of the VMs that are heard, with this one's.
-	Heard() []string
-	// SetInformed tells the others whether this VM knows.
-	SetInformed(informed bool)
-	// Active tells whether this VM places requests, or is one of those that will
+	CacheTrackers() []string
+	// ResponsiveActive returns the addresses of the VMs that are heard, with this one's.
+	ResponsiveActive() []string
+	// SetTracksCaches tells the others whether this VM knows.
+	SetTracksCaches(informed bool)
+	// IsActive tells whether this VM places requests, or is one of those that will
 	// next.
-	Active() bool
+	IsActive() bool
 }
 
 // Unit is the kernel unit.
@@ -84,7 +84,7 @@
 func (u *Unit) Run(ctx context.Context) error {
 	learnt := u.NothingCached
 	for {
-		for !u.Members.Active() {
+		for !u.Members.IsActive() {
 			if !clock.Sleep(ctx, activePeriod) {
 				return ctx.Err()
 			}
@@ -95,11 +95,11 @@
 			}
 			continue
 		}
-		u.Members.SetInformed(true)
+		u.Members.SetTracksCaches(true)
 		if !u.stay(ctx) {
 			return ctx.Err()
 		}
-		u.Members.SetInformed(false)
+		u.Members.SetTracksCaches(false)
 		learnt = false
 	}
 }
@@ -109,7 +109,7 @@
 	seen := u.Clock.Now()
 	for clock.Sleep(ctx, activePeriod) {
 		now := u.Clock.Now()
-		if u.Members.Active() {
+		if u.Members.IsActive() {
 			seen = now
 		}
 		if now.Sub(seen) > awayFor {
@@ -123,7 +123,7 @@
 // left the active set before.
 func (u *Unit) learn(ctx context.Context) bool {
 	var w wait
-	for u.Members.Active() && clock.Sleep(ctx, step) {
+	for u.Members.IsActive() && clock.Sleep(ctx, step) {
 		engines := u.engines()
 		if len(engines) == 0 {
 			continue
@@ -131,7 +131,7 @@
 		if u.askVMs(ctx) {
 			return true
 		}
-		if w.over(u.Clock.Now(), len(u.Members.Heard())) {
+		if w.over(u.Clock.Now(), len(u.Members.ResponsiveActive())) {
 			u.askEngines(ctx, engines)
 			return clock.Sleep(ctx, learnFor)
 		}
@@ -174,7 +174,7 @@
 
 // askVMs takes over what another VM knows. It returns false if none does.
 func (u *Unit) askVMs(ctx context.Context) bool {
-	for _, addr := range u.Members.Informed() {
+	for _, addr := range u.Members.CacheTrackers() {
 		all, err := ask(ctx, addr)
 		log.WithError(err).WithField("vm", addr).WithField("engines", len(all.GetEngines())).Info("caches asked of a VM")
 		if err != nil {
@@ -204,7 +204,7 @@
 // of which another VM has told a list isn't asked again.
 func (u *Unit) askEngines(ctx context.Context, engines []*catalog.Endpoint) {
 	for _, e := range engines {
-		if ownerOf(e.ID, u.Members.Heard()) != u.Own || u.Planner.CachedPartCount(e.ID) >= chunkParts {
+		if ownerOf(e.ID, u.Members.ResponsiveActive()) != u.Own || u.Planner.CachedPartCount(e.ID) >= chunkParts {
 			continue
 		}
 		parts, err := u.list(ctx, e)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -47,7 +47,7 @@
 		b.ConfigVersion = c.Version
 	}
 	if x.Usage != nil {
-		b.WallMs = x.Time.Own().UnixMilli()
+		b.WallMs = x.Time.LocalTime().UnixMilli()
 	}
 	x.Changes.fillRead(b)
 	b.Requests = uint32(math.Ceil(x.RequestRate()))
@@ -89,8 +89,8 @@
 	return out
 }
 
-// FillNews implements gossip.Content.
-func (x *GossipContent) FillNews(b *wire.Beat) {
+// FillUpdates implements gossip.Content.
+func (x *GossipContent) FillUpdates(b *wire.Beat) {
 	if c := x.Catalog.View().Config; c != nil {
 		b.ConfigVersion = c.Version
 	}
@@ -99,8 +99,8 @@
 	b.LeavingEndpoints = x.leaving.current(x.Clock.Now())
 }
 
-// Totals implements gossip.Content.
-func (x *GossipContent) Totals() []*wire.UsageWindow {
+// DueUsage implements gossip.Content.
+func (x *GossipContent) DueUsage() []*wire.UsageWindow {
 	if x.Usage == nil {
 		return nil
 	}
@@ -110,7 +110,7 @@
 // receiveTotals merges the time of day and the usage counts of another VM.
 func (x *GossipContent) receiveTotals(from string, b *wire.Beat) {
 	if b.GetWallMs() != 0 {
-		x.Time.Heard(from, time.UnixMilli(b.GetWallMs()))
+		x.Time.ReceiveTime(from, time.UnixMilli(b.GetWallMs()))
 	}
 	x.Usage.HearAll(ProcessName(from, b.GetIncarnation()), b.GetUsage())
 }
@@ -134,8 +134,8 @@
 	}
 }
 
-// Take implements gossip.Content.
-func (x *GossipContent) Take(from string, b *wire.Beat) {
+// Receive implements gossip.Content.
+func (x *GossipContent) Receive(from string, b *wire.Beat) {
 	if b.GetProbe() == nil {
 		x.receiveLoad(from, b)
 		if x.Usage != nil {
--- a/internal/vm/duties.go
+++ b/internal/vm/duties.go
@@ -20,7 +20,7 @@
 		units = append(units, &usage.Reporter{
 			Book: n.usage, Records: n.adapter.UsageRecords(), Billing: n.adapter.Billing(), Clock: n.clock,
 			TrueTime: n.time.At, May: n.may, Window: u.Window, Due: u.Due,
-			Gather: usage.NewGatherer(n.usage, n.process(), n.members.Heard).Gather,
+			Gather: usage.NewGatherer(n.usage, n.process(), n.members.ResponsiveActive).Gather,
 		})
 	}
 	if p := n.adapter.Provider(); p != nil {
@@ -69,7 +69,7 @@
 // judgeKeys says whether keys can be judged by the configuration in force.
 func (n *Node) judgeKeys() freshness.Verdict {
 	if n.fresh == nil {
-		return freshness.Judge
+		return freshness.AcceptOrDeny
 	}
 	return n.fresh.Verdict()
 }
@@ -80,8 +80,8 @@
 // Age implements gossip.Knowledge.
 func (k *knowledge) Age() (age time.Duration, version uint64, ok bool) { return k.n.fresh.Age() }
 
-// Confirmed implements gossip.Knowledge.
-func (k *knowledge) Confirmed(vm string, askedAt clock.Time, age time.Duration, version uint64) {
-	k.n.fresh.Confirmed(askedAt, age, version)
+// MergeAnswer implements gossip.Knowledge.
+func (k *knowledge) MergeAnswer(vm string, askedAt clock.Time, age time.Duration, version uint64) {
+	k.n.fresh.MergeAnswer(askedAt, age, version)
 	k.n.puller.Heard(vm, version)
 }
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -161,12 +161,12 @@
 	n.gateway = gateway.New(gateway.Options{
 		Codec: a.Codec(), Catalog: n.catalog, Planner: n.planner, Budget: n.budget, Crashes: n.crashes,
 		Pressure: n.pressure, Pool: n.pool, Clock: c, Leaving: n.members.Leaving,
-		VMs: n.members.Serving, OnPrefillSent: n.sent, OnPrefixCached: n.cached, OnCrash: n.crashed, OnEndpointLeaving: n.leaves,
+		VMs: n.members.AdvertisedCount, OnPrefillSent: n.sent, OnPrefixCached: n.cached, OnCrash: n.crashed, OnEndpointLeaving: n.leaves,
 		KeyFreshness: n.judgeKeys, OnRequestRunning: n.began,
 	})
 	n.planner.Admits = n.pressure.Admits
 	n.pressure.Self = o.Self.Peer
-	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.RequestRate, n.members.Serving
+	n.pressure.RequestRate, n.pressure.VMCount = n.gateway.RequestRate, n.members.AdvertisedCount
 	n.orders.Leaves = n.leaves
 	n.exchange = &gateway.GossipContent{
 		Clock: c, Planner: n.planner, Pressure: n.pressure, Crashes: n.crashes, Catalog: n.catalog, Changes: n.changes,
@@ -176,9 +176,9 @@
 		n.exchange.Time, n.exchange.Usage = n.time, n.usage
 	}
 	n.gossip = gossip.NewUnit(n.members, n.exchange)
-	n.pressure.OnChange = n.gossip.Soon
+	n.pressure.OnChange = n.gossip.SendEarly
 	if n.fresh != nil {
-		n.gossip.Knowledge = &knowledge{n}
+		n.gossip.Freshness = &knowledge{n}
 	}
 	return n
 }
@@ -223,7 +223,7 @@
 		Clock: n.clock, Planner: n.planner, Catalog: n.catalog, Members: n.members, Engines: n.adapter.Caches(n.pool),
 		Own: n.o.Self.Peer, NothingCached: n.o.FirstStart,
 		Tell: func(c *wire.CachedPrefix) {
-			n.gossip.Tell(func(b *wire.Beat) { b.Cached = append(b.Cached, c) })
+			n.gossip.QueueUpdate(func(b *wire.Beat) { b.Cached = append(b.Cached, c) })
 		},
 	}
 }
@@ -247,7 +247,7 @@
 // Metrics returns the counters as they are now.
 func (n *Node) Metrics() Metrics {
 	v := n.View()
-	m := Metrics{Snapshot: n.gateway.Metrics().Snapshot(), Endpoints: len(v.All()), VMs: n.members.Serving(), ConfigVersion: n.version(), Limited: n.pressure.LimitedCount(), Draining: len(v.All()) - v.Working()}
+	m := Metrics{Snapshot: n.gateway.Metrics().Snapshot(), Endpoints: len(v.All()), VMs: n.members.AdvertisedCount(), ConfigVersion: n.version(), Limited: n.pressure.LimitedCount(), Draining: len(v.All()) - v.Working()}
 	return m
 }
 
@@ -257,7 +257,7 @@
 
 func (n *Node) sent(work time.Duration) {
 	if work >= urgentWork {
-		n.gossip.SoonToBusy()
+		n.gossip.SendEarlyToBusy()
 	}
 }
 
@@ -268,12 +268,12 @@
 
 func (n *Node) ordered(id string) {
 	n.planner.MarkChangingStage(n.clock.Now(), id)
-	n.gossip.Tell(func(b *wire.Beat) { b.Changing = append(b.Changing, id) })
-	n.gossip.Soon()
+	n.gossip.QueueUpdate(func(b *wire.Beat) { b.Changing = append(b.Changing, id) })
+	n.gossip.SendEarly()
 }
 
 func (n *Node) cached(e *catalog.Endpoint, parts []place.Part) {
-	n.gossip.Tell(func(b *wire.Beat) { b.Cached = append(b.Cached, cachesync.Prefix(e, parts)) })
+	n.gossip.QueueUpdate(func(b *wire.Beat) { b.Cached = append(b.Cached, cachesync.Prefix(e, parts)) })
 }
 
 func (n *Node) crashed(fingerprint uint64, endpoint string) {
@@ -281,8 +281,8 @@
 		return
 	}
 	c := &wire.Crash{Request: fingerprint, Endpoint: endpoint}
-	n.gossip.Tell(func(b *wire.Beat) { b.Crashes = append(b.Crashes, c) })
-	n.gossip.Soon()
+	n.gossip.QueueUpdate(func(b *wire.Beat) { b.Crashes = append(b.Crashes, c) })
+	n.gossip.SendEarly()
 	n.exchange.AnnounceCrash(c)
 	n.news()
 }
@@ -291,11 +291,11 @@
 func (n *Node) leaves(e *catalog.Endpoint) { n.exchange.AnnounceLeaving(e) }
 
 // news has something told that all VMs must know.
-func (n *Node) news() { n.gossip.Push() }
+func (n *Node) news() { n.gossip.PushUpdates() }
 
-func (n *Node) renewed(sentAt clock.Time, h gossip.Holding) {
-	n.members.SetDuty(h.Duty)
-	n.duty.Renewed(sentAt, h.Duty && !n.members.Leaving(), h.Generation)
+func (n *Node) renewed(sentAt clock.Time, h gossip.Assignment) {
+	n.members.SetLeader(h.Leader)
+	n.duty.Renewed(sentAt, h.Leader && !n.members.Leaving(), h.Generation)
 }
 
 // seedOf makes the planners of different processes break ties differently.
