--- a/internal/entry/journal.go
+++ b/internal/entry/journal.go
@@ -52,7 +52,7 @@
 func (j *journal) awaitCaughtUp(ctx context.Context, t *commit.Table) error {
 	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
-	for !j.log.Progress(j.stream).Read {
+	for !j.log.Progress(j.stream).CaughtUp {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/operator/publish.go
+++ b/internal/operator/publish.go
@@ -115,7 +115,7 @@
 	if c.First || c.Base > 0 {
 		return c.Base, nil
 	}
-	accepted, _, err := replica.Current(ctx, client, stream)
+	accepted, _, err := replica.ReadAccepted(ctx, client, stream)
 	return accepted.Version, err
 }
 
--- a/internal/vm/follow.go
+++ b/internal/vm/follow.go
@@ -40,18 +40,18 @@
 // initFollowers sets up the followers of the platform's keyed logs.
 func (n *Node) initFollowers() {
 	n.configFollower = keyedlog.New("config", n.adapter.Configs())
-	n.configFollower.Apply, n.configFollower.OneKey = n.applyConfig, true
-	n.configFollower.Wait, n.configFollower.Pause, n.configFollower.Clock = n.configReadWait, n.configReadInterval, n.clock
+	n.configFollower.Apply, n.configFollower.SingleKey = n.applyConfig, true
+	n.configFollower.ReadWait, n.configFollower.ReadInterval, n.configFollower.Clock = n.configReadWait, n.configReadInterval, n.clock
 	if n.freshness != nil {
-		n.configFollower.Read = n.freshness.RecordRead
+		n.configFollower.OnRead = n.freshness.RecordRead
 	}
 	n.configPuller = configsync.NewPuller(n.clock, n.version, n.configFollower)
 	n.endpointFollower = keyedlog.New("fleet", n.adapter.Endpoints())
-	n.endpointFollower.Apply, n.endpointFollower.Begin, n.endpointFollower.End = n.applyEndpoint, n.catalog.BeginBatch, n.catalog.EndBatch
-	n.endpointFollower.Pause, n.endpointFollower.Lost = n.members.ReadInterval, n.catalog.RecordOutage
-	n.endpointFollower.Read = func(clock.Time) {
+	n.endpointFollower.Apply, n.endpointFollower.BeginBatch, n.endpointFollower.EndBatch = n.applyEndpoint, n.catalog.BeginBatch, n.catalog.EndBatch
+	n.endpointFollower.ReadInterval, n.endpointFollower.OnReadError = n.members.ReadInterval, n.catalog.RecordOutage
+	n.endpointFollower.OnRead = func(clock.Time) {
 		n.members.RecordRead()
-		n.endpointChanges.RecordRead(n.endpointFollower.Next())
+		n.endpointChanges.RecordRead(n.endpointFollower.NextOffset())
 	}
 	n.endpointChanges = gateway.NewChanges(n.clock, n.endpointFollower)
 	n.endpointChanges.IsReader = n.members.IsReader
@@ -140,7 +140,7 @@
 	now := n.clock.Now()
 	if age, _, ok := n.freshness.Age(); ok && age > maxConfirmedAge && now.Sub(n.lastNudge) > maxConfirmedAge {
 		n.lastNudge = now
-		n.configFollower.Nudge()
+		n.configFollower.Wake()
 	}
 }
 
@@ -163,7 +163,7 @@
 		n.freshness.RecordInForce(c.Version)
 	}
 	n.configHandler.Set(e)
-	if !e.Heard {
+	if !e.FromPeer {
 		n.gossip.SendEarly() // VMs that don't read the store wait for the version
 	}
 	n.pushUpdates()
@@ -189,10 +189,10 @@
 // the endpoint for a while, this VM keeps it for as long.
 func (n *Node) applyRemoval(e keyedlog.Entry) {
 	changed := false
-	if e.Kept > 0 {
-		changed = n.catalog.ExpireAfter(e.Key, e.Kept)
+	if e.GracePeriod > 0 {
+		changed = n.catalog.ExpireAfter(e.Key, e.GracePeriod)
 	} else {
-		changed, e.Kept = n.catalog.RemoveEndpoint(e.Key)
+		changed, e.GracePeriod = n.catalog.RemoveEndpoint(e.Key)
 	}
 	if changed {
 		n.endpointChanges.RecordApplied(e)
