--- a/cmd/fescue-standin/engine.go
+++ b/cmd/fescue-standin/engine.go
@@ -75,7 +75,7 @@
 		DecodePerSeq: c.DecodePerSeq,
 		MaxBatch:     c.MaxBatch,
 		MaxQueue:     c.MaxQueue,
-		CachePieces:  c.CachePieces,
+		CacheBlocks:  c.CachePieces,
 		KVRate:       c.KVRate,
 		RoleChange:   c.RoleChange,
 		ReportLag:    c.ReportLag,
--- a/internal/standin/engine/batch_test.go
+++ b/internal/standin/engine/batch_test.go
@@ -70,7 +70,7 @@
 }
 
 func TestCachedPiecesAreNotComputedAgain(t *testing.T) {
-	r := testRun(t, Config{CachePieces: 3})
+	r := testRun(t, Config{CacheBlocks: 3})
 	now := time.Now()
 	prompt := 2*httpapi.PieceTokens + 10
 	r.put(t, prompt, 0, nil)
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -47,7 +47,7 @@
 
 func newPrefixCache(cfg *Config, incarnation string) *prefixCache {
 	return &prefixCache{
-		size:        cfg.CachePieces,
+		size:        cfg.CacheBlocks,
 		incarnation: incarnation,
 		loss:        cfg.EventLoss,
 		lag:         cfg.EventLag,
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -55,7 +55,7 @@
 	DecodePerSeq time.Duration // added for each further sequence
 	MaxBatch     int
 	MaxQueue     int
-	CachePieces  int // memory of the prefix cache
+	CacheBlocks  int // memory of the prefix cache
 	KVRate       int64
 	KVPerToken   int64 // bytes
 	RoleChange   time.Duration
@@ -78,7 +78,7 @@
 	c.DecodePerSeq = cmp.Or(c.DecodePerSeq, defaultDecodePerSeq)
 	c.MaxBatch = cmp.Or(c.MaxBatch, defaultMaxBatch)
 	c.MaxQueue = cmp.Or(c.MaxQueue, defaultMaxQueue)
-	c.CachePieces = cmp.Or(c.CachePieces, defaultCachePieces)
+	c.CacheBlocks = cmp.Or(c.CacheBlocks, defaultCachePieces)
 	c.KVRate = cmp.Or(c.KVRate, defaultKVRate)
 	c.KVPerToken = cmp.Or(c.KVPerToken, defaultKVPerToken)
 	c.RoleChange = cmp.Or(c.RoleChange, defaultRoleChange)
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -191,7 +191,7 @@
 }
 
 func TestCacheEventsAreLateAndGappy(t *testing.T) {
-	e, d := start(t, Config{CachePieces: 2, EventLag: 30 * time.Millisecond})
+	e, d := start(t, Config{CacheBlocks: 2, EventLag: 30 * time.Millisecond})
 	run := func(attempt, text string) {
 		req := ask(attempt)
 		req.Prompt, req.MaxTokens = bytes.Repeat([]byte(text), 4500), 1
