--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -62,7 +62,7 @@
 	ReportLag    time.Duration
 	EventLag     time.Duration
 	EventLoss    float64 // share of cache events that get lost
-	Weights      string  // address of the weight store; none: loads are instant
+	WeightStore      string  // address of the weight store; none: loads are instant
 	Poison       string
 	Downtime     time.Duration // from a crash to the restart
 	// Exit ends the process at a crash. Without it the engine drops its
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -216,12 +216,12 @@
 
 // fetchWeights gets a model version or adapter at the weight store's rate.
 func (r *run) fetchWeights(ctx context.Context, l driver.Loaded) error {
-	if r.cfg.Weights == "" {
+	if r.cfg.WeightStore == "" {
 		return nil
 	}
 	q := url.Values{"model": {l.Model}, "version": {l.Version}}
 	if l.Adapter != "" {
 		q.Set("model", l.Adapter)
 	}
-	return postOK(ctx, "http://"+r.cfg.Weights+httpapi.PathFetch+"?"+q.Encode())
+	return postOK(ctx, "http://"+r.cfg.WeightStore+httpapi.PathFetch+"?"+q.Encode())
 }
