--- a/cmd/fescue-standin/caller.go
+++ b/cmd/fescue-standin/caller.go
@@ -89,7 +89,7 @@
 		LongLow:     c.LongLow,
 		LongHigh:    c.LongHigh,
 		Period:      c.Period,
-		LongPieces:  c.LongPieces,
+		LongPrefixBlocks:  c.LongPieces,
 		Return:      !c.NoReturn,
 		Resend:      c.Resend,
 		Engines:     c.Engines,
--- a/internal/standin/caller/config.go
+++ b/internal/standin/caller/config.go
@@ -43,7 +43,7 @@
 	// of Period each.
 	LongLow, LongHigh float64
 	Period            time.Duration
-	LongPieces        int  // pieces of prompt prefix of a long document
+	LongPrefixBlocks        int  // pieces of prompt prefix of a long document
 	Return            bool // come back after a refusal that names a time
 	Resend            bool // ask again after a cut connection
 	// Engines and Endpoints are asked at the end what they executed.
