--- a/cmd/fescue-standin/caller.go
+++ b/cmd/fescue-standin/caller.go
@@ -86,7 +86,7 @@
 		},
 		LookupShare: c.LookupShare,
 		CommitShare: c.CommitShare,
-		LongLow:     c.LongLow,
+		LongShareLow:     c.LongLow,
 		LongHigh:    c.LongHigh,
 		Period:      c.Period,
 		LongPrefixBlocks:  c.LongPieces,
--- a/internal/standin/caller/config.go
+++ b/internal/standin/caller/config.go
@@ -39,9 +39,9 @@
 	Service     Service
 	LookupShare float64
 	CommitShare float64
-	// The share of long documents swings between LongLow and LongHigh, half
+	// The share of long documents swings between LongShareLow and LongHigh, half
 	// of Period each.
-	LongLow, LongHigh float64
+	LongShareLow, LongHigh float64
 	Period            time.Duration
 	LongPrefixBlocks        int  // pieces of prompt prefix of a long document
 	Return            bool // come back after a refusal that names a time
--- a/internal/standin/caller/mix.go
+++ b/internal/standin/caller/mix.go
@@ -67,7 +67,7 @@
 			return kindLookup
 		}
 	}
-	long := c.LongLow
+	long := c.LongShareLow
 	if c.Period > 0 && after%c.Period >= c.Period/2 {
 		long = c.LongHigh
 	}
