--- a/cmd/fescue-standin/caller.go
+++ b/cmd/fescue-standin/caller.go
@@ -87,7 +87,7 @@
 		LookupShare: c.LookupShare,
 		CommitShare: c.CommitShare,
 		LongShareLow:     c.LongLow,
-		LongHigh:    c.LongHigh,
+		LongShareHigh:    c.LongHigh,
 		Period:      c.Period,
 		LongPrefixBlocks:  c.LongPieces,
 		Return:      !c.NoReturn,
--- a/internal/standin/caller/caller_test.go
+++ b/internal/standin/caller/caller_test.go
@@ -103,7 +103,7 @@
 
 func TestTheMixDependsOnSeedAndTimeOnly(t *testing.T) {
 	cfg := &Config{
-		Seed: 5, Workspaces: 3, LongPrefixBlocks: 1, LongShareLow: 0, LongHigh: 1, Period: 10 * time.Second,
+		Seed: 5, Workspaces: 3, LongPrefixBlocks: 1, LongShareLow: 0, LongShareHigh: 1, Period: 10 * time.Second,
 		Short: Class{MaxTokens: 10}, Long: Class{MaxTokens: 10},
 	}
 	assert.Equal(t, cfg.request(1, 0).kind, kindShort)
--- a/internal/standin/caller/config.go
+++ b/internal/standin/caller/config.go
@@ -39,9 +39,9 @@
 	Service     Service
 	LookupShare float64
 	CommitShare float64
-	// The share of long documents swings between LongShareLow and LongHigh, half
+	// The share of long documents swings between LongShareLow and LongShareHigh, half
 	// of Period each.
-	LongShareLow, LongHigh float64
+	LongShareLow, LongShareHigh float64
 	Period            time.Duration
 	LongPrefixBlocks        int  // pieces of prompt prefix of a long document
 	Return            bool // come back after a refusal that names a time
--- a/internal/standin/caller/mix.go
+++ b/internal/standin/caller/mix.go
@@ -69,7 +69,7 @@
 	}
 	long := c.LongShareLow
 	if c.Period > 0 && after%c.Period >= c.Period/2 {
-		long = c.LongHigh
+		long = c.LongShareHigh
 	}
 	if rng.Float64() < long {
 		return kindLong
