--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -39,7 +39,7 @@
 // Config sets up a Service. Zero fields take defaults.
 type Config struct {
 	AppendsPerSecond float64
-	KeepRecords      int
+	MaxRecords      int
 	KeepTime         time.Duration
 	MaxRecord        int
 }
@@ -56,7 +56,7 @@
 // New returns an empty log.
 func New(cfg Config) *Service {
 	cfg.AppendsPerSecond = cmp.Or(cfg.AppendsPerSecond, defaultAppendsPerSecond)
-	cfg.KeepRecords = cmp.Or(cfg.KeepRecords, defaultKeepRecords)
+	cfg.MaxRecords = cmp.Or(cfg.MaxRecords, defaultKeepRecords)
 	cfg.KeepTime = cmp.Or(cfg.KeepTime, defaultKeepTime)
 	cfg.MaxRecord = cmp.Or(cfg.MaxRecord, defaultMaxRecord)
 	burst := max(1, int(cfg.AppendsPerSecond)/burstShare)
@@ -83,7 +83,7 @@
 	defer s.mu.Unlock()
 	st, ok := s.streams[name]
 	if !ok {
-		st = newStream(s.cfg.KeepRecords, s.cfg.KeepTime)
+		st = newStream(s.cfg.MaxRecords, s.cfg.KeepTime)
 		s.streams[name] = st
 	}
 	return st
--- a/internal/standin/logservice/logservice_test.go
+++ b/internal/standin/logservice/logservice_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestOffsetsRetentionAndLongPoll(t *testing.T) {
-	_, l := start(t, Config{KeepRecords: 2})
+	_, l := start(t, Config{MaxRecords: 2})
 	for i, text := range []string{"a", "b", "c"} {
 		offset, err := l.Append(t.Context(), "s", []byte(text))
 		assert.NilError(t, err)
