--- a/cmd/fescue-standin/commands.go
+++ b/cmd/fescue-standin/commands.go
@@ -74,7 +74,7 @@
 
 func (c *logCommand) run(ctx context.Context) (int, error) {
 	s := logservice.New(logservice.Config{
-		AppendsPerSecond: c.Appends, KeepTime: c.KeepTime, MaxRecords: c.KeepRecords,
+		AppendsPerSecond: c.Appends, Retention: c.KeepTime, MaxRecords: c.KeepRecords,
 	})
 	return serve(ctx, c.Listen, s.Handler())
 }
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -40,7 +40,7 @@
 type Config struct {
 	AppendsPerSecond float64
 	MaxRecords      int
-	KeepTime         time.Duration
+	Retention         time.Duration
 	MaxRecord        int
 }
 
@@ -57,7 +57,7 @@
 func New(cfg Config) *Service {
 	cfg.AppendsPerSecond = cmp.Or(cfg.AppendsPerSecond, defaultAppendsPerSecond)
 	cfg.MaxRecords = cmp.Or(cfg.MaxRecords, defaultKeepRecords)
-	cfg.KeepTime = cmp.Or(cfg.KeepTime, defaultKeepTime)
+	cfg.Retention = cmp.Or(cfg.Retention, defaultKeepTime)
 	cfg.MaxRecord = cmp.Or(cfg.MaxRecord, defaultMaxRecord)
 	burst := max(1, int(cfg.AppendsPerSecond)/burstShare)
 	return &Service{
@@ -83,7 +83,7 @@
 	defer s.mu.Unlock()
 	st, ok := s.streams[name]
 	if !ok {
-		st = newStream(s.cfg.MaxRecords, s.cfg.KeepTime)
+		st = newStream(s.cfg.MaxRecords, s.cfg.Retention)
 		s.streams[name] = st
 	}
 	return st
--- a/internal/standin/logservice/logservice_test.go
+++ b/internal/standin/logservice/logservice_test.go
@@ -68,7 +68,7 @@
 }
 
 func TestRetentionByTime(t *testing.T) {
-	_, l := start(t, Config{KeepTime: 20 * time.Millisecond})
+	_, l := start(t, Config{Retention: 20 * time.Millisecond})
 	_, err := l.Append(t.Context(), "s", []byte("a"))
 	assert.NilError(t, err)
 	time.Sleep(40 * time.Millisecond)
