--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -41,7 +41,7 @@
 	AppendsPerSecond float64
 	MaxRecords      int
 	Retention         time.Duration
-	MaxRecord        int
+	MaxRecordBytes        int
 }
 
 // Service is the log service.
@@ -58,7 +58,7 @@
 	cfg.AppendsPerSecond = cmp.Or(cfg.AppendsPerSecond, defaultAppendsPerSecond)
 	cfg.MaxRecords = cmp.Or(cfg.MaxRecords, defaultKeepRecords)
 	cfg.Retention = cmp.Or(cfg.Retention, defaultKeepTime)
-	cfg.MaxRecord = cmp.Or(cfg.MaxRecord, defaultMaxRecord)
+	cfg.MaxRecordBytes = cmp.Or(cfg.MaxRecordBytes, defaultMaxRecord)
 	burst := max(1, int(cfg.AppendsPerSecond)/burstShare)
 	return &Service{
 		cfg:   cfg,
@@ -109,7 +109,7 @@
 	if !s.reachable(w, r) {
 		return
 	}
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(s.cfg.MaxRecord)))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(s.cfg.MaxRecordBytes)))
 	if err != nil {
 		httpjson.Refuse(w, http.StatusRequestEntityTooLarge, "bad-record", err.Error())
 		return
