--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -16,7 +16,7 @@
 
 // The directions.
 const (
-	Forth Direction = iota // to the target
+	ToTarget Direction = iota // to the target
 	Back                   // from the target
 	directions
 )
@@ -65,7 +65,7 @@
 	defer func() { _ = in.Close() }()
 	r.track(in)
 	defer r.forget(in)
-	<-r.healed(Forth)
+	<-r.healed(ToTarget)
 	out, err := net.Dial("tcp", r.target)
 	if err != nil {
 		closeWrite(in, err)
@@ -75,7 +75,7 @@
 	r.track(out)
 	defer r.forget(out)
 	done := make(chan struct{}, 2)
-	go func() { r.pipe(out, in, Forth); done <- struct{}{} }()
+	go func() { r.pipe(out, in, ToTarget); done <- struct{}{} }()
 	go func() { r.pipe(in, out, Back); done <- struct{}{} }()
 	<-done
 	<-done
