--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -17,7 +17,7 @@
 // The directions.
 const (
 	ToTarget Direction = iota // to the target
-	Back                   // from the target
+	FromTarget                   // from the target
 	directions
 )
 
@@ -76,7 +76,7 @@
 	defer r.forget(out)
 	done := make(chan struct{}, 2)
 	go func() { r.pipe(out, in, ToTarget); done <- struct{}{} }()
-	go func() { r.pipe(in, out, Back); done <- struct{}{} }()
+	go func() { r.pipe(in, out, FromTarget); done <- struct{}{} }()
 	<-done
 	<-done
 }
