--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -143,12 +143,12 @@
 // accepts and nothing arrives; established connections freeze. false heals it.
 func (r *Relay) Cut(cut bool) {
 	for d := range directions {
-		r.CutOneWay(d, cut)
+		r.BlockDirection(d, cut)
 	}
 }
 
-// CutOneWay silences one direction.
-func (r *Relay) CutOneWay(d Direction, cut bool) {
+// BlockDirection silences one direction.
+func (r *Relay) BlockDirection(d Direction, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
--- a/scenarios/soak_faults_test.go
+++ b/scenarios/soak_faults_test.go
@@ -134,7 +134,7 @@
 	case 0:
 		r.Cut(true)
 	case 1:
-		r.CutOneWay(relay.FromTarget, true)
+		r.BlockDirection(relay.FromTarget, true)
 	case 2:
 		r.Delay(delay)
 	default:
