--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -139,9 +139,9 @@
 	time.Sleep(d)
 }
 
-// Cut silences both directions, as a network that drops packets does: the relay
+// Block silences both directions, as a network that drops packets does: the relay
 // accepts and nothing arrives; established connections freeze. false heals it.
-func (r *Relay) Cut(cut bool) {
+func (r *Relay) Block(cut bool) {
 	for d := range directions {
 		r.BlockDirection(d, cut)
 	}
@@ -184,7 +184,7 @@
 
 // Close ends the relay and its connections.
 func (r *Relay) Close() {
-	r.Cut(false)
+	r.Block(false)
 	_ = r.ln.Close()
 	r.Reset()
 }
--- a/scenarios/commands_test.go
+++ b/scenarios/commands_test.go
@@ -171,7 +171,7 @@
 			if !ok {
 				return fmt.Errorf("nothing to cut at %q", name)
 			}
-			r.Cut(cut)
+			r.Block(cut)
 		}
 		return nil
 	}
--- a/scenarios/soak_faults_test.go
+++ b/scenarios/soak_faults_test.go
@@ -132,7 +132,7 @@
 	const delay = 300 * time.Millisecond
 	switch kind {
 	case 0:
-		r.Cut(true)
+		r.Block(true)
 	case 1:
 		r.BlockDirection(relay.FromTarget, true)
 	case 2:
@@ -140,7 +140,7 @@
 	default:
 		r.Reset()
 	}
-	return func() { r.Cut(false); r.Delay(0) }
+	return func() { r.Block(false); r.Delay(0) }
 }
 
 func (s *soak) vm() *soakVM { return s.vms[s.rng.IntN(len(s.vms))] }
