--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// Delay holds all that arrives back for d.
-func (r *Relay) Delay(d time.Duration) {
+// SetDelay holds all that arrives back for d.
+func (r *Relay) SetDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
--- a/scenarios/soak_faults_test.go
+++ b/scenarios/soak_faults_test.go
@@ -136,11 +136,11 @@
 	case 1:
 		r.BlockDirection(relay.FromTarget, true)
 	case 2:
-		r.Delay(delay)
+		r.SetDelay(delay)
 	default:
 		r.Reset()
 	}
-	return func() { r.Block(false); r.Delay(0) }
+	return func() { r.Block(false); r.SetDelay(0) }
 }
 
 func (s *soak) vm() *soakVM { return s.vms[s.rng.IntN(len(s.vms))] }
