--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -170,8 +170,8 @@
 	r.delay = d
 }
 
-// Reset resets the established connections; new ones work.
-func (r *Relay) Reset() {
+// ResetConnections resets the established connections; new ones work.
+func (r *Relay) ResetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -186,5 +186,5 @@
 func (r *Relay) Close() {
 	r.Block(false)
 	_ = r.ln.Close()
-	r.Reset()
+	r.ResetConnections()
 }
--- a/scenarios/soak_faults_test.go
+++ b/scenarios/soak_faults_test.go
@@ -138,7 +138,7 @@
 	case 2:
 		r.SetDelay(delay)
 	default:
-		r.Reset()
+		r.ResetConnections()
 	}
 	return func() { r.Block(false); r.SetDelay(0) }
 }
