--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -61,7 +61,7 @@
 	}
 	if r.poisoned(g.Prompt) {
 		r.crash()
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	r.wakeLoop()
 	return s
@@ -126,7 +126,7 @@
 	}
 	<-s.done
 	if s.outcome != finished {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	w.Header().Set(httpapi.HeaderAttempt, s.req.Attempt)
 	httpjson.Write(w, r.hold(httpapi.Tokens(s.req.Prompt)))
@@ -156,13 +156,13 @@
 // finishStream sends what is left of a sequence that has left the batch.
 func (r *run) finishStream(out *lineWriter, s *sequence) {
 	if s.outcome == cut {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	for len(s.tokens) > 0 {
 		r.send(out, <-s.tokens)
 	}
 	if s.outcome == exported {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	out.end()
 }
@@ -170,7 +170,7 @@
 func (r *run) send(out *lineWriter, t driver.Token) {
 	if f, on := r.faults.Peek(FaultCutStream, ""); on && out.tokens >= int(f.Factor) {
 		r.faults.Take(FaultCutStream, "")
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	if _, on := r.faults.Take(FaultCrossed, ""); on {
 		t.Attempt = "another-attempt"
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -99,7 +99,7 @@
 		return
 	}
 	if _, on := r.faults.Take(FaultLostOrder, ""); on {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	w.WriteHeader(http.StatusAccepted)
 }
--- a/internal/standin/httpjson/httpjson.go
+++ b/internal/standin/httpjson/httpjson.go
@@ -50,8 +50,8 @@
 	_ = json.NewEncoder(w).Encode(f)
 }
 
-// Cut closes the connection without an answer.
-func Cut() {
+// Abort closes the connection without an answer.
+func Abort() {
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -93,7 +93,7 @@
 func (s *Service) reachable(w http.ResponseWriter, r *http.Request) bool {
 	client := r.Header.Get(httpapi.HeaderClient)
 	if _, on := s.faults.Take(FaultCut, client); on {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	if _, on := s.faults.Take(FaultOutage, client); on {
 		httpjson.Refuse(w, http.StatusServiceUnavailable, FaultOutage, "the log service is down")
@@ -121,11 +121,11 @@
 	st, client := s.stream(r.PathValue("stream")), r.Header.Get(httpapi.HeaderClient)
 	if f, on := s.faults.Take(FaultLateAppend, client); on {
 		time.AfterFunc(f.Delay.D(), func() { st.append(data) })
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	offset := st.append(data)
 	if _, on := s.faults.Take(FaultLostAnswer, client); on {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	httpjson.Write(w, httpapi.Appended{Offset: offset})
 }
@@ -157,7 +157,7 @@
 	}
 	// A partition that began during the wait loses the answer too.
 	if _, on := s.faults.Take(FaultCut, r.Header.Get(httpapi.HeaderClient)); on {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	httpjson.Write(w, page)
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -165,7 +165,7 @@
 
 func (s *Service) answer(w http.ResponseWriter, attempt string, body []byte) {
 	if _, on := s.faults.Take(FaultLostAnswer, ""); on {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	if _, on := s.faults.Take(FaultFail, ""); on {
 		httpjson.Fail(w, http.StatusInternalServerError, httpapi.Failure{Name: "failed", Ran: true})
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -85,7 +85,7 @@
 	start := time.Now()
 	for left := s.sizeOf(r); left > 0; left -= chunk {
 		if err := s.limit.WaitN(r.Context(), int(min(left, chunk))); err != nil {
-			httpjson.Cut()
+			httpjson.Abort()
 		}
 	}
 	w.Header().Set("Fetch-Time", time.Since(start).String())
