--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -49,7 +49,7 @@
 }
 
 func (r *run) freeze(ctx context.Context) {
-	if f, on := r.faults.Take(FaultFreeze, ""); on {
+	if f, on := r.faults.Consume(FaultFreeze, ""); on {
 		clock.Sleep(ctx, f.Delay.D())
 	}
 }
@@ -79,7 +79,7 @@
 		w.took += r.cfg.DecodeStep + time.Duration(n-1)*r.cfg.DecodePerSeq
 		r.step = w.took
 	}
-	if f, on := r.faults.Take(FaultSlow, ""); on && f.Factor > 0 {
+	if f, on := r.faults.Consume(FaultSlow, ""); on && f.Factor > 0 {
 		w.took = time.Duration(float64(w.took) * f.Factor)
 	}
 	return w
@@ -143,7 +143,7 @@
 func (r *run) apply(w work) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, drop := r.faults.Take(FaultDropEvents, "")
+	_, drop := r.faults.Consume(FaultDropEvents, "")
 	for _, s := range w.prefill {
 		done := min(s.prefillLeft, w.tokens)
 		s.prefillLeft -= done
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -43,7 +43,7 @@
 	if !httpjson.Read(w, req, &g) {
 		return nil
 	}
-	if _, on := r.faults.Take(FaultRefuse, ""); on {
+	if _, on := r.faults.Consume(FaultRefuse, ""); on {
 		httpjson.Refuse(w, http.StatusServiceUnavailable, "refuse", "told to refuse")
 		return nil
 	}
@@ -169,10 +169,10 @@
 
 func (r *run) send(out *lineWriter, t driver.Token) {
 	if f, on := r.faults.Peek(FaultCutStream, ""); on && out.tokens >= int(f.Factor) {
-		r.faults.Take(FaultCutStream, "")
+		r.faults.Consume(FaultCutStream, "")
 		httpjson.Abort()
 	}
-	if _, on := r.faults.Take(FaultCrossed, ""); on {
+	if _, on := r.faults.Consume(FaultCrossed, ""); on {
 		t.Attempt = "another-attempt"
 	}
 	out.token(t)
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -46,7 +46,7 @@
 // serveFault switches a fault on. A crash takes effect without waiting.
 func (r *run) serveFault(w http.ResponseWriter, req *http.Request) {
 	r.faults.ServeHTTP(w, req)
-	if _, on := r.faults.Take(FaultCrash, ""); on {
+	if _, on := r.faults.Consume(FaultCrash, ""); on {
 		r.faults.Drop(FaultCrash)
 		_ = http.NewResponseController(w).Flush()
 		time.AfterFunc(time.Millisecond, r.crash)
@@ -54,7 +54,7 @@
 }
 
 func (r *run) serveState(w http.ResponseWriter, _ *http.Request) {
-	if f, on := r.faults.Take(FaultSlowState, ""); on {
+	if f, on := r.faults.Consume(FaultSlowState, ""); on {
 		clock.Sleep(r.ctx, f.Delay.D())
 	}
 	r.mu.Lock()
@@ -74,7 +74,7 @@
 // serveReport answers with the figures as they were a lag ago.
 func (r *run) serveReport(w http.ResponseWriter, _ *http.Request) {
 	lag := r.cfg.ReportLag
-	if f, on := r.faults.Take(FaultStaleReport, ""); on {
+	if f, on := r.faults.Consume(FaultStaleReport, ""); on {
 		lag += f.Delay.D()
 	}
 	r.mu.Lock()
@@ -183,7 +183,7 @@
 	if !on || f.Text == "" || !strings.Contains(string(prompt), f.Text) {
 		return false
 	}
-	r.faults.Take(FaultPoison, "")
+	r.faults.Consume(FaultPoison, "")
 	return true
 }
 
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -98,7 +98,7 @@
 		httpjson.Refuse(w, http.StatusConflict, httpapi.StaleFence, "a higher fencing token was seen")
 		return
 	}
-	if _, on := r.faults.Take(FaultLostOrder, ""); on {
+	if _, on := r.faults.Consume(FaultLostOrder, ""); on {
 		httpjson.Abort()
 	}
 	w.WriteHeader(http.StatusAccepted)
@@ -193,7 +193,7 @@
 	if o.Kind == driver.OrderUnload {
 		return EffectDone
 	}
-	if _, on := r.faults.Take(FaultCrashInChange, ""); on {
+	if _, on := r.faults.Consume(FaultCrashInChange, ""); on {
 		clock.Sleep(r.ctx, r.cfg.RoleChange/2)
 		r.crash()
 		return EffectCrashed
--- a/internal/standin/httpjson/faults.go
+++ b/internal/standin/httpjson/faults.go
@@ -75,8 +75,8 @@
 	return Fault{}, false
 }
 
-// Take is Peek that counts the use.
-func (s *Faults) Take(name, client string) (Fault, bool) {
+// Consume is Peek that counts the use.
+func (s *Faults) Consume(name, client string) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i := s.find(name, client)
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -92,14 +92,14 @@
 // reachable applies the faults that stop a request before any work.
 func (s *Service) reachable(w http.ResponseWriter, r *http.Request) bool {
 	client := r.Header.Get(httpapi.HeaderClient)
-	if _, on := s.faults.Take(FaultCut, client); on {
+	if _, on := s.faults.Consume(FaultCut, client); on {
 		httpjson.Abort()
 	}
-	if _, on := s.faults.Take(FaultOutage, client); on {
+	if _, on := s.faults.Consume(FaultOutage, client); on {
 		httpjson.Refuse(w, http.StatusServiceUnavailable, FaultOutage, "the log service is down")
 		return false
 	}
-	if f, on := s.faults.Take(FaultSlow, client); on {
+	if f, on := s.faults.Consume(FaultSlow, client); on {
 		time.Sleep(f.Delay.D())
 	}
 	return true
@@ -119,12 +119,12 @@
 		return
 	}
 	st, client := s.stream(r.PathValue("stream")), r.Header.Get(httpapi.HeaderClient)
-	if f, on := s.faults.Take(FaultLateAppend, client); on {
+	if f, on := s.faults.Consume(FaultLateAppend, client); on {
 		time.AfterFunc(f.Delay.D(), func() { st.append(data) })
 		httpjson.Abort()
 	}
 	offset := st.append(data)
-	if _, on := s.faults.Take(FaultLostAnswer, client); on {
+	if _, on := s.faults.Consume(FaultLostAnswer, client); on {
 		httpjson.Abort()
 	}
 	httpjson.Write(w, httpapi.Appended{Offset: offset})
@@ -144,7 +144,7 @@
 	waitMS, _ := strconv.Atoi(r.FormValue("wait_ms"))
 	wait := min(time.Duration(waitMS)*time.Millisecond, maxWait)
 	hide := uint64(0)
-	if f, on := s.faults.Take(FaultStaleRead, r.Header.Get(httpapi.HeaderClient)); on {
+	if f, on := s.faults.Consume(FaultStaleRead, r.Header.Get(httpapi.HeaderClient)); on {
 		hide = uint64(max(1, f.Factor))
 		wait = 0
 	}
@@ -156,7 +156,7 @@
 		return
 	}
 	// A partition that began during the wait loses the answer too.
-	if _, on := s.faults.Take(FaultCut, r.Header.Get(httpapi.HeaderClient)); on {
+	if _, on := s.faults.Consume(FaultCut, r.Header.Get(httpapi.HeaderClient)); on {
 		httpjson.Abort()
 	}
 	httpjson.Write(w, page)
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -112,7 +112,7 @@
 		httpjson.Refuse(w, http.StatusBadRequest, "bad-body", err.Error())
 		return
 	}
-	if _, on := s.faults.Take(FaultRefuse, ""); on {
+	if _, on := s.faults.Consume(FaultRefuse, ""); on {
 		httpjson.Refuse(w, http.StatusServiceUnavailable, outOfService, "")
 		return
 	}
@@ -129,7 +129,7 @@
 	s.count(&s.queued, -1)
 	s.count(&s.running, 1)
 	took := s.cfg.ServiceTime
-	if f, on := s.faults.Take(FaultSlow, ""); on {
+	if f, on := s.faults.Consume(FaultSlow, ""); on {
 		took = time.Duration(float64(took) * f.Factor)
 	}
 	time.Sleep(took)
@@ -164,21 +164,21 @@
 }
 
 func (s *Service) answer(w http.ResponseWriter, attempt string, body []byte) {
-	if _, on := s.faults.Take(FaultLostAnswer, ""); on {
+	if _, on := s.faults.Consume(FaultLostAnswer, ""); on {
 		httpjson.Abort()
 	}
-	if _, on := s.faults.Take(FaultFail, ""); on {
+	if _, on := s.faults.Consume(FaultFail, ""); on {
 		httpjson.Fail(w, http.StatusInternalServerError, httpapi.Failure{Name: "failed", Ran: true})
 		return
 	}
-	if f, on := s.faults.Take(FaultLate, ""); on {
+	if f, on := s.faults.Consume(FaultLate, ""); on {
 		time.Sleep(f.Delay.D())
 	}
 	s.mu.Lock()
 	other := s.last
 	s.last = lastCall{attempt: attempt, answer: body}
 	s.mu.Unlock()
-	if _, on := s.faults.Take(FaultCrossed, ""); on {
+	if _, on := s.faults.Consume(FaultCrossed, ""); on {
 		attempt, body = other.attempt, other.answer
 	}
 	w.Header().Set(httpapi.HeaderAttempt, attempt)
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -42,7 +42,7 @@
 }
 
 func (l *List) get(w http.ResponseWriter, r *http.Request) {
-	if _, on := l.faults.Take(FaultOutage, r.Header.Get(httpapi.HeaderClient)); on {
+	if _, on := l.faults.Consume(FaultOutage, r.Header.Get(httpapi.HeaderClient)); on {
 		httpjson.Refuse(w, http.StatusServiceUnavailable, FaultOutage, "the VM list is down")
 		return
 	}
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -59,7 +59,7 @@
 }
 
 func (s *Store) up(w http.ResponseWriter) bool {
-	if _, on := s.faults.Take(FaultOutage, ""); on {
+	if _, on := s.faults.Consume(FaultOutage, ""); on {
 		httpjson.Refuse(w, http.StatusServiceUnavailable, FaultOutage, "the weight store is down")
 		return false
 	}
