--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -47,7 +47,7 @@
 func (r *run) serveFault(w http.ResponseWriter, req *http.Request) {
 	r.faults.ServeHTTP(w, req)
 	if _, on := r.faults.Consume(FaultCrash, ""); on {
-		r.faults.Drop(FaultCrash)
+		r.faults.Remove(FaultCrash)
 		_ = http.NewResponseController(w).Flush()
 		time.AfterFunc(time.Millisecond, r.crash)
 	}
--- a/internal/standin/httpjson/faults.go
+++ b/internal/standin/httpjson/faults.go
@@ -94,8 +94,8 @@
 	return f, true
 }
 
-// Drop ends the named fault.
-func (s *Faults) Drop(name string) {
+// Remove ends the named fault.
+func (s *Faults) Remove(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.armed = slices.DeleteFunc(s.armed, func(a armed) bool { return a.Name == name })
