--- a/internal/standin/caller/audit.go
+++ b/internal/standin/caller/audit.go
@@ -68,7 +68,7 @@
 	case engine.EffectStale:
 		a.Stale++
 		return
-	case engine.EffectSame, engine.EffectRepeat:
+	case engine.EffectNoChange, engine.EffectRepeat:
 		return
 	}
 	if o.Overlap {
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -23,7 +23,7 @@
 const (
 	EffectRunning  Effect = "running"
 	EffectDone     Effect = "done"
-	EffectSame     Effect = "same"     // the engine was that way already
+	EffectNoChange     Effect = "same"     // the engine was that way already
 	EffectStale    Effect = "stale"    // refused for its fencing token
 	EffectRepeat   Effect = "repeat"   // same id as an earlier order: not run again
 	EffectConflict Effect = "conflict" // began while another order was carried out
@@ -115,7 +115,7 @@
 	case r.history.has(o.ID):
 		e.Effect = EffectRepeat
 	case r.already(o):
-		e.Effect = EffectSame
+		e.Effect = EffectNoChange
 	default:
 		e.Effect = EffectRunning
 	}
