--- a/internal/standin/caller/audit.go
+++ b/internal/standin/caller/audit.go
@@ -68,7 +68,7 @@
 	case engine.EffectStale:
 		a.Stale++
 		return
-	case engine.EffectNoChange, engine.EffectRepeat:
+	case engine.EffectNoChange, engine.EffectDuplicate:
 		return
 	}
 	if o.Overlap {
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -25,7 +25,7 @@
 	EffectDone     Effect = "done"
 	EffectNoChange     Effect = "same"     // the engine was that way already
 	EffectStale    Effect = "stale"    // refused for its fencing token
-	EffectRepeat   Effect = "repeat"   // same id as an earlier order: not run again
+	EffectDuplicate   Effect = "repeat"   // same id as an earlier order: not run again
 	EffectConflict Effect = "conflict" // began while another order was carried out
 	EffectCrashed  Effect = "crashed"  // the engine crashed before it was done
 	EffectFailed   Effect = "failed"   // the weight store did not give the weights
@@ -113,7 +113,7 @@
 	case r.cfg.ChecksFence && o.Fence < r.fence:
 		e.Effect = EffectStale
 	case r.history.has(o.ID):
-		e.Effect = EffectRepeat
+		e.Effect = EffectDuplicate
 	case r.already(o):
 		e.Effect = EffectNoChange
 	default:
