--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -35,7 +35,7 @@
 type HistoryEntry struct {
 	driver.Order
 	Incarnation string    `json:"incarnation"`
-	Begun       time.Time `json:"begun"`
+	StartedAt       time.Time `json:"begun"`
 	Ended       time.Time `json:"ended"`
 	Effect      Effect    `json:"effect"`
 	// Overlap says that it began while another order was being carried out.
@@ -108,7 +108,7 @@
 func (r *run) accept(o driver.Order) HistoryEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := &HistoryEntry{Order: o, Incarnation: r.incarnation, Begun: time.Now(), Overlap: r.changing > 0}
+	e := &HistoryEntry{Order: o, Incarnation: r.incarnation, StartedAt: time.Now(), Overlap: r.changing > 0}
 	switch {
 	case r.cfg.ChecksFence && o.Fence < r.fence:
 		e.Effect = EffectStale
@@ -134,7 +134,7 @@
 		}
 		go r.carryOut(o, e)
 	} else {
-		e.Ended = e.Begun
+		e.Ended = e.StartedAt
 	}
 	r.history.add(e)
 	return *e
