--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -36,7 +36,7 @@
 	driver.Order
 	Incarnation string    `json:"incarnation"`
 	StartedAt       time.Time `json:"begun"`
-	Ended       time.Time `json:"ended"`
+	EndedAt       time.Time `json:"ended"`
 	Effect      Effect    `json:"effect"`
 	// Overlap says that it began while another order was being carried out.
 	Overlap bool `json:"overlap"`
@@ -134,7 +134,7 @@
 		}
 		go r.carryOut(o, e)
 	} else {
-		e.Ended = e.StartedAt
+		e.EndedAt = e.StartedAt
 	}
 	r.history.add(e)
 	return *e
@@ -172,7 +172,7 @@
 	}
 	r.history.update(e, func(e *HistoryEntry) {
 		e.Effect = effect
-		e.Ended = time.Now()
+		e.EndedAt = time.Now()
 	})
 	r.wakeLoop()
 }
