--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -23,7 +23,7 @@
 type Attempt struct {
 	ID          string    `json:"id"`
 	Fingerprint uint64    `json:"fingerprint"` // of the prompt
-	Begun       time.Time `json:"begun"`
+	StartedAt       time.Time `json:"begun"`
 }
 
 // AttemptsAnswer is the answer to GET /attempts.
@@ -75,7 +75,7 @@
 		r.fetchable[s] = true
 	}
 	r.attempts = append(r.attempts, Attempt{
-		ID: s.req.Attempt, Fingerprint: xxhash.Sum64(s.req.Prompt), Begun: time.Now(),
+		ID: s.req.Attempt, Fingerprint: xxhash.Sum64(s.req.Prompt), StartedAt: time.Now(),
 	})
 	if len(r.attempts) > maxAttempts {
 		r.attempts = r.attempts[len(r.attempts)-maxAttempts:]
