--- a/internal/standin/caller/table.go
+++ b/internal/standin/caller/table.go
@@ -57,7 +57,7 @@
 	Unreachable int            `json:"unreachable"`
 	FirstToken  Percentiles    `json:"first_token_ms"`
 	BetweenTokens     Percentiles    `json:"between_tokens_ms"`
-	Whole       Percentiles    `json:"whole_ms"`
+	Duration       Percentiles    `json:"whole_ms"`
 }
 
 // Report is what callers saw of a run.
@@ -200,7 +200,7 @@
 		if w.Sent == 0 {
 			continue
 		}
-		w.FirstToken, w.BetweenTokens, w.Whole = percentiles(w.first), percentiles(w.between), percentiles(w.whole)
+		w.FirstToken, w.BetweenTokens, w.Duration = percentiles(w.first), percentiles(w.between), percentiles(w.whole)
 		t.rep.Kinds = append(t.rep.Kinds, &w.Kind)
 	}
 	t.rep.Goodput = float64(t.rep.Total(func(k *Kind) int { return k.OnTime })) / took.Seconds()
@@ -218,7 +218,7 @@
 	_, _ = fmt.Fprint(w, headingRow)
 	for _, k := range r.Kinds {
 		_, _ = fmt.Fprintf(w, kindRowFormat, k.Name, k.Sent, k.OnTime, k.Late, sumOf(k.Refused), sumOf(k.Unknown),
-			sumOf(k.Failed), k.Wrong, k.Cut, k.Unreachable, k.FirstToken, k.BetweenTokens, k.Whole)
+			sumOf(k.Failed), k.Wrong, k.Cut, k.Unreachable, k.FirstToken, k.BetweenTokens, k.Duration)
 	}
 	_ = w.Flush()
 	for _, k := range r.Kinds {
