--- a/internal/standin/caller/table.go
+++ b/internal/standin/caller/table.go
@@ -65,7 +65,7 @@
 	Seconds  float64  `json:"seconds"`
 	Kinds    []*Kind  `json:"kinds"`
 	Goodput  float64  `json:"goodput"` // whole answers on time, a second
-	Returns  int      `json:"returns"` // after a refusal with a time to come back
+	Retries  int      `json:"returns"` // after a refusal with a time to come back
 	Resends  int      `json:"resends"` // after a cut
 	Examples []string `json:"examples,omitempty"`
 	Audit    Audit    `json:"audit"`
@@ -135,7 +135,7 @@
 	defer t.mu.Unlock()
 	row := t.rows[r.kind]
 	row.Sent++
-	t.rep.Returns += res.returns
+	t.rep.Retries += res.returns
 	t.rep.Resends += res.resends
 	if r.key != "" {
 		t.keys[r.key] = res.notRun
@@ -227,7 +227,7 @@
 		printCodes(out, k.Name+" failed", k.Failed)
 	}
 	_, _ = fmt.Fprintf(out, "%.1f s, goodput %.1f whole answers on time a second, returned %d, resent %d\n",
-		r.Seconds, r.Goodput, r.Returns, r.Resends)
+		r.Seconds, r.Goodput, r.Retries, r.Resends)
 	r.Audit.print(out)
 	for _, e := range r.Examples {
 		_, _ = fmt.Fprintln(out, "not whole:", e)
