--- a/internal/standin/caller/audit.go
+++ b/internal/standin/caller/audit.go
@@ -26,7 +26,7 @@
 	DoubleRuns   int      `json:"double_runs"`   // commits that ran more than once
 	FalseNotRuns int      `json:"false_not_run"` // commits that ran though told not run
 	LostRuns     int      `json:"lost_runs"`     // commits told done that never ran
-	Unasked      []string `json:"unasked,omitempty"`
+	Unreachable      []string `json:"unasked,omitempty"`
 }
 
 func (a *Audit) good() bool {
@@ -38,7 +38,7 @@
 		a.RoleChanges, a.Loads, a.Conflicts, a.Stale, a.StreamsCut)
 	_, _ = fmt.Fprintf(out, "commits run twice %d, run though told not run %d, told done but never run %d\n",
 		a.DoubleRuns, a.FalseNotRuns, a.LostRuns)
-	for _, address := range a.Unasked {
+	for _, address := range a.Unreachable {
 		_, _ = fmt.Fprintln(out, "does not say what it executed:", address)
 	}
 }
@@ -50,7 +50,7 @@
 	for _, address := range c.cfg.Engines {
 		var h engine.HistoryAnswer
 		if err := c.fetch(ctx, address, "/history", &h); err != nil {
-			rep.Audit.Unasked = append(rep.Audit.Unasked, address)
+			rep.Audit.Unreachable = append(rep.Audit.Unreachable, address)
 			continue
 		}
 		for i := range h.Orders {
@@ -88,7 +88,7 @@
 	for _, address := range c.cfg.Endpoints {
 		var e service.Executions
 		if err := c.fetch(ctx, address, "/executions", &e); err != nil {
-			rep.Audit.Unasked = append(rep.Audit.Unasked, address)
+			rep.Audit.Unreachable = append(rep.Audit.Unreachable, address)
 			complete = false
 			continue
 		}
