--- a/cmd/fescue-standin/caller.go
+++ b/cmd/fescue-standin/caller.go
@@ -84,15 +84,15 @@
 		Service: caller.Service{
 			Name: c.Service, Lookup: c.Lookup, Commit: c.Commit, Deadline: c.CallDeadline,
 		},
-		LookupShare: c.LookupShare,
-		CommitShare: c.CommitShare,
+		LookupShare:      c.LookupShare,
+		CommitShare:      c.CommitShare,
 		LongShareLow:     c.LongLow,
 		LongShareHigh:    c.LongHigh,
-		Period:      c.Period,
-		LongPrefixBlocks:  c.LongPieces,
-		Return:      !c.NoReturn,
-		Resend:      c.Resend,
-		Engines:     c.Engines,
-		Endpoints:   c.Endpoints,
+		Period:           c.Period,
+		LongPrefixBlocks: c.LongPieces,
+		Return:           !c.NoReturn,
+		Resend:           c.Resend,
+		Engines:          c.Engines,
+		Endpoints:        c.Endpoints,
 	}
 }
--- a/cmd/fescue-standin/engine.go
+++ b/cmd/fescue-standin/engine.go
@@ -81,7 +81,7 @@
 		ReportLag:    c.ReportLag,
 		EventLag:     c.EventLag,
 		EventLoss:    c.EventLoss,
-		WeightStore:      c.Weights,
+		WeightStore:  c.Weights,
 		Poison:       c.Poison,
 		Downtime:     c.Downtime,
 	}
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -10,36 +10,36 @@
 	"fescuestand/internal/driver/httpdriver/httpapi"
 )
 
-// idle is how long an engine without work waits to be woken.
-const idle = time.Hour
-
-// work is what one step of the batch does.
-type work struct {
-	prefill []*sequence // in order, sharing tokens
-	tokens  float64     // prompt tokens to prefill in this step
-	decode  []*sequence
-	took    time.Duration
-	wait    time.Duration // until there may be work, if took is 0
+// idleWait is how long the batch loop waits for a wake-up when there is no work.
+const idleWait = time.Hour
+
+// batchStep is the work of one step of the batch.
+type batchStep struct {
+	prefill  []*sequence // share the step's prompt tokens in this order
+	tokens   float64     // prompt tokens to prefill in this step
+	decode   []*sequence
+	duration time.Duration // 0: there is no work
+	wait     time.Duration // time until there may be work, if duration is 0
 }
 
-// loop runs batch steps until the run ends.
+// loop runs batch steps until ctx is done.
 func (r *run) loop(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.freeze(ctx)
 		w := r.plan(time.Now())
-		if w.took == 0 {
+		if w.duration == 0 {
 			r.awaitWork(ctx, w.wait)
 			continue
 		}
-		if !clock.Sleep(ctx, w.took) {
+		if !clock.Sleep(ctx, w.duration) {
 			return
 		}
 		r.apply(w)
 	}
 }
 
-func (r *run) awaitWork(ctx context.Context, longest time.Duration) {
-	t := time.NewTimer(longest)
+func (r *run) awaitWork(ctx context.Context, maxWait time.Duration) {
+	t := time.NewTimer(maxWait)
 	defer t.Stop()
 	select {
 	case <-r.wake:
@@ -54,17 +54,17 @@
 	}
 }
 
-// plan picks the next step's work and how long it takes.
-func (r *run) plan(now time.Time) work {
+// plan selects the work of the next step and computes its duration.
+func (r *run) plan(now time.Time) batchStep {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dropCancelled()
-	r.fill(now)
-	w := work{wait: idle}
+	r.fillBatch(now)
+	w := batchStep{wait: idleWait}
 	for _, s := range r.batch {
 		switch {
-		case s.imported.After(now):
-			w.wait = min(w.wait, s.imported.Sub(now))
+		case s.importedAt.After(now):
+			w.wait = min(w.wait, s.importedAt.Sub(now))
 		case s.prefillLeft > 0:
 			w.prefill = append(w.prefill, s)
 		default:
@@ -72,75 +72,75 @@
 		}
 	}
 	if len(w.prefill) > 0 {
-		w.tokens = r.chunk(w)
-		w.took += time.Duration(w.tokens / r.cfg.PrefillRate * float64(time.Second))
+		w.tokens = r.prefillChunk(w)
+		w.duration += time.Duration(w.tokens / r.cfg.PrefillRate * float64(time.Second))
 	}
 	if n := len(w.decode); n > 0 {
-		w.took += r.cfg.DecodeStep + time.Duration(n-1)*r.cfg.DecodePerSeq
-		r.step = w.took
+		w.duration += r.cfg.DecodeStep + time.Duration(n-1)*r.cfg.DecodePerSeq
+		r.decodeStepTime = w.duration
 	}
 	if f, on := r.faults.Consume(FaultSlow, ""); on && f.Factor > 0 {
-		w.took = time.Duration(float64(w.took) * f.Factor)
+		w.duration = time.Duration(float64(w.duration) * f.Factor)
 	}
 	return w
 }
 
-// chunk returns how many prompt tokens to prefill before the next decode step.
-// A prefill engine has nothing to delay and takes more at once.
-func (r *run) chunk(w work) float64 {
+// prefillChunk returns how many prompt tokens to prefill before the next decode step. With nothing to
+// decode, as on a prefill engine, a larger chunk delays no other sequence.
+func (r *run) prefillChunk(w batchStep) float64 {
 	limit := float64(r.cfg.PrefillChunk)
 	if len(w.decode) == 0 {
-		limit = defaultPrefillBatch
+		limit = maxPrefillBatchTokens
 	}
-	left := 0.0
+	remaining := 0.0
 	for _, s := range w.prefill {
-		left += s.prefillLeft
+		remaining += s.prefillLeft
 	}
-	return min(limit, left)
+	return min(limit, remaining)
 }
 
-// fill moves queued sequences into the batch, the most urgent first.
-func (r *run) fill(now time.Time) {
-	slices.SortStableFunc(r.queue, (*sequence).before)
+// fillBatch moves queued sequences into the batch in the order of compareInQueue.
+func (r *run) fillBatch(now time.Time) {
+	slices.SortStableFunc(r.queue, (*sequence).compareInQueue)
 	for len(r.queue) > 0 && len(r.batch) < r.cfg.MaxBatch {
 		s := r.queue[0]
 		r.queue = r.queue[1:]
-		r.start(s, now)
+		r.startSequence(s, now)
 		r.batch = append(r.batch, s)
 	}
 }
 
-// start works out what is left to prefill after cache hits. A KV cache is
-// imported beside the batch's work if that is quicker than computing it.
-func (r *run) start(s *sequence, now time.Time) {
-	cached := r.cache.hits(s.pieces) * httpapi.PieceTokens
-	left := float64(s.promptTokens() - cached)
-	compute := left / r.cfg.PrefillRate
+// startSequence computes how many prompt tokens remain to be prefilled after cache hits. A fetched KV
+// cache is imported concurrently with the batch if that is quicker than prefilling.
+func (r *run) startSequence(s *sequence, now time.Time) {
+	cached := r.cache.hits(s.blocks) * httpapi.PieceTokens
+	remaining := float64(s.promptTokens() - cached)
+	compute := remaining / r.cfg.PrefillRate
 	transfer := float64(kvBytes(s.req)) / float64(r.cfg.KVRate)
-	if r.fetchable[s] && transfer < compute {
-		s.imported = now.Add(time.Duration(transfer * float64(time.Second)))
-		left = 0
+	if r.kvFetched[s] && transfer < compute {
+		s.importedAt = now.Add(time.Duration(transfer * float64(time.Second)))
+		remaining = 0
 	}
-	// The last prompt token is always computed, since it gives the first answer.
-	s.prefillLeft = max(1, left)
-	delete(r.fetchable, s)
+	// The last prompt token is always computed, as its output is the first token of the answer.
+	s.prefillLeft = max(1, remaining)
+	delete(r.kvFetched, s)
 }
 
 func (r *run) dropCancelled() {
-	gone := func(s *sequence) bool {
+	isCancelled := func(s *sequence) bool {
 		if s.ctx.Err() == nil {
 			return false
 		}
-		delete(r.fetchable, s)
-		s.leave(cut)
+		delete(r.kvFetched, s)
+		s.end(aborted)
 		return true
 	}
-	r.queue = slices.DeleteFunc(r.queue, gone)
-	r.batch = slices.DeleteFunc(r.batch, gone)
+	r.queue = slices.DeleteFunc(r.queue, isCancelled)
+	r.batch = slices.DeleteFunc(r.batch, isCancelled)
 }
 
-// apply books the work that a step has done.
-func (r *run) apply(w work) {
+// apply updates the sequences and the cache after a step.
+func (r *run) apply(w batchStep) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, drop := r.faults.Consume(FaultDropEvents, "")
@@ -149,18 +149,18 @@
 		s.prefillLeft -= done
 		w.tokens -= done
 		if s.prefillLeft == 0 {
-			r.cache.add(s.pieces, drop)
+			r.cache.add(s.blocks, drop)
 		}
 	}
 	for _, s := range w.decode {
-		s.emit()
+		s.emitToken()
 	}
-	r.batch = slices.DeleteFunc(r.batch, (*sequence).finish)
+	r.batch = slices.DeleteFunc(r.batch, (*sequence).endIfDone)
 }
 
-// emit makes the next token. A sequence that has left in the meantime, with a
-// role change for example, makes none.
-func (s *sequence) emit() {
+// emitToken generates the next token, unless the sequence ended during the step, for example because
+// of a role change.
+func (s *sequence) emitToken() {
 	select {
 	case <-s.done:
 		return
@@ -172,15 +172,15 @@
 	}
 }
 
-// finish lets the sequence leave if its work is done.
-func (s *sequence) finish() bool {
+// endIfDone ends the sequence as finished if no work remains, and reports whether it did.
+func (s *sequence) endIfDone() bool {
 	if s.prefillLeft > 0 {
 		return false
 	}
 	if !s.prefillOnly && s.pos < s.req.MaxTokens {
 		return false
 	}
-	s.leave(finished)
+	s.end(finished)
 	return true
 }
 
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -9,33 +9,32 @@
 	"fescuestand/internal/driver/httpdriver/httpapi"
 )
 
-// maxEvents bounds the cache events kept for readers.
+// maxEvents is the maximum number of cache events kept for readers.
 const maxEvents = 10_000
 
-// pieceKey names one piece of KV cache. Versions and adapters of a model have
-// KV caches of their own.
-type pieceKey struct {
+// blockKey identifies one block of KV cache. Each version and adapter of a model has its own KV cache.
+type blockKey struct {
 	version, adapter string
-	piece            uint64 // as cache events name it
+	blockID          uint64 // its id in cache events
 }
 
-func pieceKeys(req *httpapi.Generate) []pieceKey {
-	pieces := httpapi.Pieces(req.Model, req.Prompt)
-	keys := make([]pieceKey, len(pieces))
-	for i, p := range pieces {
-		keys[i] = pieceKey{req.Version, req.Adapter, p}
+func blockKeys(req *httpapi.Generate) []blockKey {
+	blocks := httpapi.Pieces(req.Model, req.Prompt)
+	keys := make([]blockKey, len(blocks))
+	for i, p := range blocks {
+		keys[i] = blockKey{req.Version, req.Adapter, p}
 	}
 	return keys
 }
 
-// prefixCache is the least-recently-used cache of prompt prefix pieces.
+// prefixCache is an LRU cache of the KV cache blocks of prompt prefixes.
 type prefixCache struct {
-	size        int
+	maxBlocks   int
 	incarnation string
-	loss        float64
-	lag         time.Duration
-	order       *list.List // newest first, of pieceKey
-	pieces      map[pieceKey]*list.Element
+	eventLoss   float64
+	eventLag    time.Duration
+	lru         *list.List // of blockKey, most recently used first
+	blocks      map[blockKey]*list.Element
 	seq         uint64
 	events      []timedEvent
 }
@@ -47,68 +46,69 @@
 
 func newPrefixCache(cfg *Config, incarnation string) *prefixCache {
 	return &prefixCache{
-		size:        cfg.CacheBlocks,
+		maxBlocks:   cfg.CacheBlocks,
 		incarnation: incarnation,
-		loss:        cfg.EventLoss,
-		lag:         cfg.EventLag,
-		order:       list.New(),
-		pieces:      map[pieceKey]*list.Element{},
+		eventLoss:   cfg.EventLoss,
+		eventLag:    cfg.EventLag,
+		lru:         list.New(),
+		blocks:      map[blockKey]*list.Element{},
 	}
 }
 
-// hits returns how many leading pieces are cached, and marks them as used.
-func (c *prefixCache) hits(keys []pieceKey) int {
+// hits returns how many leading blocks are cached, and marks them as used.
+func (c *prefixCache) hits(keys []blockKey) int {
 	for i, k := range keys {
-		e, ok := c.pieces[k]
+		e, ok := c.blocks[k]
 		if !ok {
 			return i
 		}
-		c.order.MoveToFront(e)
+		c.lru.MoveToFront(e)
 	}
 	return len(keys)
 }
 
-// add puts the pieces in and evicts the least recently used ones.
-func (c *prefixCache) add(keys []pieceKey, drop bool) {
+// add inserts the blocks and evicts the least recently used ones above the cache's size. With drop it
+// loses the cache events.
+func (c *prefixCache) add(keys []blockKey, drop bool) {
 	for _, k := range keys {
-		if e, ok := c.pieces[k]; ok {
-			c.order.MoveToFront(e)
+		if e, ok := c.blocks[k]; ok {
+			c.lru.MoveToFront(e)
 			continue
 		}
-		c.pieces[k] = c.order.PushFront(k)
-		c.event(k, false, drop)
+		c.blocks[k] = c.lru.PushFront(k)
+		c.recordEvent(k, false, drop)
 	}
-	for c.order.Len() > c.size {
-		oldest := c.order.Back()
-		k := c.order.Remove(oldest).(pieceKey)
-		delete(c.pieces, k)
-		c.event(k, true, drop)
+	for c.lru.Len() > c.maxBlocks {
+		oldest := c.lru.Back()
+		k := c.lru.Remove(oldest).(blockKey)
+		delete(c.blocks, k)
+		c.recordEvent(k, true, drop)
 	}
 }
 
-func (c *prefixCache) free() int { return c.size - c.order.Len() }
+func (c *prefixCache) free() int { return c.maxBlocks - c.lru.Len() }
 
-// event counts Seq up also for an event that gets lost, so that a gap shows.
-func (c *prefixCache) event(k pieceKey, evicted, drop bool) {
+// recordEvent increments Seq for a lost event too, so that a reader sees the gap.
+func (c *prefixCache) recordEvent(k blockKey, evicted, drop bool) {
 	c.seq++
-	if drop || rand.Float64() < c.loss {
+	if drop || rand.Float64() < c.eventLoss {
 		return
 	}
 	c.events = append(c.events, timedEvent{time.Now(), driver.CacheEvent{
-		Seq: c.seq, Incarnation: c.incarnation, Piece: k.piece, Evicted: evicted,
+		Seq: c.seq, Incarnation: c.incarnation, Piece: k.blockID, Evicted: evicted,
 	}})
 	if len(c.events) > maxEvents {
 		c.events = c.events[len(c.events)-maxEvents:]
 	}
 }
 
-// after returns the events past seq that the lag lets a reader see.
-func (c *prefixCache) after(seq uint64, now time.Time) []driver.CacheEvent {
-	seen := []driver.CacheEvent{}
+// eventsAfter returns the events after seq that are at least as old as the event lag.
+func (c *prefixCache) eventsAfter(seq uint64, now time.Time) []driver.CacheEvent {
+	visible := []driver.CacheEvent{}
 	for _, e := range c.events {
-		if e.Seq > seq && now.Sub(e.at) >= c.lag {
-			seen = append(seen, e.CacheEvent)
+		if e.Seq > seq && now.Sub(e.at) >= c.eventLag {
+			visible = append(visible, e.CacheEvent)
 		}
 	}
-	return seen
+	return visible
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -18,17 +18,17 @@
 	"fescuestand/internal/standin/httpjson"
 )
 
-const relistenPause = 20 * time.Millisecond
+const relistenDelay = 20 * time.Millisecond
 
-// Engine is one stand-in engine. It outlives its crashes: each life of it is a
-// run with an incarnation of its own.
+// Engine is one fake engine. It restarts after a simulated crash; each start is a run with a new
+// incarnation.
 type Engine struct {
 	cfg     Config
 	faults  *httpjson.Faults
 	history *History
 }
 
-// New returns an engine that does not listen yet.
+// New returns an engine that is not listening yet.
 func New(cfg Config) *Engine {
 	e := &Engine{
 		cfg: cfg.withDefaults(),
@@ -43,14 +43,14 @@
 	return e
 }
 
-// Serve runs the engine until ctx ends.
+// Serve runs the engine, with restarts after crashes, until ctx is done.
 func (e *Engine) Serve(ctx context.Context) error {
 	l, err := net.Listen("tcp", e.cfg.Address)
 	if err != nil {
 		return eris.Wrapf(err, "engine can't listen on %s", e.cfg.Address)
 	}
 	for {
-		if err := e.life(ctx, l); err != nil || ctx.Err() != nil {
+		if err := e.runUntilCrash(ctx, l); err != nil || ctx.Err() != nil {
 			return err
 		}
 		log.WithFields(log.Fields{"event": "engine-crashed", "engine": e.cfg.Address}).Warn("engine")
@@ -66,44 +66,45 @@
 	}
 }
 
-// relisten takes the address again, which can be busy for a moment.
+// relisten listens on the address again after a crash. It retries, as the address can still be in use
+// for a moment.
 func relisten(ctx context.Context, address string) (net.Listener, error) {
 	for {
 		l, err := net.Listen("tcp", address)
 		if err == nil {
 			return l, nil
 		}
-		if !clock.Sleep(ctx, relistenPause) {
+		if !clock.Sleep(ctx, relistenDelay) {
 			return nil, err
 		}
 	}
 }
 
-// life is one run, from listening to the end of ctx or a crash.
-func (e *Engine) life(ctx context.Context, l net.Listener) error {
-	live, die := context.WithCancel(ctx)
-	defer die()
-	r := newRun(live, e, die)
+// runUntilCrash serves one run on l, until ctx is done or the engine crashes.
+func (e *Engine) runUntilCrash(ctx context.Context, l net.Listener) error {
+	runCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	r := newRun(runCtx, e, cancel)
 	server := &http.Server{Handler: r.handler()}
 	var g errgroup.Group
 	g.Go(func() error {
-		r.loop(live)
+		r.loop(runCtx)
 		return nil
 	})
 	g.Go(func() error {
-		<-live.Done()
-		r.cutAll()
+		<-runCtx.Done()
+		r.abortAll()
 		return server.Close()
 	})
 	log.WithFields(log.Fields{
 		"event": "engine-up", "engine": l.Addr(), "incarnation": r.incarnation, "role": r.role,
 	}).Info("engine")
 	_ = server.Serve(l)
-	die()
+	cancel()
 	return g.Wait()
 }
 
-// run is the engine's state between two crashes.
+// run is the state of an engine between two crashes.
 type run struct {
 	cfg         *Config
 	faults      *httpjson.Faults
@@ -113,66 +114,66 @@
 	crash       func()
 	wake        chan struct{}
 
-	mu        sync.Mutex
-	role      driver.Role
-	loaded    []driver.Loaded
-	changing  int // orders being carried out
-	away      int // role changes among them, during which nothing runs
-	fence     uint64
-	lastOrder string
-	arrivals  uint64
-	queue     []*sequence
-	batch     []*sequence
-	fetchable map[*sequence]bool // KV cache that the exporting engine still has
-	kv        map[string]driver.KVHandle
-	cache     *prefixCache
-	step      time.Duration // last decode step
-	reports   []timedReport
-	attempts  []Attempt
+	mu             sync.Mutex
+	role           driver.Role
+	loaded         []driver.Loaded
+	activeOrders   int // orders being executed
+	roleChanges    int // role changes among activeOrders; while above 0, no request runs
+	fence          uint64
+	lastOrder      string
+	arrivals       uint64
+	queue          []*sequence
+	batch          []*sequence
+	kvFetched      map[*sequence]bool // sequences whose exported KV cache was fetched from the other engine
+	exportedKV     map[string]driver.KVHandle
+	cache          *prefixCache
+	decodeStepTime time.Duration // duration of the last decode step
+	reports        []timedReport
+	attempts       []Attempt
 }
 
 func newRun(ctx context.Context, e *Engine, crash func()) *run {
 	incarnation := randomID()
 	return &run{
-		cfg:         &e.cfg,
-		faults:      e.faults,
-		history:     e.history,
-		incarnation: incarnation,
-		ctx:         ctx,
-		crash:       crash,
-		wake:        make(chan struct{}, 1),
-		role:        e.cfg.Role,
-		loaded:      append([]driver.Loaded{}, e.cfg.Loaded...),
-		fetchable:   map[*sequence]bool{},
-		kv:          map[string]driver.KVHandle{},
-		cache:       newPrefixCache(&e.cfg, incarnation),
-		step:        e.cfg.DecodeStep,
+		cfg:            &e.cfg,
+		faults:         e.faults,
+		history:        e.history,
+		incarnation:    incarnation,
+		ctx:            ctx,
+		crash:          crash,
+		wake:           make(chan struct{}, 1),
+		role:           e.cfg.Role,
+		loaded:         append([]driver.Loaded{}, e.cfg.Loaded...),
+		kvFetched:      map[*sequence]bool{},
+		exportedKV:     map[string]driver.KVHandle{},
+		cache:          newPrefixCache(&e.cfg, incarnation),
+		decodeStepTime: e.cfg.DecodeStep,
 	}
 }
 
-// randomID returns an id that no other has.
+// randomID returns a unique id.
 func randomID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// cutAll takes every sequence away unfinished.
-func (r *run) cutAll() {
+// abortAll ends every queued and running sequence unfinished.
+func (r *run) abortAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cutAllLocked()
+	r.abortAllLocked()
 }
 
-func (r *run) cutAllLocked() {
+func (r *run) abortAllLocked() {
 	for _, s := range append(r.queue, r.batch...) {
-		s.leave(cut)
+		s.end(aborted)
 	}
 	r.queue, r.batch = nil, nil
-	clear(r.fetchable)
+	clear(r.kvFetched)
 }
 
-// wakeLoop tells an idle loop that there is work.
+// wakeLoop wakes an idle batch loop when there is new work.
 func (r *run) wakeLoop() {
 	select {
 	case r.wake <- struct{}{}:
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -19,7 +19,7 @@
 	"fescuestand/internal/standin/oracle"
 )
 
-// start runs an engine with quick figures and returns a driver to it.
+// start runs an engine with short step times and returns a driver connected to it.
 func start(t *testing.T, cfg Config) (*Engine, driver.Engine) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,9 +61,9 @@
 	}, poll.WithDelay(5*time.Millisecond), poll.WithTimeout(5*time.Second))
 }
 
-func collect(s driver.TokenStream, most int) ([]byte, error) {
+func collect(s driver.TokenStream, maxTokens int) ([]byte, error) {
 	var text []byte
-	for range most {
+	for range maxTokens {
 		tok, err := s.Next()
 		if err != nil {
 			return text, err
@@ -73,7 +73,7 @@
 	return text, nil
 }
 
-func fault(t *testing.T, e *Engine, body string) {
+func setFault(t *testing.T, e *Engine, body string) {
 	t.Helper()
 	resp, err := http.Post("http://"+e.cfg.Address+"/fault", "application/json", strings.NewReader(body))
 	assert.NilError(t, err)
@@ -81,16 +81,16 @@
 	assert.Equal(t, resp.StatusCode, http.StatusNoContent)
 }
 
-func ask(attempt string) *driver.GenerateRequest {
+func generateRequest(attempt string) *driver.GenerateRequest {
 	return &driver.GenerateRequest{
 		Attempt: attempt, Model: "m", Version: "1", Prompt: bytes.Repeat([]byte("lot "), 500), MaxTokens: 20, Seed: 7,
 	}
 }
 
-func TestResumedStreamEqualsTheUnbrokenOne(t *testing.T) {
+func TestResumedStreamEqualsUninterruptedStream(t *testing.T) {
 	_, first := start(t, Config{})
 	_, second := start(t, Config{})
-	req := ask("a1")
+	req := generateRequest("a1")
 	s, err := first.Generate(t.Context(), req)
 	assert.NilError(t, err)
 	text, err := collect(s, 5)
@@ -100,7 +100,7 @@
 	rest, err := collect(s, 20)
 	assert.ErrorIs(t, err, driver.ErrCut)
 	text = append(text, rest...)
-	resumed := ask("a2")
+	resumed := generateRequest("a2")
 	resumed.From, resumed.Prior, resumed.KV = bytes.Count(text, []byte(" ")), text, &h
 	s, err = second.Generate(t.Context(), resumed)
 	assert.NilError(t, err)
@@ -110,16 +110,16 @@
 	assert.Equal(t, string(append(text, rest...)), string(want))
 }
 
-func TestRoleChangeCutsStreamsAndTakesTheEngineAway(t *testing.T) {
+func TestRoleChangeAbortsStreamsAndRefusesRequests(t *testing.T) {
 	e, d := start(t, Config{})
-	s, err := d.Generate(t.Context(), ask("a1"))
+	s, err := d.Generate(t.Context(), generateRequest("a1"))
 	assert.NilError(t, err)
 	_, err = collect(s, 1)
 	assert.NilError(t, err)
-	assert.NilError(t, d.Order(t.Context(), roleOrder("o1", 1, driver.RoleDecode), permitted))
+	assert.NilError(t, d.Order(t.Context(), roleOrder("o1", 1, driver.RoleDecode), permit))
 	_, err = collect(s, 30)
 	assert.ErrorIs(t, err, driver.ErrCut)
-	_, err = d.Generate(t.Context(), ask("a2"))
+	_, err = d.Generate(t.Context(), generateRequest("a2"))
 	assert.ErrorIs(t, err, driver.ErrRefused)
 	waitFor(t, d, func(s driver.EngineState) bool { return s.Role == driver.RoleDecode && !s.Changing })
 	h := e.history.Entries()
@@ -128,25 +128,25 @@
 	assert.Equal(t, h[0].StreamsCut, 1)
 }
 
-func permitted() error { return nil }
+func permit() error { return nil }
 
 func roleOrder(id string, fence uint64, role driver.Role) driver.Order {
 	return driver.Order{ID: id, Fence: fence, Kind: driver.OrderRole, Role: role}
 }
 
 func TestFenceIsCheckedOrIgnored(t *testing.T) {
-	_, checks := start(t, Config{ChecksFence: true})
-	assert.NilError(t, checks.Order(t.Context(), roleOrder("new", 9, driver.RoleDecode), permitted))
-	err := checks.Order(t.Context(), roleOrder("old", 8, driver.RolePrefill), permitted)
+	_, withFence := start(t, Config{ChecksFence: true})
+	assert.NilError(t, withFence.Order(t.Context(), roleOrder("new", 9, driver.RoleDecode), permit))
+	err := withFence.Order(t.Context(), roleOrder("old", 8, driver.RolePrefill), permit)
 	assert.ErrorIs(t, err, driver.ErrStaleFence)
-	e, ignores := start(t, Config{})
-	assert.NilError(t, ignores.Order(t.Context(), roleOrder("new", 9, driver.RoleDecode), permitted))
-	assert.NilError(t, ignores.Order(t.Context(), roleOrder("old", 8, driver.RolePrefill), permitted))
-	waitFor(t, ignores, func(s driver.EngineState) bool { return !s.Changing })
+	e, withoutFence := start(t, Config{})
+	assert.NilError(t, withoutFence.Order(t.Context(), roleOrder("new", 9, driver.RoleDecode), permit))
+	assert.NilError(t, withoutFence.Order(t.Context(), roleOrder("old", 8, driver.RolePrefill), permit))
+	waitFor(t, withoutFence, func(s driver.EngineState) bool { return !s.Changing })
 	assert.Equal(t, e.history.Entries()[1].Effect, EffectConflict)
 }
 
-func TestWithheldPermitNeverReachesTheEngine(t *testing.T) {
+func TestOrderWithoutPermitIsNotSent(t *testing.T) {
 	e, d := start(t, Config{})
 	err := d.Order(t.Context(), roleOrder("o1", 1, driver.RoleDecode), func() error { return errors.New("lapsed") })
 	assert.ErrorIs(t, err, driver.ErrNotSent)
@@ -156,7 +156,7 @@
 
 func TestClosedStreamLeavesTheBatch(t *testing.T) {
 	_, d := start(t, Config{DecodeStep: 20 * time.Millisecond})
-	req := ask("a1")
+	req := generateRequest("a1")
 	req.MaxTokens = 1000
 	s, err := d.Generate(t.Context(), req)
 	assert.NilError(t, err)
@@ -170,17 +170,17 @@
 	e, d := start(t, Config{Poison: "mould"})
 	before, err := d.State(t.Context())
 	assert.NilError(t, err)
-	s, err := d.Generate(t.Context(), ask("a1"))
+	s, err := d.Generate(t.Context(), generateRequest("a1"))
 	assert.NilError(t, err)
-	poison := ask("a2")
+	poison := generateRequest("a2")
 	poison.Prompt = []byte("a crate with mould")
 	_, err = d.Generate(t.Context(), poison)
 	assert.ErrorIs(t, err, driver.ErrCut)
 	_, err = collect(s, 30)
 	assert.ErrorIs(t, err, driver.ErrCut)
 	waitFor(t, d, func(s driver.EngineState) bool { return s.Incarnation != before.Incarnation })
-	fault(t, e, `{"name":"crash-in-change","count":1}`)
-	assert.NilError(t, d.Order(t.Context(), roleOrder("o1", 1, driver.RoleDecode), permitted))
+	setFault(t, e, `{"name":"crash-in-change","count":1}`)
+	assert.NilError(t, d.Order(t.Context(), roleOrder("o1", 1, driver.RoleDecode), permit))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if h := e.history.Entries(); h[len(h)-1].Effect != EffectCrashed {
 			return poll.Continue("effect %s", h[len(h)-1].Effect)
@@ -190,10 +190,10 @@
 	waitFor(t, d, func(s driver.EngineState) bool { return s.Role == driver.RoleMixed && !s.Changing })
 }
 
-func TestCacheEventsAreLateAndGappy(t *testing.T) {
+func TestCacheEventsAreDelayedAndDropped(t *testing.T) {
 	e, d := start(t, Config{CacheBlocks: 2, EventLag: 30 * time.Millisecond})
 	run := func(attempt, text string) {
-		req := ask(attempt)
+		req := generateRequest(attempt)
 		req.Prompt, req.MaxTokens = bytes.Repeat([]byte(text), 4500), 1
 		s, err := d.Generate(t.Context(), req)
 		assert.NilError(t, err)
@@ -204,8 +204,8 @@
 	ev, err := d.CacheEvents(t.Context(), 0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(ev), 0)
-	fault(t, e, `{"name":"drop-events","count":1000,"for":"10ms"}`)
-	run("a2", "box ") // its two pieces evict the others
+	setFault(t, e, `{"name":"drop-events","count":1000,"for":"10ms"}`)
+	run("a2", "box ") // its two blocks evict those of the first prompt
 	time.Sleep(60 * time.Millisecond)
 	ev, err = d.CacheEvents(t.Context(), 1)
 	assert.NilError(t, err)
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	maxAttempts    = 50_000
+	maxAttempts    = 50_000 // attempts kept for GET /attempts
 	kvFetchTimeout = time.Second
 )
 
-// Attempt is one attempt that the engine took.
+// Attempt is one attempt that the engine accepted.
 type Attempt struct {
 	ID          string    `json:"id"`
 	Fingerprint uint64    `json:"fingerprint"` // of the prompt
-	StartedAt       time.Time `json:"begun"`
+	StartedAt   time.Time `json:"begun"`
 }
 
-// AttemptsAnswer is the answer to GET /attempts.
+// AttemptsAnswer is the response body of GET /attempts.
 type AttemptsAnswer struct {
 	Attempts []Attempt `json:"attempts"`
 }
@@ -37,7 +37,8 @@
 	httpjson.Write(w, AttemptsAnswer{Attempts: r.attempts})
 }
 
-// admit puts a request into the queue, or answers why not.
+// admit decodes a request and queues it. If the engine refuses it, admit answers with the reason and
+// returns nil.
 func (r *run) admit(w http.ResponseWriter, req *http.Request, prefillOnly bool) *sequence {
 	var g httpapi.Generate
 	if !httpjson.Read(w, req, &g) {
@@ -48,15 +49,15 @@
 		return nil
 	}
 	s := newSequence(req.Context(), &g, prefillOnly)
-	fetchable := g.KV != nil && r.fetchKV(req.Context(), g.KV)
+	kvFetched := g.KV != nil && r.fetchKV(req.Context(), g.KV)
 	r.mu.Lock()
-	name := r.refusal(s)
-	if name == "" {
-		r.enqueue(s, fetchable)
+	reason := r.refusalReason(s)
+	if reason == "" {
+		r.enqueue(s, kvFetched)
 	}
 	r.mu.Unlock()
-	if name != "" {
-		httpjson.Refuse(w, http.StatusServiceUnavailable, name, "")
+	if reason != "" {
+		httpjson.Refuse(w, http.StatusServiceUnavailable, reason, "")
 		return nil
 	}
 	if r.poisoned(g.Prompt) {
@@ -67,12 +68,12 @@
 	return s
 }
 
-func (r *run) enqueue(s *sequence, fetchable bool) {
+func (r *run) enqueue(s *sequence, kvFetched bool) {
 	r.arrivals++
-	s.order = r.arrivals
+	s.arrival = r.arrivals
 	r.queue = append(r.queue, s)
-	if fetchable {
-		r.fetchable[s] = true
+	if kvFetched {
+		r.kvFetched[s] = true
 	}
 	r.attempts = append(r.attempts, Attempt{
 		ID: s.req.Attempt, Fingerprint: xxhash.Sum64(s.req.Prompt), StartedAt: time.Now(),
@@ -82,16 +83,16 @@
 	}
 }
 
-// refusal returns why the engine can't run the sequence, or nothing.
-func (r *run) refusal(s *sequence) string {
+// refusalReason returns why the engine can't run the sequence, or an empty string.
+func (r *run) refusalReason(s *sequence) string {
 	switch {
 	case r.ctx.Err() != nil:
 		return "down"
-	case r.away > 0:
+	case r.roleChanges > 0:
 		return "changing"
 	case s.prefillOnly && r.role == driver.RoleDecode, !s.prefillOnly && r.role == driver.RolePrefill:
 		return "wrong-role"
-	case len(r.cfg.Loaded) > 0 && !r.serves(s):
+	case len(r.cfg.Loaded) > 0 && !r.isLoaded(s):
 		return "not-loaded"
 	case len(r.queue) >= r.cfg.MaxQueue:
 		return "queue-full"
@@ -99,9 +100,9 @@
 	return ""
 }
 
-// serves tells whether the model version is loaded and, if the sequence names
-// an adapter, any version of that on top of it.
-func (r *run) serves(s *sequence) bool {
+// isLoaded reports whether the model version is loaded and, if the sequence names an adapter, whether
+// any version of that adapter is loaded for the model.
+func (r *run) isLoaded(s *sequence) bool {
 	model := driver.Loaded{Model: s.req.Model, Version: s.req.Version}
 	if !slices.Contains(r.loaded, model) {
 		return false
@@ -111,12 +112,12 @@
 	})
 }
 
-// fetchKV takes an exported KV cache over from the engine that holds it. An
-// engine that can't get it computes it again.
+// fetchKV fetches an exported KV cache from the engine that retains it, and reports whether that
+// succeeded. If not, this engine prefills the prompt itself.
 func (r *run) fetchKV(ctx context.Context, h *driver.KVHandle) bool {
 	ctx, cancel := context.WithTimeout(ctx, kvFetchTimeout)
 	defer cancel()
-	return postOK(ctx, "http://"+h.Endpoint+httpapi.PathKV+h.ID) == nil
+	return postExpectOK(ctx, "http://"+h.Endpoint+httpapi.PathKV+h.ID) == nil
 }
 
 func (r *run) servePrefill(w http.ResponseWriter, req *http.Request) {
@@ -129,7 +130,7 @@
 		httpjson.Abort()
 	}
 	w.Header().Set(httpapi.HeaderAttempt, s.req.Attempt)
-	httpjson.Write(w, r.hold(httpapi.Tokens(s.req.Prompt)))
+	httpjson.Write(w, r.retainKV(httpapi.Tokens(s.req.Prompt)))
 }
 
 func (r *run) serveGenerate(w http.ResponseWriter, req *http.Request) {
@@ -145,7 +146,7 @@
 	for {
 		select {
 		case t := <-s.tokens:
-			r.send(out, t)
+			r.sendToken(out, t)
 		case <-s.done:
 			r.finishStream(out, s)
 			return
@@ -153,21 +154,22 @@
 	}
 }
 
-// finishStream sends what is left of a sequence that has left the batch.
+// finishStream ends the stream of a sequence that has left the batch. It aborts the connection at once
+// if the sequence was aborted, and after the remaining tokens if it was exported.
 func (r *run) finishStream(out *lineWriter, s *sequence) {
-	if s.outcome == cut {
+	if s.outcome == aborted {
 		httpjson.Abort()
 	}
 	for len(s.tokens) > 0 {
-		r.send(out, <-s.tokens)
+		r.sendToken(out, <-s.tokens)
 	}
 	if s.outcome == exported {
 		httpjson.Abort()
 	}
-	out.end()
+	out.writeEnd()
 }
 
-func (r *run) send(out *lineWriter, t driver.Token) {
+func (r *run) sendToken(out *lineWriter, t driver.Token) {
 	if f, on := r.faults.Peek(FaultCutStream, ""); on && out.tokens >= int(f.Factor) {
 		r.faults.Consume(FaultCutStream, "")
 		httpjson.Abort()
@@ -175,10 +177,10 @@
 	if _, on := r.faults.Consume(FaultCrossed, ""); on {
 		t.Attempt = "another-attempt"
 	}
-	out.token(t)
+	out.writeToken(t)
 }
 
-// lineWriter writes the lines of a generate answer.
+// lineWriter writes the NDJSON lines of a generate answer.
 type lineWriter struct {
 	enc     *json.Encoder
 	ctl     *http.ResponseController
@@ -198,14 +200,14 @@
 
 func (l *lineWriter) flush() { _ = l.ctl.Flush() }
 
-func (l *lineWriter) token(t driver.Token) {
+func (l *lineWriter) writeToken(t driver.Token) {
 	_ = l.enc.Encode(httpapi.StreamLine{Attempt: t.Attempt, Pos: t.Pos, Text: t.Text})
 	l.flush()
 	_, _ = l.sum.Write(t.Text)
 	l.tokens++
 }
 
-func (l *lineWriter) end() {
+func (l *lineWriter) writeEnd() {
 	_ = l.enc.Encode(httpapi.StreamLine{
 		Attempt: l.attempt, End: true, Tokens: l.tokens, Sum: l.sum.Sum64(),
 	})
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -20,7 +20,7 @@
 	httpapi.Report
 }
 
-// HistoryAnswer is the answer to GET /history.
+// HistoryAnswer is the response body of GET /history.
 type HistoryAnswer struct {
 	Orders []HistoryEntry `json:"orders"`
 }
@@ -34,7 +34,7 @@
 	mux.HandleFunc("POST "+httpapi.PathPrefill, r.servePrefill)
 	mux.HandleFunc("POST "+httpapi.PathExport, r.serveExport)
 	mux.HandleFunc("POST "+httpapi.PathKV+"{id}", r.serveKV)
-	mux.HandleFunc("POST "+httpapi.PathOrder, r.order)
+	mux.HandleFunc("POST "+httpapi.PathOrder, r.serveOrder)
 	mux.HandleFunc("GET /history", func(w http.ResponseWriter, _ *http.Request) {
 		httpjson.Write(w, HistoryAnswer{Orders: r.history.Entries()})
 	})
@@ -43,7 +43,7 @@
 	return mux
 }
 
-// serveFault switches a fault on. A crash takes effect without waiting.
+// serveFault injects a fault. A crash takes effect immediately, without a further request.
 func (r *run) serveFault(w http.ResponseWriter, req *http.Request) {
 	r.faults.ServeHTTP(w, req)
 	if _, on := r.faults.Consume(FaultCrash, ""); on {
@@ -62,7 +62,7 @@
 	httpjson.Write(w, driver.EngineState{
 		Incarnation: r.incarnation,
 		Role:        r.role,
-		Changing:    r.changing > 0,
+		Changing:    r.activeOrders > 0,
 		Loaded:      append([]driver.Loaded{}, r.loaded...),
 		Running:     len(r.batch),
 		Queued:      len(r.queue),
@@ -71,7 +71,7 @@
 	})
 }
 
-// serveReport answers with the figures as they were a lag ago.
+// serveReport answers with the load as it was ReportLag ago, since a real engine's report is delayed too.
 func (r *run) serveReport(w http.ResponseWriter, _ *http.Request) {
 	lag := r.cfg.ReportLag
 	if f, on := r.faults.Consume(FaultStaleReport, ""); on {
@@ -94,7 +94,7 @@
 		Running:      len(r.batch),
 		Queued:       len(r.queue),
 		PrefillRate:  r.cfg.PrefillRate,
-		DecodeStepUS: r.step.Microseconds(),
+		DecodeStepUS: r.decodeStepTime.Microseconds(),
 		CacheFree:    r.cache.free(),
 	}
 	for _, s := range r.batch {
@@ -114,24 +114,24 @@
 	after, _ := strconv.ParseUint(req.FormValue("after"), 10, 64)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	httpjson.Write(w, httpapi.CacheEvents{Events: r.cache.after(after, time.Now())})
+	httpjson.Write(w, httpapi.CacheEvents{Events: r.cache.eventsAfter(after, time.Now())})
 }
 
-// serveKV hands an exported KV cache to another engine, once.
+// serveKV gives an exported KV cache to another engine. Each can be fetched once.
 func (r *run) serveKV(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h, ok := r.kv[req.PathValue("id")]
+	h, ok := r.exportedKV[req.PathValue("id")]
 	if !ok {
 		httpjson.Refuse(w, http.StatusNotFound, "no-kv", "not here any more")
 		return
 	}
-	delete(r.kv, h.ID)
+	delete(r.exportedKV, h.ID)
 	httpjson.Write(w, h)
 }
 
-// hold keeps a KV cache for a while, for another engine to fetch.
-func (r *run) hold(tokens int) driver.KVHandle {
+// retainKV keeps a KV cache for kvRetention, so that another engine can fetch it.
+func (r *run) retainKV(tokens int) driver.KVHandle {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := driver.KVHandle{
@@ -140,11 +140,11 @@
 		Tokens:   tokens,
 		Bytes:    int64(tokens) * r.cfg.KVPerToken,
 	}
-	r.kv[h.ID] = h
-	time.AfterFunc(defaultKVKeep, func() {
+	r.exportedKV[h.ID] = h
+	time.AfterFunc(kvRetention, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.kv, h.ID)
+		delete(r.exportedKV, h.ID)
 	})
 	return h
 }
@@ -155,20 +155,20 @@
 		return
 	}
 	r.mu.Lock()
-	s := r.remove(body.Attempt)
+	s := r.removeDecoding(body.Attempt)
 	if s != nil {
-		s.leave(exported)
+		s.end(exported)
 	}
 	r.mu.Unlock()
 	if s == nil {
 		httpjson.Refuse(w, http.StatusNotFound, "no-attempt", body.Attempt)
 		return
 	}
-	httpjson.Write(w, r.hold(httpapi.Tokens(s.req.Prompt)+s.pos))
+	httpjson.Write(w, r.retainKV(httpapi.Tokens(s.req.Prompt)+s.pos))
 }
 
-// remove takes a decoding attempt out of the batch.
-func (r *run) remove(attempt string) *sequence {
+// removeDecoding takes an attempt out of the batch. It returns nil unless the attempt is decoding.
+func (r *run) removeDecoding(attempt string) *sequence {
 	for i, s := range r.batch {
 		if s.req.Attempt == attempt && s.prefillLeft == 0 {
 			r.batch = append(r.batch[:i:i], r.batch[i+1:]...)
@@ -178,6 +178,8 @@
 	return nil
 }
 
+// poisoned reports whether the prompt contains the text of FaultPoison. It consumes a use of the fault
+// only if so.
 func (r *run) poisoned(prompt []byte) bool {
 	f, on := r.faults.Peek(FaultPoison, "")
 	if !on || f.Text == "" || !strings.Contains(string(prompt), f.Text) {
@@ -187,7 +189,7 @@
 	return true
 }
 
-func postOK(ctx context.Context, url string) error {
+func postExpectOK(ctx context.Context, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	if err != nil {
 		return err
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -16,35 +16,35 @@
 	"fescuestand/internal/standin/httpjson"
 )
 
-// Effect is what became of an order.
+// Effect is the result of an order.
 type Effect string
 
-// The effects.
+// Results of an order.
 const (
-	EffectRunning  Effect = "running"
-	EffectDone     Effect = "done"
-	EffectNoChange     Effect = "same"     // the engine was that way already
-	EffectStale    Effect = "stale"    // refused for its fencing token
-	EffectDuplicate   Effect = "repeat"   // same id as an earlier order: not run again
-	EffectConflict Effect = "conflict" // began while another order was carried out
-	EffectCrashed  Effect = "crashed"  // the engine crashed before it was done
-	EffectFailed   Effect = "failed"   // the weight store did not give the weights
+	EffectRunning   Effect = "running"
+	EffectDone      Effect = "done"
+	EffectNoChange  Effect = "same"     // the engine was in the ordered state already
+	EffectStale     Effect = "stale"    // refused because of an old fencing token
+	EffectDuplicate Effect = "repeat"   // same id as an earlier order; not executed again
+	EffectConflict  Effect = "conflict" // started while another order was being executed
+	EffectCrashed   Effect = "crashed"  // the engine crashed before completing it
+	EffectFailed    Effect = "failed"   // the weights could not be fetched from the weight store
 )
 
-// HistoryEntry is one order that the engine got whole.
+// HistoryEntry is one order that the engine received completely.
 type HistoryEntry struct {
 	driver.Order
 	Incarnation string    `json:"incarnation"`
-	StartedAt       time.Time `json:"begun"`
-	EndedAt       time.Time `json:"ended"`
+	StartedAt   time.Time `json:"begun"`
+	EndedAt     time.Time `json:"ended"`
 	Effect      Effect    `json:"effect"`
-	// Overlap says that it began while another order was being carried out.
+	// Overlap is true if the order started while another one was being executed.
 	Overlap bool `json:"overlap"`
-	// StreamsCut is how many running or queued requests it cut off.
+	// StreamsCut is how many running or queued requests the order aborted.
 	StreamsCut int `json:"streams_cut"`
 }
 
-// History lists the orders that an engine got, over its crashes.
+// History records the orders that an engine received. It survives the engine's crashes.
 type History struct {
 	mu      sync.Mutex
 	entries []*HistoryEntry
@@ -62,8 +62,9 @@
 	change(e)
 }
 
-// has tells whether an order with this id was taken and not lost.
-func (h *History) has(id string) bool {
+// hasAccepted reports whether an order with this id was accepted and neither failed nor was lost in a
+// crash.
+func (h *History) hasAccepted(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.ContainsFunc(h.entries, func(e *HistoryEntry) bool {
@@ -82,9 +83,9 @@
 	return all
 }
 
-// order takes an order that has arrived whole. It answers once the order is
-// accepted and carries it out afterwards.
-func (r *run) order(w http.ResponseWriter, req *http.Request) {
+// serveOrder accepts or refuses an order. It answers when the order is accepted, before it is
+// executed.
+func (r *run) serveOrder(w http.ResponseWriter, req *http.Request) {
 	var o driver.Order
 	if !httpjson.Read(w, req, &o) {
 		return
@@ -104,17 +105,17 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// accept decides on an order and starts it.
+// accept decides whether to execute an order, records it in the history and starts its execution.
 func (r *run) accept(o driver.Order) HistoryEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := &HistoryEntry{Order: o, Incarnation: r.incarnation, StartedAt: time.Now(), Overlap: r.changing > 0}
+	e := &HistoryEntry{Order: o, Incarnation: r.incarnation, StartedAt: time.Now(), Overlap: r.activeOrders > 0}
 	switch {
 	case r.cfg.ChecksFence && o.Fence < r.fence:
 		e.Effect = EffectStale
-	case r.history.has(o.ID):
+	case r.history.hasAccepted(o.ID):
 		e.Effect = EffectDuplicate
-	case r.already(o):
+	case r.isNoChange(o):
 		e.Effect = EffectNoChange
 	default:
 		e.Effect = EffectRunning
@@ -126,13 +127,13 @@
 		}
 	}
 	if e.Effect == EffectRunning {
-		r.changing++
+		r.activeOrders++
 		if o.Kind == driver.OrderRole {
-			r.away++
+			r.roleChanges++
 			e.StreamsCut = len(r.queue) + len(r.batch)
-			r.cutAllLocked()
+			r.abortAllLocked()
 		}
-		go r.carryOut(o, e)
+		go r.execute(o, e)
 	} else {
 		e.EndedAt = e.StartedAt
 	}
@@ -140,9 +141,10 @@
 	return *e
 }
 
-// already tells whether the order changes nothing.
-func (r *run) already(o driver.Order) bool {
-	if r.changing > 0 {
+// isNoChange reports whether the engine already is in the ordered state. While another order is being
+// executed, it returns false.
+func (r *run) isNoChange(o driver.Order) bool {
+	if r.activeOrders > 0 {
 		return false
 	}
 	switch o.Kind {
@@ -155,17 +157,17 @@
 	}
 }
 
-// carryOut takes the order's time, then puts it into effect.
-func (r *run) carryOut(o driver.Order, e *HistoryEntry) {
-	effect := r.spend(o)
+// execute waits for the order's duration, then applies it.
+func (r *run) execute(o driver.Order, e *HistoryEntry) {
+	effect := r.simulateChange(o)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.changing--
+	r.activeOrders--
 	if o.Kind == driver.OrderRole {
-		r.away--
+		r.roleChanges--
 	}
 	if effect == EffectDone {
-		r.take(o)
+		r.applyOrder(o)
 	}
 	if e.Overlap && effect == EffectDone {
 		effect = EffectConflict
@@ -177,7 +179,7 @@
 	r.wakeLoop()
 }
 
-func (r *run) take(o driver.Order) {
+func (r *run) applyOrder(o driver.Order) {
 	switch o.Kind {
 	case driver.OrderRole:
 		r.role = o.Role
@@ -188,8 +190,8 @@
 	}
 }
 
-// spend waits for what the order costs.
-func (r *run) spend(o driver.Order) Effect {
+// simulateChange takes the time that the order takes on a real engine.
+func (r *run) simulateChange(o driver.Order) Effect {
 	if o.Kind == driver.OrderUnload {
 		return EffectDone
 	}
@@ -214,7 +216,8 @@
 	return EffectDone
 }
 
-// fetchWeights gets a model version or adapter at the weight store's rate.
+// fetchWeights fetches a model version or adapter. The weight store's rate limit determines how long
+// that takes.
 func (r *run) fetchWeights(ctx context.Context, l driver.Loaded) error {
 	if r.cfg.WeightStore == "" {
 		return nil
@@ -223,5 +226,5 @@
 	if l.Adapter != "" {
 		q.Set("model", l.Adapter)
 	}
-	return postOK(ctx, "http://"+r.cfg.WeightStore+httpapi.PathFetch+"?"+q.Encode())
+	return postExpectOK(ctx, "http://"+r.cfg.WeightStore+httpapi.PathFetch+"?"+q.Encode())
 }
--- a/internal/standin/engine/sequence.go
+++ b/internal/standin/engine/sequence.go
@@ -9,13 +9,13 @@
 	"fescuestand/internal/standin/oracle"
 )
 
-// outcome is how a sequence left the batch.
+// outcome is how a sequence ended.
 type outcome int
 
 const (
-	finished outcome = iota // all tokens made, or the prefill is done
-	exported                // its KV cache was exported; the stream ends unfinished
-	cut                     // a role change or crash took it
+	finished outcome = iota // all tokens generated, or the prefill is done
+	exported                // KV cache exported; the stream ends unfinished
+	aborted                 // ended by a role change, a crash or a cancelled request
 )
 
 // sequence is one attempt in the batch or the queue.
@@ -24,13 +24,13 @@
 	req         *httpapi.Generate
 	completion  oracle.Completion
 	prefillOnly bool
-	pieces      []pieceKey
-	order       uint64    // of arrival
-	prefillLeft float64   // prompt tokens
-	imported    time.Time // when the import of its KV cache is over
-	pos         int       // next token to make
+	blocks      []blockKey
+	arrival     uint64    // sequence number of its arrival
+	prefillLeft float64   // prompt tokens still to prefill
+	importedAt  time.Time // when the import of its KV cache is complete
+	pos         int       // position of the next token to generate
 	tokens      chan driver.Token
-	done        chan struct{} // closed when it left
+	done        chan struct{} // closed when the sequence ended
 	outcome     outcome
 }
 
@@ -40,9 +40,9 @@
 		req:         req,
 		completion:  oracle.New(req.Model, req.Version, req.Adapter, req.Prompt, req.Seed),
 		prefillOnly: prefillOnly,
-		pieces:      pieceKeys(req),
+		blocks:      blockKeys(req),
 		pos:         req.From,
-		// Buffered for the whole answer: a slow reader must not stop the batch.
+		// Buffered for the whole answer, so that a slow reader does not block the batch.
 		tokens: make(chan driver.Token, max(0, req.MaxTokens-req.From)+1),
 		done:   make(chan struct{}),
 	}
@@ -52,15 +52,15 @@
 	return httpapi.Tokens(s.req.Prompt) + s.req.From
 }
 
-func (s *sequence) leave(o outcome) {
+func (s *sequence) end(o outcome) {
 	s.outcome = o
 	close(s.done)
 }
 
-// before orders the queue: higher priority first, then by arrival.
-func (s *sequence) before(t *sequence) int {
+// compareInQueue orders the queue by descending priority, then by arrival.
+func (s *sequence) compareInQueue(t *sequence) int {
 	if s.req.Priority != t.req.Priority {
 		return t.req.Priority - s.req.Priority
 	}
-	return int(int64(s.order) - int64(t.order))
+	return int(int64(s.arrival) - int64(t.arrival))
 }
