--- a/internal/standin/caller/addresses.go
+++ b/internal/standin/caller/addresses.go
@@ -13,9 +13,9 @@
 
 const addressTimeout = 2 * time.Second
 
-var errNoAddress = errors.New("no entry answers")
+var errNoAddress = errors.New("no entry returned addresses")
 
-// addressAnswer is the system's answer to GET /v1/addresses, best first.
+// addressAnswer is the response body of GET /v1/addresses. The best address comes first.
 type addressAnswer struct {
 	TTLMS     int64 `json:"ttl_ms"`
 	Addresses []struct {
@@ -24,47 +24,48 @@
 	} `json:"addresses"`
 }
 
-// addresses keeps one caller's answer for its time to live.
-type addresses struct {
+// addressCache caches item caller's address list for its time to live.
+type addressCache struct {
 	entries []string
 	client  *http.Client
 	header  http.Header
 
-	mu    sync.Mutex
-	list  []string
-	until time.Time
-	next  int // entry to ask next
+	mu        sync.Mutex
+	list      []string
+	expiresAt time.Time
+	nextEntry int // index of the entry to ask next
 }
 
-// get returns the address to use now.
-func (a *addresses) get(ctx context.Context) (string, error) {
+// get returns the best cached address. It refreshes the list if it is empty or expired.
+func (a *addressCache) get(ctx context.Context) (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.list) > 0 && time.Now().Before(a.until) {
+	if len(a.list) > 0 && time.Now().Before(a.expiresAt) {
 		return a.list[0], nil
 	}
 	var err error
 	for range a.entries {
-		entry := a.entries[a.next%len(a.entries)]
-		if err = a.ask(ctx, entry); err == nil {
+		entry := a.entries[a.nextEntry%len(a.entries)]
+		if err = a.refresh(ctx, entry); err == nil {
 			return a.list[0], nil
 		}
-		a.next++
+		a.nextEntry++
 	}
 	return "", fmt.Errorf("%w: %w", errNoAddress, err)
 }
 
-// drop forgets an address that did not answer, until the list is asked again.
-func (a *addresses) drop(address string) {
+// drop removes an address that did not answer, until the list is refreshed.
+func (a *addressCache) drop(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.list = slices.DeleteFunc(a.list, func(s string) bool { return s == address })
 	if len(a.list) == 0 {
-		a.next++
+		a.nextEntry++
 	}
 }
 
-func (a *addresses) ask(ctx context.Context, entry string) error {
+// refresh requests the address list from item entry.
+func (a *addressCache) refresh(ctx context.Context, entry string) error {
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry+"/v1/addresses", nil)
@@ -82,12 +83,12 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK || len(body.Addresses) == 0 {
-		return fmt.Errorf("%s answers %s with %d addresses", entry, resp.Status, len(body.Addresses))
+		return fmt.Errorf("%s answered %s with %d addresses", entry, resp.Status, len(body.Addresses))
 	}
 	a.list = a.list[:0]
-	for _, one := range body.Addresses {
-		a.list = append(a.list, one.Address)
+	for _, item := range body.Addresses {
+		a.list = append(a.list, item.Address)
 	}
-	a.until = time.Now().Add(time.Duration(body.TTLMS) * time.Millisecond)
+	a.expiresAt = time.Now().Add(time.Duration(body.TTLMS) * time.Millisecond)
 	return nil
 }
--- a/internal/standin/caller/audit.go
+++ b/internal/standin/caller/audit.go
@@ -15,21 +15,20 @@
 
 const auditTimeout = 3 * time.Second
 
-// Audit is what engines and endpoints say of the run, against what callers
-// were told.
+// Audit compares what engines and endpoints executed with the outcomes that callers received.
 type Audit struct {
 	RoleChanges  int      `json:"role_changes"`
 	Loads        int      `json:"loads"`
-	Conflicts    int      `json:"conflicts"`     // orders that began during another one
-	Stale        int      `json:"stale"`         // orders refused for their fencing token
-	StreamsCut   int      `json:"streams_cut"`   // by role changes
-	DoubleRuns   int      `json:"double_runs"`   // commits that ran more than once
-	FalseNotRuns int      `json:"false_not_run"` // commits that ran though told not run
-	LostRuns     int      `json:"lost_runs"`     // commits told done that never ran
-	Unreachable      []string `json:"unasked,omitempty"`
+	Conflicts    int      `json:"conflicts"`     // orders started while another one was being executed
+	Stale        int      `json:"stale"`         // orders refused because of an old fencing token
+	StreamsCut   int      `json:"streams_cut"`   // streams aborted by role changes
+	DoubleRuns   int      `json:"double_runs"`   // commits executed more than once
+	FalseNotRuns int      `json:"false_not_run"` // commits executed but reported as not run
+	LostRuns     int      `json:"lost_runs"`     // commits reported as done but never executed
+	Unreachable  []string `json:"unasked,omitempty"`
 }
 
-func (a *Audit) good() bool {
+func (a *Audit) passed() bool {
 	return a.Conflicts+a.StreamsCut+a.DoubleRuns+a.FalseNotRuns+a.LostRuns == 0
 }
 
@@ -43,7 +42,7 @@
 	}
 }
 
-// audit asks engines and endpoints what they executed.
+// audit requests from engines and endpoints what they executed.
 func (c *caller) audit(ctx context.Context, rep *Report) {
 	ctx, cancel := context.WithTimeout(ctx, auditTimeout)
 	defer cancel()
@@ -82,6 +81,8 @@
 	}
 }
 
+// auditCommits compares the executions of each commit key with the reported outcome. It counts a lost
+// run only if every endpoint answered, since a missing one may have executed it.
 func (c *caller) auditCommits(ctx context.Context, rep *Report) {
 	runs := map[string]int{}
 	complete := true
@@ -92,11 +93,11 @@
 			complete = false
 			continue
 		}
-		for key, one := range e.Keys {
-			runs[key] += one.Count
+		for key, execution := range e.Keys {
+			runs[key] += execution.Count
 		}
 	}
-	for key, notRun := range c.table.keys {
+	for key, notRun := range c.table.notRun {
 		if runs[key] > 1 {
 			rep.Audit.DoubleRuns++
 		}
@@ -120,7 +121,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s%s answers %s", address, path, resp.Status)
+		return fmt.Errorf("%s%s answered %s", address, path, resp.Status)
 	}
 	return json.NewDecoder(resp.Body).Decode(v)
 }
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	maxIdleConns = 512
-	retryPause   = 50 * time.Millisecond // before another address is tried
-	minLeft      = 5 * time.Millisecond  // less is not worth a request
+	maxIdleConns = 512                   // per address
+	retryDelay   = 50 * time.Millisecond // delay before another address is tried
+	minRemaining = 5 * time.Millisecond  // with less time before the deadline no request is sent
 )
 
-// caller runs the mix.
+// caller sends the mix of one run.
 type caller struct {
-	cfg     *Config
-	client  *http.Client
-	callers []*addresses
-	start   time.Time
-	table   *table
+	cfg           *Config
+	client        *http.Client
+	addressCaches []*addressCache
+	start         time.Time
+	table         *table
 }
 
-// Run sends the mix and returns what callers saw. It ends with the run's time,
-// its count, or ctx, and then waits for the answers that are still due.
+// Run sends the mix and returns the outcomes. It stops sending after cfg.For or cfg.Requests requests
+// or when ctx is done, and then waits for the outstanding answers.
 func Run(ctx context.Context, cfg *Config) *Report {
 	c := &caller{
 		cfg: cfg,
@@ -40,8 +40,8 @@
 		table: newTable(cfg),
 	}
 	for i := range max(1, cfg.Callers) {
-		c.callers = append(c.callers, &addresses{
-			entries: cfg.Entries, client: c.client, next: i, header: http.Header{},
+		c.addressCaches = append(c.addressCaches, &addressCache{
+			entries: cfg.Entries, client: c.client, nextEntry: i, header: http.Header{},
 		})
 	}
 	c.sendMix(ctx)
@@ -54,14 +54,14 @@
 func (c *caller) sendMix(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	gap := time.Duration(float64(time.Second) / c.cfg.Rate)
+	interval := time.Duration(float64(time.Second) / c.cfg.Rate)
 	for n := 0; c.cfg.Requests == 0 || n < c.cfg.Requests; n++ {
-		due := time.Duration(n) * gap
+		due := time.Duration(n) * interval
 		if due >= c.cfg.For || !sleepUntil(ctx, c.start.Add(due)) {
 			return
 		}
 		r := c.cfg.request(n, due)
-		wg.Go(func() { c.table.add(r, c.ask(context.WithoutCancel(ctx), n, r)) })
+		wg.Go(func() { c.table.add(r, c.execute(context.WithoutCancel(ctx), n, r)) })
 	}
 }
 
@@ -76,28 +76,28 @@
 	}
 }
 
-// result is how one request ended for its caller.
+// result is the outcome of one request for its caller.
 type result struct {
-	err     error // nil: whole and right
+	err     error // nil: complete and correct answer
 	took    time.Duration
 	times   streamTimes
-	returns int // times it came back after a refusal
-	resends int // times it was sent again after a cut
-	// notRun says that the system told so of every try.
+	retries int // retries after a refusal
+	resends int // retries after a cut connection
+	// notRun is true if the system reported every attempt as not run.
 	notRun bool
 }
 
-// ask sends the request until it has an answer that stands.
-func (c *caller) ask(ctx context.Context, n int, r *request) result {
-	begun := time.Now()
-	deadline := begun.Add(c.cfg.deadline(r.kind))
-	from := c.callers[n%len(c.callers)]
+// execute sends the request, with retries, until it has a final outcome.
+func (c *caller) execute(ctx context.Context, n int, r *request) result {
+	startedAt := time.Now()
+	deadline := startedAt.Add(c.cfg.deadline(r.kind))
+	addresses := c.addressCaches[n%len(c.addressCaches)]
 	res := result{notRun: true}
 	for {
-		res.times, res.err = c.try(ctx, from, r, begun, deadline, &res)
-		res.took = time.Since(begun)
-		pause, ok := c.again(&res)
-		if !ok || time.Now().Add(pause+minLeft).After(deadline) {
+		res.times, res.err = c.attempt(ctx, addresses, r, startedAt, deadline, &res)
+		res.took = time.Since(startedAt)
+		delay, ok := c.retryAfter(&res)
+		if !ok || time.Now().Add(delay+minRemaining).After(deadline) {
 			if res.err != nil {
 				log.WithFields(log.Fields{
 					"event": "not-whole", "request": r.id, "kind": c.cfg.kindName(r.kind),
@@ -105,41 +105,42 @@
 			}
 			return res
 		}
-		time.Sleep(pause)
+		time.Sleep(delay)
 	}
 }
 
-func (c *caller) try(ctx context.Context, from *addresses, r *request, begun, deadline time.Time, res *result) (streamTimes, error) {
-	address, err := from.get(ctx)
+// attempt sends the request once. It drops the address from the cache if the VM did not answer.
+func (c *caller) attempt(ctx context.Context, addresses *addressCache, r *request, startedAt, deadline time.Time, res *result) (streamTimes, error) {
+	address, err := addresses.get(ctx)
 	if err != nil {
 		return streamTimes{}, errors.Join(errUnreachable, err)
 	}
-	times, err := c.send(ctx, address, r, begun, time.Until(deadline))
+	times, err := c.send(ctx, address, r, startedAt, time.Until(deadline))
 	if errors.Is(err, errUnreachable) || errors.Is(err, errCut) {
-		from.drop(address)
+		addresses.drop(address)
 	}
 	var ref *refusal
-	told := errors.As(err, &ref) && ref.Run == string(code.NotRun)
-	if !told && !errors.Is(err, errUnreachable) {
+	refusedNotRun := errors.As(err, &ref) && ref.Run == string(code.NotRun)
+	if !refusedNotRun && !errors.Is(err, errUnreachable) {
 		res.notRun = false
 	}
 	return times, err
 }
 
-// again decides whether the caller asks again, and after which pause.
-func (c *caller) again(res *result) (time.Duration, bool) {
+// retryAfter decides whether the request is retried, and after which delay.
+func (c *caller) retryAfter(res *result) (time.Duration, bool) {
 	var ref *refusal
 	switch {
 	case errors.Is(res.err, errUnreachable):
-		return retryPause, true
+		return retryDelay, true
 	case errors.Is(res.err, errCut) && c.cfg.Resend:
 		res.resends++
-		return retryPause, true
+		return retryDelay, true
 	case errors.As(res.err, &ref):
 		if !c.cfg.Return || ref.Run != string(code.NotRun) || ref.RetryAfterMS <= 0 {
 			return 0, false
 		}
-		res.returns++
+		res.retries++
 		return time.Duration(ref.RetryAfterMS) * time.Millisecond, true
 	}
 	return 0, false
--- a/internal/standin/caller/caller_test.go
+++ b/internal/standin/caller/caller_test.go
@@ -15,7 +15,7 @@
 	"fescuestand/internal/standin/oracle"
 )
 
-// entry is a fake of the system with one misbehaviour.
+// entry is a fake entry process with one kind of misbehaviour.
 type entry struct {
 	mode  string
 	tries int
@@ -29,10 +29,10 @@
 	e.tries++
 	switch {
 	case e.mode == "refuses once" && e.tries == 1, e.mode == "refuses":
-		refuse(w, `{"code":2001,"name":"queue-full","run":"not-run","retry_after_ms":10}`)
+		writeRefusal(w, `{"code":2001,"name":"queue-full","run":"not-run","retry_after_ms":10}`)
 		return
 	case e.mode == "unknown":
-		refuse(w, `{"code":4001,"name":"commit-unknown","run":"unknown"}`)
+		writeRefusal(w, `{"code":4001,"name":"commit-unknown","run":"unknown"}`)
 		return
 	}
 	var body generateBody
@@ -40,7 +40,7 @@
 	e.stream(w, &body)
 }
 
-func refuse(w http.ResponseWriter, body string) {
+func writeRefusal(w http.ResponseWriter, body string) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 	_, _ = io.WriteString(w, body)
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestTheMixDependsOnSeedAndTimeOnly(t *testing.T) {
+func TestMixDependsOnSeedAndTimeOnly(t *testing.T) {
 	cfg := &Config{
 		Seed: 5, Workspaces: 3, LongPrefixBlocks: 1, LongShareLow: 0, LongShareHigh: 1, Period: 10 * time.Second,
 		Short: Class{MaxTokens: 10}, Long: Class{MaxTokens: 10},
--- a/internal/standin/caller/config.go
+++ b/internal/standin/caller/config.go
@@ -1,20 +1,22 @@
-// Package caller is a bounded caller of the system. It asks for addresses,
-// sends a seeded mix that shifts between short questions and long documents,
-// checks every byte of every answer, and counts what callers would see.
+// Package caller is a load generator that checks the answers of the system.
+//
+// It requests the addresses of VMs, sends a seeded mix of requests that shifts between short questions
+// and long documents, checks every byte of every answer, and counts the outcomes that callers would
+// see. At the end it compares them with what the fake engines and endpoints executed.
 package caller
 
 import (
 	"time"
 )
 
-// Class is one kind of generate request.
+// Class is one class of generate requests.
 type Class struct {
 	Name      string
-	MaxTokens int
+	MaxTokens int // longest answer
 	Deadline  time.Duration
 }
 
-// Service is the plain service that is called; an empty name leaves it out.
+// Service is the plain service to call. With an empty name none is called.
 type Service struct {
 	Name     string
 	Lookup   string // idempotent operation
@@ -22,14 +24,14 @@
 	Deadline time.Duration
 }
 
-// Config sets up a run.
+// Config configures a run.
 type Config struct {
-	Entries     []string // addresses that are asked for addresses
+	Entries     []string // addresses of the VMs that are asked for the address list
 	Seed        uint64
-	For         time.Duration // new requests are sent for this long
-	Requests    int           // at most this many; 0: no limit
-	Rate        float64       // requests a second
-	Callers     int
+	For         time.Duration // how long new requests are sent
+	Requests    int           // maximum number of requests; 0: no limit
+	Rate        float64       // requests per second
+	Callers     int           // callers, each with its own address cache
 	Workspaces  int
 	Model       string
 	Version     string
@@ -39,19 +41,19 @@
 	Service     Service
 	LookupShare float64
 	CommitShare float64
-	// The share of long documents swings between LongShareLow and LongShareHigh, half
-	// of Period each.
+	// The share of long documents is LongShareLow in the first half of each Period, and LongShareHigh
+	// in the second.
 	LongShareLow, LongShareHigh float64
-	Period            time.Duration
-	LongPrefixBlocks        int  // pieces of prompt prefix of a long document
-	Return            bool // come back after a refusal that names a time
-	Resend            bool // ask again after a cut connection
-	// Engines and Endpoints are asked at the end what they executed.
+	Period                      time.Duration
+	LongPrefixBlocks            int  // cache blocks of the prefix that a workspace's long documents share
+	Return                      bool // retry a refused request after the delay that the refusal gives
+	Resend                      bool // retry a request whose connection was cut
+	// Engines and Endpoints are the fakes whose executed work is audited at the end.
 	Engines   []string
 	Endpoints []string
 }
 
-// kind is what a request is, for the table.
+// kind is the kind of a request, a row of the report.
 type kind int
 
 const (
@@ -59,7 +61,7 @@
 	kindLong
 	kindLookup
 	kindCommit
-	kinds
+	kindCount
 )
 
 func (c *Config) kindName(k kind) string {
--- a/internal/standin/caller/mix.go
+++ b/internal/standin/caller/mix.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	minShortWords  = 10
-	moreShortWords = 60
-	longTailWords  = 150
-	minWordBytes   = 3      // shortest word of the oracle and its space
-	mixStream      = 0x5eed // keeps the mix apart from other uses of the seed
+	minShortWords   = 10
+	extraShortWords = 60
+	longSuffixWords = 150
+	minWordBytes    = 3      // the oracle's shortest word and its space
+	mixSeedMask     = 0x5eed // separates the mix from other uses of the seed
 )
 
 // request is one request of the mix.
@@ -26,28 +26,28 @@
 	prompt    string // of a generate request
 	maxTokens int
 	seed      uint64
-	body      string // of a call
-	key       string // of a commit
+	body      string // of a service call
+	key       string // idempotency key of a commit
 }
 
-// request returns the n-th request, sent after the run's start. Its kind
-// depends on the time, everything else on the seed and n only.
+// request returns the n-th request. Its kind also depends on the time after the run's start at which it
+// is sent; everything else depends on the seed and n only.
 func (c *Config) request(n int, after time.Duration) *request {
-	rng := rand.New(rand.NewPCG(c.Seed^mixStream, uint64(n)))
+	rng := rand.New(rand.NewPCG(c.Seed^mixSeedMask, uint64(n)))
 	r := &request{
 		id:        fmt.Sprintf("r-%x-%d", c.Seed, n),
 		caller:    fmt.Sprintf("caller-%d", n%max(1, c.Callers)),
 		workspace: fmt.Sprintf("workspace-%d", rng.IntN(max(1, c.Workspaces))),
 		seed:      rng.Uint64(),
 	}
-	r.kind = c.pick(rng, after)
+	r.kind = c.pickKind(rng, after)
 	switch r.kind {
 	case kindShort:
 		r.maxTokens = max(1, c.Short.MaxTokens/2+rng.IntN(c.Short.MaxTokens/2+1))
-		r.prompt = words("question "+r.id, minShortWords+rng.IntN(moreShortWords))
+		r.prompt = words("question "+r.id, minShortWords+rng.IntN(extraShortWords))
 	case kindLong:
 		r.maxTokens = max(1, c.Long.MaxTokens/2+rng.IntN(c.Long.MaxTokens/2+1))
-		r.prompt = c.document(r.workspace) + words("lot "+r.id, longTailWords)
+		r.prompt = c.longPrefix(r.workspace) + words("lot "+r.id, longSuffixWords)
 	case kindLookup:
 		r.body = fmt.Sprintf(`{"crate":"%s"}`, r.id)
 	default:
@@ -57,28 +57,28 @@
 	return r
 }
 
-func (c *Config) pick(rng *rand.Rand, after time.Duration) kind {
-	share := rng.Float64()
+func (c *Config) pickKind(rng *rand.Rand, after time.Duration) kind {
+	sample := rng.Float64()
 	if c.Service.Name != "" {
-		if share < c.CommitShare {
+		if sample < c.CommitShare {
 			return kindCommit
 		}
-		if share < c.CommitShare+c.LookupShare {
+		if sample < c.CommitShare+c.LookupShare {
 			return kindLookup
 		}
 	}
-	long := c.LongShareLow
+	longShare := c.LongShareLow
 	if c.Period > 0 && after%c.Period >= c.Period/2 {
-		long = c.LongShareHigh
+		longShare = c.LongShareHigh
 	}
-	if rng.Float64() < long {
+	if rng.Float64() < longShare {
 		return kindLong
 	}
 	return kindShort
 }
 
-// document returns the prefix that all long requests of a workspace share.
-func (c *Config) document(workspace string) string {
+// longPrefix returns the prompt prefix that all long requests of a workspace share.
+func (c *Config) longPrefix(workspace string) string {
 	size := c.LongPrefixBlocks * httpapi.PieceBytes
 	return words("manifest "+workspace, size/minWordBytes)[:size]
 }
--- a/internal/standin/caller/send.go
+++ b/internal/standin/caller/send.go
@@ -23,9 +23,9 @@
 	headerWorkspace = "Workspace"
 	headerKey       = "Idempotency-Key"
 	headerIssued    = "Key-Issued-Ms"
-	maxAnswer       = 16 << 20
-	// lateFactor is how many deadlines a caller waits for a late answer
-	// before it counts it as cut.
+	maxAnswerBytes  = 16 << 20
+	// lateFactor is the timeout of a request as a multiple of the time left until its deadline. An
+	// answer within it counts as late, after it as cut.
 	lateFactor = 3
 )
 
@@ -41,31 +41,31 @@
 	Class     string `json:"class"`
 }
 
-// onceBody keeps net/http from sending the request a second time by itself.
-type onceBody struct{ io.Reader }
+// nonReplayableBody keeps net/http from retrying the request by itself, as it can't rewind the body.
+type nonReplayableBody struct{ io.Reader }
 
-func (onceBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
-// send sends the request once and checks the answer.
-func (c *caller) send(ctx context.Context, address string, r *request, begun time.Time, left time.Duration) (streamTimes, error) {
-	ctx, cancel := context.WithTimeout(ctx, lateFactor*left)
+// send sends the request once and checks its answer.
+func (c *caller) send(ctx context.Context, address string, r *request, startedAt time.Time, remaining time.Duration) (streamTimes, error) {
+	ctx, cancel := context.WithTimeout(ctx, lateFactor*remaining)
 	defer cancel()
-	path, body := c.target(r)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, onceBody{bytes.NewReader(body)})
+	path, body := c.encode(r)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, nonReplayableBody{bytes.NewReader(body)})
 	if err != nil {
 		return streamTimes{}, err
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(headerRequestID, r.id)
-	req.Header.Set(headerDeadline, strconv.FormatInt(left.Milliseconds(), 10))
+	req.Header.Set(headerDeadline, strconv.FormatInt(remaining.Milliseconds(), 10))
 	req.Header.Set(headerCaller, r.caller)
 	req.Header.Set(headerWorkspace, r.workspace)
 	if r.key != "" {
 		req.Header.Set(headerKey, r.key)
-		req.Header.Set(headerIssued, strconv.FormatInt(begun.UnixMilli(), 10))
+		req.Header.Set(headerIssued, strconv.FormatInt(startedAt.UnixMilli(), 10))
 	}
-	check := newStreamCheck(c.cfg, r, begun)
+	check := newStreamCheck(c.cfg, r, startedAt)
 	resp, err := c.client.Do(req)
 	if err != nil {
 		return streamTimes{}, classify(err)
@@ -75,14 +75,14 @@
 		return streamTimes{}, readRefusal(resp)
 	}
 	if r.kind == kindShort || r.kind == kindLong {
-		err = check.read(resp.Body)
+		err = check.readStream(resp.Body)
 		return check.times, err
 	}
-	return streamTimes{}, c.checkCall(resp, r)
+	return streamTimes{}, c.checkServiceAnswer(resp, r)
 }
 
-// target returns the path and body of a request.
-func (c *caller) target(r *request) (string, []byte) {
+// encode returns the path and body of a request.
+func (c *caller) encode(r *request) (string, []byte) {
 	if r.kind == kindLookup || r.kind == kindCommit {
 		return "/v1/services/" + c.cfg.Service.Name + "/" + c.cfg.kindName(r.kind), []byte(r.body)
 	}
@@ -101,6 +101,8 @@
 	return "/v1/generate", b
 }
 
+// classify returns errUnreachable if no connection was established, so that the request was not sent,
+// and errCut otherwise.
 func classify(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -110,25 +112,25 @@
 }
 
 func readRefusal(resp *http.Response) error {
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return fmt.Errorf("%w: %w", errCut, err)
 	}
 	r := &refusal{}
 	if err := json.Unmarshal(b, r); err != nil || r.Code == 0 {
-		return fmt.Errorf("%w: %s without a numbered code: %.200s", errWrong, resp.Status, b)
+		return fmt.Errorf("%w: %s without a result code: %.200s", errWrong, resp.Status, b)
 	}
 	return r
 }
 
-func (c *caller) checkCall(resp *http.Response, r *request) error {
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+func (c *caller) checkServiceAnswer(resp *http.Response, r *request) error {
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return fmt.Errorf("%w: %w", errCut, err)
 	}
 	want := oracle.Answer(c.cfg.kindName(r.kind), []byte(r.body))
 	if !bytes.Equal(b, want) {
-		return fmt.Errorf("%w: %.200q, must be %q", errWrong, b, want)
+		return fmt.Errorf("%w: got %.200q, want %q", errWrong, b, want)
 	}
 	if run := resp.Header.Get("Run"); run != string(code.Ran) {
 		return fmt.Errorf("%w: header Run is %q", errWrong, run)
--- a/internal/standin/caller/stream.go
+++ b/internal/standin/caller/stream.go
@@ -15,14 +15,14 @@
 	"fescuestand/internal/standin/oracle"
 )
 
-const maxEventLine = 1 << 20
+const maxEventLineBytes = 1 << 20
 
 var (
-	errCut   = errors.New("answer is cut")
+	errCut   = errors.New("answer was cut off")
 	errWrong = errors.New("answer is wrong")
 )
 
-// refusal is the system's error answer.
+// refusal is an error answer of the system.
 type refusal struct {
 	Code         int    `json:"code"`
 	Name         string `json:"name"`
@@ -48,39 +48,39 @@
 	Sum    string `json:"xxh64"`
 }
 
-// streamTimes are when tokens came.
+// streamTimes holds the time to the first token and the times between tokens.
 type streamTimes struct {
 	first   time.Duration
 	between []time.Duration
 }
 
-// streamCheck compares a stream with the answer that the request must get.
+// streamCheck compares a stream with the expected answer.
 type streamCheck struct {
-	want      oracle.Completion
-	maxTokens int
-	begun     time.Time
-	last      time.Time
-	next      int
-	bytes     int
-	sum       *xxhash.Digest
-	times     streamTimes
+	want        oracle.Completion
+	maxTokens   int
+	startedAt   time.Time
+	lastTokenAt time.Time
+	nextPos     int
+	bytes       int
+	sum         *xxhash.Digest
+	times       streamTimes
 }
 
-// newStreamCheck counts times from begun, when the caller first asked.
-func newStreamCheck(c *Config, r *request, begun time.Time) *streamCheck {
+// newStreamCheck measures the first token from startedAt, when the request was first sent.
+func newStreamCheck(c *Config, r *request, startedAt time.Time) *streamCheck {
 	return &streamCheck{
 		want:      oracle.New(c.Model, c.Version, c.Adapter, []byte(r.prompt), r.seed),
 		maxTokens: r.maxTokens,
-		begun:     begun,
+		startedAt: startedAt,
 		sum:       xxhash.New(),
 	}
 }
 
-// read checks the whole stream. It returns nil only if every byte is right and
-// the end event came.
-func (s *streamCheck) read(body io.Reader) error {
+// readStream checks the whole stream. It returns nil only if every byte is correct and the end event
+// arrived.
+func (s *streamCheck) readStream(body io.Reader) error {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxEventLine)
+	lines.Buffer(nil, maxEventLineBytes)
 	event := ""
 	for lines.Scan() {
 		line := lines.Text()
@@ -92,23 +92,23 @@
 		if !ok {
 			continue
 		}
-		done, err := s.event(event, data)
+		done, err := s.handleEvent(event, data)
 		if done || err != nil {
 			return err
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return fmt.Errorf("%w after %d tokens: %w", errCut, s.next, err)
+		return fmt.Errorf("%w after %d tokens: %w", errCut, s.nextPos, err)
 	}
-	return fmt.Errorf("%w after %d tokens", errCut, s.next)
+	return fmt.Errorf("%w after %d tokens", errCut, s.nextPos)
 }
 
-func (s *streamCheck) event(name, data string) (done bool, err error) {
+func (s *streamCheck) handleEvent(name, data string) (done bool, err error) {
 	switch name {
 	case "token":
-		return false, s.token(data)
+		return false, s.checkToken(data)
 	case "end":
-		return true, s.end(data)
+		return true, s.checkEnd(data)
 	case "error":
 		r := &refusal{}
 		if err := json.Unmarshal([]byte(data), r); err != nil {
@@ -119,41 +119,41 @@
 	return false, nil
 }
 
-func (s *streamCheck) token(data string) error {
+func (s *streamCheck) checkToken(data string) error {
 	var t tokenEvent
 	if err := json.Unmarshal([]byte(data), &t); err != nil {
 		return fmt.Errorf("%w: %w", errWrong, err)
 	}
-	if t.Pos != s.next {
-		return fmt.Errorf("%w: position %d where %d is due", errWrong, t.Pos, s.next)
+	if t.Pos != s.nextPos {
+		return fmt.Errorf("%w: got position %d, want %d", errWrong, t.Pos, s.nextPos)
 	}
 	if want := string(s.want.Token(t.Pos)); t.Text != want {
-		return fmt.Errorf("%w: position %d is %q, must be %q", errWrong, t.Pos, t.Text, want)
+		return fmt.Errorf("%w: position %d: got %q, want %q", errWrong, t.Pos, t.Text, want)
 	}
 	now := time.Now()
-	if s.next == 0 {
-		s.times.first = now.Sub(s.begun)
+	if s.nextPos == 0 {
+		s.times.first = now.Sub(s.startedAt)
 	} else {
-		s.times.between = append(s.times.between, now.Sub(s.last))
+		s.times.between = append(s.times.between, now.Sub(s.lastTokenAt))
 	}
-	s.last = now
-	s.next++
+	s.lastTokenAt = now
+	s.nextPos++
 	s.bytes += len(t.Text)
 	_, _ = s.sum.WriteString(t.Text)
 	return nil
 }
 
-func (s *streamCheck) end(data string) error {
+func (s *streamCheck) checkEnd(data string) error {
 	var e endEvent
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
 		return fmt.Errorf("%w: %w", errWrong, err)
 	}
 	sum, err := strconv.ParseUint(e.Sum, 16, 64)
 	if err != nil {
-		return fmt.Errorf("%w: checksum %q", errWrong, e.Sum)
+		return fmt.Errorf("%w: malformed checksum %q", errWrong, e.Sum)
 	}
-	if s.next != s.maxTokens || e.Tokens != s.next || e.Bytes != s.bytes || sum != s.sum.Sum64() || e.Code != 0 {
-		return fmt.Errorf("%w: end event %+v after %d of %d tokens", errWrong, e, s.next, s.maxTokens)
+	if s.nextPos != s.maxTokens || e.Tokens != s.nextPos || e.Bytes != s.bytes || sum != s.sum.Sum64() || e.Code != 0 {
+		return fmt.Errorf("%w: end event %+v after %d of %d tokens", errWrong, e, s.nextPos, s.maxTokens)
 	}
 	return nil
 }
--- a/internal/standin/caller/table.go
+++ b/internal/standin/caller/table.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	maxRecorded   = int64(10 * time.Minute / time.Microsecond)
-	significant   = 3
-	maxExamples   = 10
-	usPerMS       = 1000.0
-	median        = 50
-	ninetyFifth   = 95
-	ninetyNinth   = 99
-	headingRow    = "kind\tsent\ton time\tlate\trefused\tunknown\tfailed\twrong\tcut\tunreachable\tfirst token ms p50/p95/p99\tbetween ms p50/p95/p99\twhole ms p50/p95/p99\t\n"
-	kindRowFormat = "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n"
+	maxRecordedUS     = int64(10 * time.Minute / time.Microsecond) // microseconds
+	significantDigits = 3                                          // digits of a histogram value
+	maxExamples       = 10
+	usPerMS           = 1000.0
+	median            = 50
+	ninetyFifth       = 95
+	ninetyNinth       = 99
+	headingRow        = "kind\tsent\ton time\tlate\trefused\tunknown\tfailed\twrong\tcut\tunreachable\tfirst token ms p50/p95/p99\tbetween ms p50/p95/p99\twhole ms p50/p95/p99\t\n"
+	kindRowFormat     = "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n"
 )
 
-// Percentiles are in milliseconds.
+// Percentiles holds percentiles in milliseconds and the number of values.
 type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -43,30 +43,30 @@
 	return fmt.Sprintf("%.0f/%.0f/%.0f", p.P50, p.P95, p.P99)
 }
 
-// Kind counts the requests of one kind by how they ended.
+// Kind counts the requests of one kind by outcome.
 type Kind struct {
-	Name        string         `json:"name"`
-	Sent        int            `json:"sent"`
-	OnTime      int            `json:"on_time"`
-	Late        int            `json:"late"`
-	Refused     map[string]int `json:"refused"` // told not run, by code
-	Unknown     map[string]int `json:"unknown"` // may have run, by code
-	Failed      map[string]int `json:"failed"`  // ran without a whole answer, by code
-	Wrong       int            `json:"wrong"`
-	Cut         int            `json:"cut"`
-	Unreachable int            `json:"unreachable"`
-	FirstToken  Percentiles    `json:"first_token_ms"`
-	BetweenTokens     Percentiles    `json:"between_tokens_ms"`
-	Duration       Percentiles    `json:"whole_ms"`
-}
-
-// Report is what callers saw of a run.
+	Name          string         `json:"name"`
+	Sent          int            `json:"sent"`
+	OnTime        int            `json:"on_time"`
+	Late          int            `json:"late"`
+	Refused       map[string]int `json:"refused"` // reported as not run, by code
+	Unknown       map[string]int `json:"unknown"` // may have run, by code
+	Failed        map[string]int `json:"failed"`  // ran without a complete answer, by code
+	Wrong         int            `json:"wrong"`
+	Cut           int            `json:"cut"`
+	Unreachable   int            `json:"unreachable"`
+	FirstToken    Percentiles    `json:"first_token_ms"`
+	BetweenTokens Percentiles    `json:"between_tokens_ms"`
+	Duration      Percentiles    `json:"whole_ms"`
+}
+
+// Report is the outcome of a run for its callers.
 type Report struct {
 	Seconds  float64  `json:"seconds"`
 	Kinds    []*Kind  `json:"kinds"`
-	Goodput  float64  `json:"goodput"` // whole answers on time, a second
-	Retries  int      `json:"returns"` // after a refusal with a time to come back
-	Resends  int      `json:"resends"` // after a cut
+	Goodput  float64  `json:"goodput"` // complete answers on time, per second
+	Retries  int      `json:"returns"` // after a refusal that gave a retry delay
+	Resends  int      `json:"resends"` // after a cut connection
 	Examples []string `json:"examples,omitempty"`
 	Audit    Audit    `json:"audit"`
 }
@@ -80,16 +80,16 @@
 	return n
 }
 
-// Good tells whether no answer was wrong or cut and nothing ran that must not.
-// Strict also asks that every request that ran has a whole answer, and that
-// none is left unknown or unanswered.
+// Good reports whether at least one answer was on time, no answer was wrong or cut, and the audit found
+// no fault. Strict also requires that every request that ran has a complete answer, and that no outcome
+// is unknown and no request was left unanswered.
 func (r *Report) Good(strict bool) bool {
-	bad := r.Total(func(k *Kind) int { return k.Wrong + k.Cut })
+	failures := r.Total(func(k *Kind) int { return k.Wrong + k.Cut })
 	if strict {
-		bad += r.Total(func(k *Kind) int { return sumOf(k.Unknown) + sumOf(k.Failed) + k.Unreachable })
+		failures += r.Total(func(k *Kind) int { return sumOf(k.Unknown) + sumOf(k.Failed) + k.Unreachable })
 	}
-	served := r.Total(func(k *Kind) int { return k.OnTime })
-	return bad == 0 && served > 0 && r.Audit.good()
+	onTime := r.Total(func(k *Kind) int { return k.OnTime })
+	return failures == 0 && onTime > 0 && r.Audit.passed()
 }
 
 func sumOf(m map[string]int) int {
@@ -100,14 +100,14 @@
 	return n
 }
 
-// table collects results.
+// table collects the results of a run.
 type table struct {
-	cfg  *Config
-	mu   sync.Mutex
-	rows [kinds]*row
-	rep  Report
-	keys map[string]bool // commit keys; whether told not run
-	ran  map[string]bool // commit keys answered with a receipt
+	cfg    *Config
+	mu     sync.Mutex
+	rows   [kindCount]*row
+	rep    Report
+	notRun map[string]bool // by commit key: reported as not run
+	ran    map[string]bool // by commit key: answered with a receipt
 }
 
 type row struct {
@@ -116,15 +116,15 @@
 }
 
 func newTable(cfg *Config) *table {
-	t := &table{cfg: cfg, keys: map[string]bool{}, ran: map[string]bool{}}
-	for k := range kinds {
+	t := &table{cfg: cfg, notRun: map[string]bool{}, ran: map[string]bool{}}
+	for k := range kindCount {
 		t.rows[k] = &row{
 			Kind: Kind{
 				Name: cfg.kindName(k), Refused: map[string]int{}, Unknown: map[string]int{}, Failed: map[string]int{},
 			},
-			first:   hdrhistogram.New(1, maxRecorded, significant),
-			between: hdrhistogram.New(1, maxRecorded, significant),
-			whole:   hdrhistogram.New(1, maxRecorded, significant),
+			first:   hdrhistogram.New(1, maxRecordedUS, significantDigits),
+			between: hdrhistogram.New(1, maxRecordedUS, significantDigits),
+			whole:   hdrhistogram.New(1, maxRecordedUS, significantDigits),
 		}
 	}
 	return t
@@ -135,10 +135,10 @@
 	defer t.mu.Unlock()
 	row := t.rows[r.kind]
 	row.Sent++
-	t.rep.Retries += res.returns
+	t.rep.Retries += res.retries
 	t.rep.Resends += res.resends
 	if r.key != "" {
-		t.keys[r.key] = res.notRun
+		t.notRun[r.key] = res.notRun
 		t.ran[r.key] = res.err == nil
 	}
 	if res.err == nil {
@@ -167,7 +167,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(maxRecorded, max(1, d.Microseconds())))
+	_ = h.RecordValue(min(maxRecordedUS, max(1, d.Microseconds())))
 }
 
 func (w *row) countError(err error) {
@@ -212,7 +212,7 @@
 	return Percentiles{at(median), at(ninetyFifth), at(ninetyNinth), h.TotalCount()}
 }
 
-// Print writes the table for people.
+// Print writes the report as text.
 func (r *Report) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprint(w, headingRow)
