--- a/internal/standin/httpjson/faults.go
+++ b/internal/standin/httpjson/faults.go
@@ -12,12 +12,11 @@
 	"fescuestand/internal/settings"
 )
 
-// FaultClear is the fault name that ends every fault.
+// FaultClear is the fault name that removes all active faults.
 const FaultClear = "clear"
 
-// Fault is one misbehaviour that a scenario switches on with POST /fault. It
-// ends after Count uses or after For, whichever comes first; without both it
-// stays until it is cleared.
+// Fault is one misbehaviour that a scenario injects with POST /fault. It ends after Count uses or after
+// For, whichever comes first. With neither it stays active until it is cleared.
 type Fault struct {
 	Name   string            `json:"name"`
 	Count  int               `json:"count,omitempty"`
@@ -25,29 +24,29 @@
 	Delay  settings.Duration `json:"delay,omitempty"`
 	Factor float64           `json:"factor,omitempty"`
 	Text   string            `json:"text,omitempty"`
-	Client string            `json:"client,omitempty"` // only requests of this client
+	Client string            `json:"client,omitempty"` // if set, the fault applies only to requests of this client
 }
 
+// armed is an active fault.
 type armed struct {
 	Fault
-	until time.Time // zero for no limit
-	left  int       // uses left if Count is set
+	until time.Time // zero: no time limit
+	left  int       // remaining uses, if Count is set
 }
 
-// Faults are the faults of one stand-in.
+// Faults is the set of active faults of one fake. Its methods may be called concurrently.
 type Faults struct {
 	known []string
 	mu    sync.Mutex
 	armed []armed
 }
 
-// NewFaults returns a set with nothing switched on that takes the known names.
+// NewFaults returns an empty set that accepts the known names.
 func NewFaults(known ...string) *Faults {
 	return &Faults{known: known}
 }
 
-// Set switches a fault on, in place of an earlier one of the same name and
-// client.
+// Set activates a fault. It replaces an active one of the same name and client.
 func (s *Faults) Set(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +64,7 @@
 	s.armed = append(s.armed, a)
 }
 
-// Peek returns the named fault if it is on for the client.
+// Peek returns the named fault if it is active for the client. It doesn't count as a use.
 func (s *Faults) Peek(name, client string) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +74,7 @@
 	return Fault{}, false
 }
 
-// Consume is Peek that counts the use.
+// Consume returns the named fault if it is active for the client, and counts one use.
 func (s *Faults) Consume(name, client string) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,14 +93,14 @@
 	return f, true
 }
 
-// Remove ends the named fault.
+// Remove removes the named fault for all clients.
 func (s *Faults) Remove(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.armed = slices.DeleteFunc(s.armed, func(a armed) bool { return a.Name == name })
 }
 
-// find returns the index of the fault, or -1. It forgets what is over.
+// find returns the index of the fault, or -1. It removes faults whose time is over.
 func (s *Faults) find(name, client string) int {
 	now := time.Now()
 	s.armed = slices.DeleteFunc(s.armed, func(a armed) bool {
@@ -112,7 +111,7 @@
 	})
 }
 
-// ServeHTTP takes POST /fault.
+// ServeHTTP handles POST /fault.
 func (s *Faults) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if !Read(w, r, &f) {
--- a/internal/standin/httpjson/faults_test.go
+++ b/internal/standin/httpjson/faults_test.go
@@ -9,7 +9,7 @@
 	"fescuestand/internal/settings"
 )
 
-func TestFaultEndsAfterItsCountAndTime(t *testing.T) {
+func TestFaultEndsAfterCountOrTime(t *testing.T) {
 	s := NewFaults("slow")
 	s.Set(Fault{Name: "slow", Count: 2, Client: "vm-1"})
 	_, other := s.Consume("slow", "vm-2")
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -1,5 +1,5 @@
-// Package logservice is the stand-in for the platform's append-only log. It
-// keeps everything in memory: a restart loses every record.
+// Package logservice is a fake of the platform's append-only log for tests and the demo. It keeps the
+// records in memory only: a restart loses all of them.
 package logservice
 
 import (
@@ -16,11 +16,11 @@
 	"fescuestand/internal/standin/httpjson"
 )
 
-// Names of the faults.
+// Names of the faults that POST /fault injects.
 const (
-	FaultOutage     = "outage"      // answers 503, nothing is appended
-	FaultCut        = "cut"         // closes connections unanswered, nothing is appended
-	FaultSlow       = "slow"        // waits Delay before the work
+	FaultOutage     = "outage"      // answers 503 without appending
+	FaultCut        = "cut"         // closes connections unanswered, without appending
+	FaultSlow       = "slow"        // waits Delay before processing a request
 	FaultLostAnswer = "lost-answer" // appends, then closes the connection
 	FaultLateAppend = "late-append" // closes the connection, appends after Delay
 	FaultStaleRead  = "stale-read"  // hides the newest Factor records from readers
@@ -30,21 +30,21 @@
 	defaultAppendsPerSecond = 400
 	defaultKeepRecords      = 1_000_000
 	defaultKeepTime         = time.Hour
-	defaultPage             = 1000
-	defaultMaxRecord        = 1 << 20
-	burstShare              = 4 // burst is this fraction of a second's appends
+	defaultPage             = 1000    // records
+	defaultMaxRecord        = 1 << 20 // bytes
+	burstShare              = 4       // the burst is 1/burstShare of the appends per second
 	maxWait                 = time.Minute
 )
 
-// Config sets up a Service. Zero fields take defaults.
+// Config configures a Service. Zero fields take defaults.
 type Config struct {
 	AppendsPerSecond float64
-	MaxRecords      int
-	Retention         time.Duration
-	MaxRecordBytes        int
+	MaxRecords       int
+	Retention        time.Duration
+	MaxRecordBytes   int
 }
 
-// Service is the log service.
+// Service is the fake log service.
 type Service struct {
 	cfg     Config
 	limit   *rate.Limiter
@@ -53,7 +53,7 @@
 	streams map[string]*stream
 }
 
-// New returns an empty log.
+// New returns a service with empty streams.
 func New(cfg Config) *Service {
 	cfg.AppendsPerSecond = cmp.Or(cfg.AppendsPerSecond, defaultAppendsPerSecond)
 	cfg.MaxRecords = cmp.Or(cfg.MaxRecords, defaultKeepRecords)
@@ -89,7 +89,8 @@
 	return st
 }
 
-// reachable applies the faults that stop a request before any work.
+// reachable applies the faults that take effect before a request is processed. It returns false if it
+// has answered.
 func (s *Service) reachable(w http.ResponseWriter, r *http.Request) bool {
 	client := r.Header.Get(httpapi.HeaderClient)
 	if _, on := s.faults.Consume(FaultCut, client); on {
@@ -155,7 +156,7 @@
 		})
 		return
 	}
-	// A partition that began during the wait loses the answer too.
+	// A partition that starts during the wait loses the answer too.
 	if _, on := s.faults.Consume(FaultCut, r.Header.Get(httpapi.HeaderClient)); on {
 		httpjson.Abort()
 	}
--- a/internal/standin/logservice/logservice_test.go
+++ b/internal/standin/logservice/logservice_test.go
@@ -31,7 +31,7 @@
 	return l
 }
 
-func fault(t *testing.T, s *httptest.Server, body string) {
+func setFault(t *testing.T, s *httptest.Server, body string) {
 	t.Helper()
 	resp, err := http.Post(s.URL+"/fault", "application/json", strings.NewReader(body))
 	assert.NilError(t, err)
@@ -76,7 +76,7 @@
 	assert.ErrorIs(t, err, driver.ErrExpired)
 }
 
-func TestAppendRateIsRefusedAboveItsLimit(t *testing.T) {
+func TestAppendsAboveRateLimitAreRefused(t *testing.T) {
 	_, l := start(t, Config{AppendsPerSecond: 4})
 	_, err := l.Append(t.Context(), "s", nil)
 	assert.NilError(t, err)
@@ -84,12 +84,12 @@
 	assert.ErrorIs(t, err, driver.ErrRefused)
 }
 
-// An operator publishes, sees no answer, reads the log, does not find the
-// publish and publishes again: both take effect. The cause is an append that
-// surfaces behind later ones after its answer was lost.
-func TestLateAppendSurfacesBehindOthers(t *testing.T) {
+// Checks the fault behind a publish that takes effect twice: the answer to an append is lost, the
+// record is not in the log yet when the operator reads it and publishes again, and it is appended
+// after later records.
+func TestLateAppendIsOrderedAfterLaterAppends(t *testing.T) {
 	s, l := start(t, Config{})
-	fault(t, s, `{"name":"late-append","count":1,"delay":"50ms"}`)
+	setFault(t, s, `{"name":"late-append","count":1,"delay":"50ms"}`)
 	_, err := l.Append(t.Context(), "s", []byte("late"))
 	assert.ErrorIs(t, err, driver.ErrCut)
 	_, err = l.Append(t.Context(), "s", []byte("next,"))
@@ -106,20 +106,20 @@
 
 func TestFaults(t *testing.T) {
 	s, l := start(t, Config{})
-	fault(t, s, `{"name":"lost-answer","count":1}`)
+	setFault(t, s, `{"name":"lost-answer","count":1}`)
 	_, err := l.Append(t.Context(), "s", []byte("kept"))
 	assert.ErrorIs(t, err, driver.ErrCut)
-	fault(t, s, `{"name":"outage","count":1}`)
+	setFault(t, s, `{"name":"outage","count":1}`)
 	_, err = l.Append(t.Context(), "s", []byte("lost"))
 	assert.ErrorIs(t, err, driver.ErrRefused)
-	fault(t, s, `{"name":"cut","client":"vm-1"}`)
+	setFault(t, s, `{"name":"cut","client":"vm-1"}`)
 	_, err = l.Append(t.Context(), "s", []byte("lost"))
 	assert.ErrorIs(t, err, driver.ErrCut)
 	other := open(t, s, "vm-2")
 	p, err := other.Read(t.Context(), "s", 1, 10, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, texts(p), "kept")
-	fault(t, s, `{"name":"stale-read","count":1}`)
+	setFault(t, s, `{"name":"stale-read","count":1}`)
 	p, err = other.Read(t.Context(), "s", 1, 10, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, p.End, uint64(1))
--- a/internal/standin/logservice/stream.go
+++ b/internal/standin/logservice/stream.go
@@ -8,7 +8,7 @@
 	"fescuestand/internal/driver/httpdriver/httpapi"
 )
 
-// stream is one append-only sequence of records with limited retention.
+// stream is one append-only sequence of records, with retention limited by count and age.
 type stream struct {
 	keep     int
 	keepTime time.Duration
@@ -16,8 +16,8 @@
 	mu      sync.Mutex
 	records []httpapi.LogRecord // offsets first, first+1, …
 	first   uint64
-	last    int64         // time of the newest record, so that time never goes back
-	grown   chan struct{} // closed at the next append
+	last    int64         // time of the newest record; keeps record times from going backwards
+	grown   chan struct{} // closed on the next append
 }
 
 func newStream(keep int, keepTime time.Duration) *stream {
@@ -38,7 +38,7 @@
 
 func (s *stream) end() uint64 { return s.first + uint64(len(s.records)) }
 
-// expire drops the records past their retention.
+// expire removes the records past their retention.
 func (s *stream) expire() {
 	oldest := time.Now().Add(-s.keepTime).UnixNano()
 	drop := max(0, len(s.records)-s.keep)
@@ -49,9 +49,8 @@
 	s.first += uint64(drop)
 }
 
-// read returns a page from offset from on, without the newest hide records.
-// It waits up to wait for the first record. The second result tells that from
-// is past its retention.
+// read returns a page of records that starts at offset from, without the newest hide records. It waits
+// up to wait for a first record. The second result is true if the offset is past its retention.
 func (s *stream) read(ctx context.Context, from uint64, limit int, wait time.Duration, hide uint64) (httpapi.Page, bool) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
--- a/internal/standin/loopback/loopback.go
+++ b/internal/standin/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback finds addresses for processes and stand-ins of tests.
+// Package loopback finds free loopback addresses for the processes and fakes of tests.
 package loopback
 
 import (
@@ -8,10 +8,9 @@
 	"sync/atomic"
 )
 
-// Ports lie below the range that the kernel gives to listeners without a port
-// and to outgoing connections. From that range another one would now and then
-// get the port between its choice here and its use, and what was to listen on it
-// would not start.
+// The ports lie below the kernel's ephemeral range, which it uses for outgoing connections and for
+// listeners without a fixed port. A port from that range could be assigned to another process between
+// its choice here and its use, and the listener would fail to start.
 const (
 	firstPort = 20000
 	lastPort  = 31999
@@ -19,21 +18,21 @@
 
 var nextPort atomic.Int32
 
-// Processes that run beside each other begin at different ports.
+// Concurrent test processes start at different ports.
 func init() { nextPort.Store(int32(firstPort + os.Getpid()%(lastPort-firstPort))) }
 
-// FreeAddress returns a loopback address that nobody uses, over TCP or UDP.
+// FreeAddress returns a loopback address whose port is free for both TCP and UDP.
 func FreeAddress() string {
 	for {
 		port := firstPort + (int(nextPort.Add(1))-firstPort)%(lastPort-firstPort)
 		addr := net.JoinHostPort("127.0.0.1", fmt.Sprint(port))
-		if free(addr) {
+		if isFree(addr) {
 			return addr
 		}
 	}
 }
 
-func free(addr string) bool {
+func isFree(addr string) bool {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
--- a/internal/standin/oracle/oracle.go
+++ b/internal/standin/oracle/oracle.go
@@ -1,6 +1,5 @@
-// Package oracle computes what the stand-ins answer. An answer depends on
-// nothing but the request, so that a caller can check every byte, and a
-// resumed stream has to equal the unbroken one.
+// Package oracle computes the answers of the fake engines and services. An answer depends only on the
+// request, so that a caller can check every byte, and a resumed stream must equal an uninterrupted one.
 package oracle
 
 import (
@@ -11,16 +10,16 @@
 )
 
 const (
-	minLetters = 2
+	minLetters = 2 // letters of a word
 	maxLetters = 7
 )
 
-// Completion is the answer to one generate request.
+// Completion is the full answer to one generate request.
 type Completion struct {
 	base uint64
 }
 
-// New returns the completion that the request must produce.
+// New returns the expected completion of a request.
 func New(model, version, adapter string, prompt []byte, seed uint64) Completion {
 	d := xxhash.New()
 	for _, s := range []string{model, version, adapter} {
@@ -34,7 +33,7 @@
 	return Completion{base: d.Sum64()}
 }
 
-// Token returns the text of the token at position pos: a word and a space.
+// Token returns the text of the token at position pos: a word followed by a space.
 func (c Completion) Token(pos int) []byte {
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:8], c.base)
@@ -50,7 +49,7 @@
 	return append(word, ' ')
 }
 
-// Text returns the tokens from position from up to, not including, to.
+// Text returns the text of the tokens from position from up to but not including to.
 func (c Completion) Text(from, to int) []byte {
 	var text []byte
 	for pos := from; pos < to; pos++ {
@@ -59,7 +58,7 @@
 	return text
 }
 
-// Answer returns the body with which a plain service answers a call.
+// Answer returns the response body of a plain service to a call.
 func Answer(operation string, body []byte) []byte {
 	d := xxhash.New()
 	_, _ = d.WriteString(operation)
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,6 +1,5 @@
-// Package relay is a TCP proxy on the loopback through which tests harm the
-// connections between processes: it delays them, resets them, silences them or
-// cuts one direction.
+// Package relay is a TCP proxy on the loopback interface that injects network faults between processes
+// in tests. It delays data, resets connections, and blocks one or both directions.
 package relay
 
 import (
@@ -14,23 +13,23 @@
 // Direction of the bytes through a relay.
 type Direction int
 
-// The directions.
+// Directions, seen from the process that connects.
 const (
-	ToTarget Direction = iota // to the target
-	FromTarget                   // from the target
+	ToTarget   Direction = iota // to the target
+	FromTarget                  // from the target
 	directions
 )
 
-// Relay passes TCP connections on to a target.
+// Relay forwards TCP connections to a target.
 type Relay struct {
 	addr   string
 	target string
 	ln     net.Listener
 
-	mu    sync.Mutex
-	heal  [directions]chan struct{} // closed when the direction isn't cut
-	delay time.Duration
-	conns map[net.Conn]bool
+	mu        sync.Mutex
+	unblocked [directions]chan struct{} // closed while the direction isn't blocked
+	delay     time.Duration
+	conns     map[net.Conn]bool
 }
 
 // New starts a relay to target on a free port.
@@ -41,8 +40,8 @@
 	}
 	r := &Relay{addr: ln.Addr().String(), target: target, ln: ln, conns: map[net.Conn]bool{}}
 	for d := range directions {
-		r.heal[d] = make(chan struct{})
-		close(r.heal[d])
+		r.unblocked[d] = make(chan struct{})
+		close(r.unblocked[d])
 	}
 	go r.accept()
 	return r, nil
@@ -64,8 +63,8 @@
 func (r *Relay) serve(in net.Conn) {
 	defer func() { _ = in.Close() }()
 	r.track(in)
-	defer r.forget(in)
-	<-r.healed(ToTarget)
+	defer r.untrack(in)
+	<-r.unblockedChan(ToTarget)
 	out, err := net.Dial("tcp", r.target)
 	if err != nil {
 		closeWrite(in, err)
@@ -73,7 +72,7 @@
 	}
 	defer func() { _ = out.Close() }()
 	r.track(out)
-	defer r.forget(out)
+	defer r.untrack(out)
 	done := make(chan struct{}, 2)
 	go func() { r.pipe(out, in, ToTarget); done <- struct{}{} }()
 	go func() { r.pipe(in, out, FromTarget); done <- struct{}{} }()
@@ -82,12 +81,12 @@
 }
 
 func (r *Relay) pipe(dst, src net.Conn, d Direction) {
-	const chunk = 32 << 10
-	buf := make([]byte, chunk)
+	const chunkBytes = 32 << 10
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := src.Read(buf)
-		<-r.healed(d)
-		r.wait()
+		<-r.unblockedChan(d)
+		r.sleepDelay()
 		if n > 0 {
 			if _, werr := dst.Write(buf[:n]); werr != nil {
 				_ = src.Close()
@@ -101,7 +100,7 @@
 	}
 }
 
-// closeWrite passes an end on as an end and a reset as a reset.
+// closeWrite forwards an end of stream as an end of stream, and any other error as a reset.
 func closeWrite(dst net.Conn, err error) {
 	tcp, ok := dst.(*net.TCPConn)
 	if errors.Is(err, io.EOF) && ok {
@@ -120,57 +119,57 @@
 	r.conns[c] = true
 }
 
-func (r *Relay) forget(c net.Conn) {
+func (r *Relay) untrack(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, c)
 }
 
-func (r *Relay) healed(d Direction) <-chan struct{} {
+func (r *Relay) unblockedChan(d Direction) <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.heal[d]
+	return r.unblocked[d]
 }
 
-func (r *Relay) wait() {
+func (r *Relay) sleepDelay() {
 	r.mu.Lock()
 	d := r.delay
 	r.mu.Unlock()
 	time.Sleep(d)
 }
 
-// Block silences both directions, as a network that drops packets does: the relay
-// accepts and nothing arrives; established connections freeze. false heals it.
-func (r *Relay) Block(cut bool) {
+// Block blocks both directions, as a network that drops packets does: the relay accepts connections but
+// forwards nothing, and established connections stall. false unblocks them.
+func (r *Relay) Block(block bool) {
 	for d := range directions {
-		r.BlockDirection(d, cut)
+		r.BlockDirection(d, block)
 	}
 }
 
-// BlockDirection silences one direction.
-func (r *Relay) BlockDirection(d Direction, cut bool) {
+// BlockDirection blocks or unblocks one direction.
+func (r *Relay) BlockDirection(d Direction, block bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
-	case <-r.heal[d]:
-		if cut {
-			r.heal[d] = make(chan struct{})
+	case <-r.unblocked[d]:
+		if block {
+			r.unblocked[d] = make(chan struct{})
 		}
 	default:
-		if !cut {
-			close(r.heal[d])
+		if !block {
+			close(r.unblocked[d])
 		}
 	}
 }
 
-// SetDelay holds all that arrives back for d.
+// SetDelay delays each chunk of data by d, in both directions.
 func (r *Relay) SetDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// ResetConnections resets the established connections; new ones work.
+// ResetConnections resets the established connections. New ones are not affected.
 func (r *Relay) ResetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -182,7 +181,7 @@
 	}
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	r.Block(false)
 	_ = r.ln.Close()
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is the stand-in for one endpoint of a plain service. It
-// counts what it executes, so that a test sees a call that ran twice.
+// Package service is a fake of one endpoint of a plain service, for tests and the demo. It counts the
+// executions of each idempotency key, so that a test detects a call that ran twice.
 package service
 
 import (
@@ -15,56 +15,56 @@
 	"fescuestand/internal/standin/oracle"
 )
 
-// Names of the faults.
+// Names of the faults that POST /fault injects.
 const (
 	FaultLostAnswer = "lost-answer" // executes, then closes the connection
 	FaultLate       = "late"        // executes, then answers after Delay
 	FaultCrossed    = "crossed"     // answers with the attempt id and body of another call
 	FaultFail       = "fail"        // executes, then answers 500
 	FaultRefuse     = "refuse"      // answers 503 without executing
-	FaultSlow       = "slow"        // takes Factor times the service time
+	FaultSlow       = "slow"        // multiplies the service time by Factor
 )
 
 const (
 	defaultServiceTime = 5 * time.Millisecond
 	defaultWorkers     = 16
-	maxBody            = 16 << 20
+	maxBodyBytes       = 16 << 20
 	outOfService       = "out-of-service"
 )
 
-// Config sets up a Service. Zero fields take defaults.
+// Config configures a Service. Zero fields take defaults.
 type Config struct {
-	Operations  []string // none: takes every operation
+	Operations  []string // if empty, every operation is accepted
 	ServiceTime time.Duration
-	Workers     int // calls executed at once; the others queue
-	ReportLag   time.Duration
+	Workers     int           // calls executed concurrently; further calls are queued
+	ReportLag   time.Duration // age of load reports
 }
 
-// Execution tells how often a key was executed and by which attempts.
+// Execution records how often a key was executed, and by which attempts.
 type Execution struct {
 	Operation string   `json:"operation"`
 	Count     int      `json:"count"`
 	Attempts  []string `json:"attempts"`
 }
 
-// Executions is the answer to GET /executions.
+// Executions is the response body of GET /executions.
 type Executions struct {
 	Keys      map[string]*Execution `json:"keys"`      // calls with a key
-	Unkeyed   map[string]int        `json:"unkeyed"`   // other calls by operation
+	Unkeyed   map[string]int        `json:"unkeyed"`   // calls without a key, by operation
 	Duplicate int                   `json:"duplicate"` // keys executed more than once
 }
 
-// Service is one endpoint.
+// Service is one fake endpoint.
 type Service struct {
-	cfg     Config
-	faults  *httpjson.Faults
-	workers chan struct{}
-	mu      sync.Mutex
-	done    Executions
-	running int
-	queued  int
-	last    lastCall
-	reports []timedReport
+	cfg          Config
+	faults       *httpjson.Faults
+	workers      chan struct{}
+	mu           sync.Mutex
+	executed     Executions
+	running      int
+	queued       int
+	previousCall lastCall
+	reports      []timedReport
 }
 
 type lastCall struct {
@@ -85,9 +85,9 @@
 		cfg: cfg,
 		faults: httpjson.NewFaults(FaultLostAnswer, FaultLate, FaultCrossed, FaultFail,
 			FaultRefuse, FaultSlow),
-		workers: make(chan struct{}, cfg.Workers),
-		done:    Executions{Keys: map[string]*Execution{}, Unkeyed: map[string]int{}},
-		last:    lastCall{attempt: "another-attempt", answer: []byte("{}")},
+		workers:      make(chan struct{}, cfg.Workers),
+		executed:     Executions{Keys: map[string]*Execution{}, Unkeyed: map[string]int{}},
+		previousCall: lastCall{attempt: "another-attempt", answer: []byte("{}")},
 	}
 }
 
@@ -107,7 +107,7 @@
 		httpjson.Refuse(w, http.StatusNotFound, "unknown-operation", operation)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		httpjson.Refuse(w, http.StatusBadRequest, "bad-body", err.Error())
 		return
@@ -121,24 +121,24 @@
 	s.answer(w, attempt, oracle.Answer(operation, body))
 }
 
-// execute takes the service time and counts the execution. It goes on when
-// the caller has hung up, as a real endpoint would.
+// execute waits for the service time and counts the execution. Like a real endpoint, it continues when
+// the caller has disconnected.
 func (s *Service) execute(operation, key, attempt string) {
-	s.count(&s.queued, 1)
+	s.addTo(&s.queued, 1)
 	s.workers <- struct{}{}
-	s.count(&s.queued, -1)
-	s.count(&s.running, 1)
+	s.addTo(&s.queued, -1)
+	s.addTo(&s.running, 1)
 	took := s.cfg.ServiceTime
 	if f, on := s.faults.Consume(FaultSlow, ""); on {
 		took = time.Duration(float64(took) * f.Factor)
 	}
 	time.Sleep(took)
 	s.record(operation, key, attempt)
-	s.count(&s.running, -1)
+	s.addTo(&s.running, -1)
 	<-s.workers
 }
 
-func (s *Service) count(n *int, by int) {
+func (s *Service) addTo(n *int, by int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*n += by
@@ -148,18 +148,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if key == "" {
-		s.done.Unkeyed[operation]++
+		s.executed.Unkeyed[operation]++
 		return
 	}
-	e, ok := s.done.Keys[key]
+	e, ok := s.executed.Keys[key]
 	if !ok {
 		e = &Execution{Operation: operation}
-		s.done.Keys[key] = e
+		s.executed.Keys[key] = e
 	}
 	e.Count++
 	e.Attempts = append(e.Attempts, attempt)
 	if e.Count == 2 {
-		s.done.Duplicate++
+		s.executed.Duplicate++
 	}
 }
 
@@ -175,8 +175,8 @@
 		time.Sleep(f.Delay.D())
 	}
 	s.mu.Lock()
-	other := s.last
-	s.last = lastCall{attempt: attempt, answer: body}
+	other := s.previousCall
+	s.previousCall = lastCall{attempt: attempt, answer: body}
 	s.mu.Unlock()
 	if _, on := s.faults.Consume(FaultCrossed, ""); on {
 		attempt, body = other.attempt, other.answer
@@ -189,10 +189,10 @@
 func (s *Service) executions(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	httpjson.Write(w, s.done)
+	httpjson.Write(w, s.executed)
 }
 
-// report answers with the figures as they were a lag ago.
+// report answers with the load as it was ReportLag ago, since a real endpoint's report is delayed too.
 func (s *Service) report(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -26,7 +26,7 @@
 	return s, d
 }
 
-func TestFaultsSayWhatTheyProveAndExecutionsCount(t *testing.T) {
+func TestFaultErrorsMatchExecutionCounts(t *testing.T) {
 	tests := []struct {
 		fault string
 		want  error
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestADoubleRunShows(t *testing.T) {
+func TestDuplicateExecutionIsCounted(t *testing.T) {
 	s, d := start(t)
 	for _, attempt := range []string{"a1", "a2"} {
 		_, err := d.Call(t.Context(), &driver.Call{Attempt: attempt, Operation: "commit", Key: "k"})
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,4 +1,4 @@
-// Package vmlist is the stand-in for the platform's VM list.
+// Package vmlist is a fake of the platform's VM list for tests and the demo.
 package vmlist
 
 import (
@@ -14,7 +14,7 @@
 // FaultOutage makes the list answer 503.
 const FaultOutage = "outage"
 
-// List is the VM list. Readers see a change after the lag only.
+// List is the fake VM list. A change becomes visible to readers after a lag, as on a real platform.
 type List struct {
 	lag     time.Duration
 	faults  *httpjson.Faults
@@ -23,11 +23,11 @@
 }
 
 type change struct {
-	at  time.Time
+	at  time.Time // when it becomes visible
 	vms []httpapi.VM
 }
 
-// New returns a list that shows vms at once and later changes after lag.
+// New returns a list in which vms are visible immediately, and later changes after lag.
 func New(vms []httpapi.VM, lag time.Duration) *List {
 	return &List{lag: lag, faults: httpjson.NewFaults(FaultOutage), changes: []change{{vms: slices.Clone(vms)}}}
 }
@@ -60,7 +60,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// visible returns the newest list whose lag is over and forgets older ones.
+// visible returns the newest list whose lag has passed, and discards older ones.
 func (l *List) visible(now time.Time) []httpapi.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/vmlist/vmlist_test.go
+++ b/internal/standin/vmlist/vmlist_test.go
@@ -14,7 +14,7 @@
 	"fescuestand/internal/driver/httpdriver/httpapi"
 )
 
-func TestAChangeShowsAfterTheLag(t *testing.T) {
+func TestChangeIsVisibleAfterLag(t *testing.T) {
 	s := httptest.NewServer(New([]httpapi.VM{{Name: "vm-1"}}, 100*time.Millisecond).Handler())
 	defer s.Close()
 	open, err := driver.VMLists.Get(httpdriver.Name)
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,4 +1,4 @@
-// Package weights is the stand-in for the rate-limited weight store.
+// Package weights is a fake of the rate-limited weight store, for tests and the demo.
 package weights
 
 import (
@@ -14,28 +14,28 @@
 // FaultOutage makes the store answer 503.
 const FaultOutage = "outage"
 
-// chunk is how much one fetch takes from the shared rate at a time, so that
-// fetches at the same time share it evenly.
-const chunk = 1 << 20
+// chunkBytes is how much one fetch takes from the shared rate limit at a time, so that concurrent
+// fetches share it evenly.
+const chunkBytes = 1 << 20
 
-// Store is the weight store. It sends no weights: a fetch only takes the time
-// that the bytes would take.
+// Store is the fake weight store. It sends no weights: a fetch only takes as long as the transfer of the
+// bytes would.
 type Store struct {
-	size   int64
-	sizes  map[string]int64 // by model/version
-	rate   int64
+	size   int64            // bytes of a model version that is not in sizes
+	sizes  map[string]int64 // bytes by model/version
+	rate   int64            // bytes per second
 	limit  *rate.Limiter
 	faults *httpjson.Faults
 }
 
-// New returns a store with a total rate in bytes a second. A model version
-// that is not in sizes has the given size.
+// New returns a store with a total rate of bytesPerSecond over all fetches. A model version that is not
+// in sizes has the given size.
 func New(bytesPerSecond, size int64, sizes map[string]int64) *Store {
 	return &Store{
 		size:   size,
 		sizes:  sizes,
 		rate:   bytesPerSecond,
-		limit:  rate.NewLimiter(rate.Limit(bytesPerSecond), chunk),
+		limit:  rate.NewLimiter(rate.Limit(bytesPerSecond), chunkBytes),
 		faults: httpjson.NewFaults(FaultOutage),
 	}
 }
@@ -58,7 +58,7 @@
 	return s.size
 }
 
-func (s *Store) up(w http.ResponseWriter) bool {
+func (s *Store) available(w http.ResponseWriter) bool {
 	if _, on := s.faults.Consume(FaultOutage, ""); on {
 		httpjson.Refuse(w, http.StatusServiceUnavailable, FaultOutage, "the weight store is down")
 		return false
@@ -67,24 +67,24 @@
 }
 
 func (s *Store) serveSize(w http.ResponseWriter, r *http.Request) {
-	if s.up(w) {
+	if s.available(w) {
 		httpjson.Write(w, httpapi.Size{Bytes: s.sizeOf(r)})
 	}
 }
 
 func (s *Store) serveRate(w http.ResponseWriter, _ *http.Request) {
-	if s.up(w) {
+	if s.available(w) {
 		httpjson.Write(w, httpapi.Rate{BytesPerSecond: s.rate})
 	}
 }
 
 func (s *Store) fetch(w http.ResponseWriter, r *http.Request) {
-	if !s.up(w) {
+	if !s.available(w) {
 		return
 	}
 	start := time.Now()
-	for left := s.sizeOf(r); left > 0; left -= chunk {
-		if err := s.limit.WaitN(r.Context(), int(min(left, chunk))); err != nil {
+	for left := s.sizeOf(r); left > 0; left -= chunkBytes {
+		if err := s.limit.WaitN(r.Context(), int(min(left, chunkBytes))); err != nil {
 			httpjson.Abort()
 		}
 	}
--- a/internal/standin/weights/weights_test.go
+++ b/internal/standin/weights/weights_test.go
@@ -14,7 +14,7 @@
 	const size = 4 << 20
 	s := httptest.NewServer(New(40<<20, size, nil).Handler())
 	defer s.Close()
-	begun := time.Now()
+	startedAt := time.Now()
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Go(func() {
@@ -25,5 +25,5 @@
 	}
 	wg.Wait()
 	// 8 MiB at 40 MiB/s take 200 ms, less the burst of 1 MiB.
-	assert.Assert(t, time.Since(begun) >= 170*time.Millisecond)
+	assert.Assert(t, time.Since(startedAt) >= 170*time.Millisecond)
 }
