--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -1,5 +1,5 @@
-// Package logservice is the stand-in for the platform's append-only log. It
-// keeps everything in memory: a restart loses every record.
+// Package logservice is a fake of the platform's append-only log for tests and the demo. It keeps the
+// records in memory only: a restart loses all of them.
 package logservice
 
 import (
@@ -16,11 +16,11 @@
 	"fescuestand/internal/standin/httpjson"
 )
 
-// Names of the faults.
+// Names of the faults that POST /fault injects.
 const (
-	FaultOutage     = "outage"      // answers 503, nothing is appended
-	FaultCut        = "cut"         // closes connections unanswered, nothing is appended
-	FaultSlow       = "slow"        // waits Delay before the work
+	FaultOutage     = "outage"      // answers 503 without appending
+	FaultCut        = "cut"         // closes connections unanswered, without appending
+	FaultSlow       = "slow"        // waits Delay before processing a request
 	FaultLostAnswer = "lost-answer" // appends, then closes the connection
 	FaultLateAppend = "late-append" // closes the connection, appends after Delay
 	FaultStaleRead  = "stale-read"  // hides the newest Factor records from readers
@@ -30,21 +30,21 @@
 	defaultAppendsPerSecond = 400
 	defaultKeepRecords      = 1_000_000
 	defaultKeepTime         = time.Hour
-	defaultPage             = 1000
-	defaultMaxRecord        = 1 << 20
-	burstShare              = 4 // burst is this fraction of a second's appends
+	defaultPage             = 1000    // records
+	defaultMaxRecord        = 1 << 20 // bytes
+	burstShare              = 4       // the burst is 1/burstShare of the appends per second
 	maxWait                 = time.Minute
 )
 
-// Config sets up a Service. Zero fields take defaults.
+// Config configures a Service. Zero fields take defaults.
 type Config struct {
 	AppendsPerSecond float64
-	KeepRecords      int
-	KeepTime         time.Duration
-	MaxRecord        int
+	MaxRecords       int
+	Retention        time.Duration
+	MaxRecordBytes   int
 }
 
-// Service is the log service.
+// Service is the fake log service.
 type Service struct {
 	cfg     Config
 	limit   *rate.Limiter
@@ -53,12 +53,12 @@
 	streams map[string]*stream
 }
 
-// New returns an empty log.
+// New returns a service with empty streams.
 func New(cfg Config) *Service {
 	cfg.AppendsPerSecond = cmp.Or(cfg.AppendsPerSecond, defaultAppendsPerSecond)
-	cfg.KeepRecords = cmp.Or(cfg.KeepRecords, defaultKeepRecords)
-	cfg.KeepTime = cmp.Or(cfg.KeepTime, defaultKeepTime)
-	cfg.MaxRecord = cmp.Or(cfg.MaxRecord, defaultMaxRecord)
+	cfg.MaxRecords = cmp.Or(cfg.MaxRecords, defaultKeepRecords)
+	cfg.Retention = cmp.Or(cfg.Retention, defaultKeepTime)
+	cfg.MaxRecordBytes = cmp.Or(cfg.MaxRecordBytes, defaultMaxRecord)
 	burst := max(1, int(cfg.AppendsPerSecond)/burstShare)
 	return &Service{
 		cfg:   cfg,
@@ -83,23 +83,24 @@
 	defer s.mu.Unlock()
 	st, ok := s.streams[name]
 	if !ok {
-		st = newStream(s.cfg.KeepRecords, s.cfg.KeepTime)
+		st = newStream(s.cfg.MaxRecords, s.cfg.Retention)
 		s.streams[name] = st
 	}
 	return st
 }
 
-// reachable applies the faults that stop a request before any work.
+// reachable applies the faults that take effect before a request is processed. It returns false if it
+// has answered.
 func (s *Service) reachable(w http.ResponseWriter, r *http.Request) bool {
 	client := r.Header.Get(httpapi.HeaderClient)
-	if _, on := s.faults.Take(FaultCut, client); on {
-		httpjson.Cut()
+	if _, on := s.faults.Consume(FaultCut, client); on {
+		httpjson.Abort()
 	}
-	if _, on := s.faults.Take(FaultOutage, client); on {
+	if _, on := s.faults.Consume(FaultOutage, client); on {
 		httpjson.Refuse(w, http.StatusServiceUnavailable, FaultOutage, "the log service is down")
 		return false
 	}
-	if f, on := s.faults.Take(FaultSlow, client); on {
+	if f, on := s.faults.Consume(FaultSlow, client); on {
 		time.Sleep(f.Delay.D())
 	}
 	return true
@@ -109,7 +110,7 @@
 	if !s.reachable(w, r) {
 		return
 	}
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(s.cfg.MaxRecord)))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(s.cfg.MaxRecordBytes)))
 	if err != nil {
 		httpjson.Refuse(w, http.StatusRequestEntityTooLarge, "bad-record", err.Error())
 		return
@@ -119,13 +120,13 @@
 		return
 	}
 	st, client := s.stream(r.PathValue("stream")), r.Header.Get(httpapi.HeaderClient)
-	if f, on := s.faults.Take(FaultLateAppend, client); on {
+	if f, on := s.faults.Consume(FaultLateAppend, client); on {
 		time.AfterFunc(f.Delay.D(), func() { st.append(data) })
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	offset := st.append(data)
-	if _, on := s.faults.Take(FaultLostAnswer, client); on {
-		httpjson.Cut()
+	if _, on := s.faults.Consume(FaultLostAnswer, client); on {
+		httpjson.Abort()
 	}
 	httpjson.Write(w, httpapi.Appended{Offset: offset})
 }
@@ -144,7 +145,7 @@
 	waitMS, _ := strconv.Atoi(r.FormValue("wait_ms"))
 	wait := min(time.Duration(waitMS)*time.Millisecond, maxWait)
 	hide := uint64(0)
-	if f, on := s.faults.Take(FaultStaleRead, r.Header.Get(httpapi.HeaderClient)); on {
+	if f, on := s.faults.Consume(FaultStaleRead, r.Header.Get(httpapi.HeaderClient)); on {
 		hide = uint64(max(1, f.Factor))
 		wait = 0
 	}
@@ -155,9 +156,9 @@
 		})
 		return
 	}
-	// A partition that began during the wait loses the answer too.
-	if _, on := s.faults.Take(FaultCut, r.Header.Get(httpapi.HeaderClient)); on {
-		httpjson.Cut()
+	// A partition that starts during the wait loses the answer too.
+	if _, on := s.faults.Consume(FaultCut, r.Header.Get(httpapi.HeaderClient)); on {
+		httpjson.Abort()
 	}
 	httpjson.Write(w, page)
 }
--- a/scenarios/soak_faults_test.go
+++ b/scenarios/soak_faults_test.go
@@ -136,15 +136,15 @@
 	const delay = 300 * time.Millisecond
 	switch kind {
 	case 0:
-		r.Cut(true)
+		r.Block(true)
 	case 1:
-		r.CutOneWay(relay.Back, true)
+		r.BlockDirection(relay.FromTarget, true)
 	case 2:
-		r.Delay(delay)
+		r.SetDelay(delay)
 	default:
-		r.Reset()
+		r.ResetConnections()
 	}
-	return func() { r.Cut(false); r.Delay(0) }
+	return func() { r.Block(false); r.SetDelay(0) }
 }
 
 func (s *soak) vm() *soakVM { return s.vms[s.rng.IntN(len(s.vms))] }
