--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -181,7 +181,7 @@
 	})
 	n := &entryNode{addr: vm.Caller, signals: make(chan os.Signal, 2), done: make(chan error, 1)}
 	n.unit = New(Options{Settings: s, Incarnation: incarnation, Replica: r, Log: client, Peers: peers, Clock: clock.Boot{}})
-	opt := kernel.Options{LongestDrain: s.LongestDrain.D(), Signals: n.signals}
+	opt := kernel.Options{DrainTimeout: s.LongestDrain.D(), Signals: n.signals}
 	cl.entryWG.Go(func() {
 		n.done <- kernel.Run(cl.entryCtx, opt, r, n.unit)
 		_ = peers.Close()
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -61,8 +61,8 @@
 
 // Options of one process.
 type Options struct {
-	// LongestDrain bounds a drain. What is left then is logged and cut.
-	LongestDrain time.Duration
+	// DrainTimeout bounds a drain. What is left then is logged and cut.
+	DrainTimeout time.Duration
 	// Signals replaces SIGTERM and SIGINT in tests.
 	Signals <-chan os.Signal
 }
@@ -144,9 +144,9 @@
 	case <-ctx.Done():
 		return nil
 	case s := <-signals:
-		log.WithField("signal", s).WithField("longest_ms", opt.LongestDrain.Milliseconds()).Info("drain begins")
+		log.WithField("signal", s).WithField("longest_ms", opt.DrainTimeout.Milliseconds()).Info("drain begins")
 	}
-	drainCtx, cancel := context.WithTimeout(ctx, opt.LongestDrain)
+	drainCtx, cancel := context.WithTimeout(ctx, opt.DrainTimeout)
 	defer cancel()
 	go ignoreFurther(drainCtx, signals)
 	return drainAll(drainCtx, units)
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -56,7 +56,7 @@
 		signals <- syscall.SIGTERM
 		signals <- syscall.SIGTERM
 		u := &unit{name: "a", events: &events, drainFor: 5 * time.Second}
-		err := Run(t.Context(), Options{LongestDrain: time.Minute, Signals: signals}, u)
+		err := Run(t.Context(), Options{DrainTimeout: time.Minute, Signals: signals}, u)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, events, []string{"provision a", "drained a", "close a"})
 	})
@@ -68,7 +68,7 @@
 		signals := make(chan os.Signal, 1)
 		signals <- syscall.SIGTERM
 		u := &unit{name: "a", events: &events, drainFor: time.Hour}
-		err := Run(t.Context(), Options{LongestDrain: time.Second, Signals: signals}, u)
+		err := Run(t.Context(), Options{DrainTimeout: time.Second, Signals: signals}, u)
 		assert.ErrorIs(t, err, ErrDrainCut)
 		assert.DeepEqual(t, events, []string{"provision a", "close a"})
 	})
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -230,7 +230,7 @@
 }
 
 // KernelOptions returns the options of the kernel that runs the process's units.
-func (n *Node) KernelOptions() kernel.Options { return kernel.Options{LongestDrain: n.o.DrainTimeout} }
+func (n *Node) KernelOptions() kernel.Options { return kernel.Options{DrainTimeout: n.o.DrainTimeout} }
 
 // View returns the catalog's newest view.
 func (n *Node) View() *catalog.View { return n.catalog.View() }
