--- a/cmd/fescue-control/main.go
+++ b/cmd/fescue-control/main.go
@@ -37,7 +37,7 @@
 	})
 	report := func() status.Report { return reportOf(s, parts, unit) }
 	units := append(parts.Units(), unit, status.NewServer(s.Addresses.Status, report, nil))
-	return kernel.Options{DrainTimeout: s.LongestDrain.D()}, units, nil
+	return kernel.Options{DrainTimeout: s.DrainTimeout.D()}, units, nil
 }
 
 func reportOf(s *control.Settings, p *process.Parts, c *control.Control) status.Report {
--- a/cmd/fescue-entry/main.go
+++ b/cmd/fescue-entry/main.go
@@ -32,5 +32,5 @@
 	})
 	expvar.Publish("entry", expvar.Func(unit.Metrics))
 	units := append(parts.Units(), unit, status.NewServer(s.Addresses.Status, unit.Status, unit.Burn))
-	return kernel.Options{DrainTimeout: s.LongestDrain.D()}, units, nil
+	return kernel.Options{DrainTimeout: s.DrainTimeout.D()}, units, nil
 }
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -169,7 +169,7 @@
 	s.Deployment, s.VM, s.Zone = "d", vm.Name, vm.Zone
 	s.Addresses = node.Addresses{Caller: vm.Caller, Peer: vm.Peer, Status: vm.Status}
 	s.Log, s.VMList, s.WeightStore = target(cl.logAddr), target(cl.vmListAddr), target(cl.logAddr)
-	s.LongestDrain = settings.Duration(30 * time.Second)
+	s.DrainTimeout = settings.Duration(30 * time.Second)
 	incarnation := node.NewIncarnation()
 	client := cl.logClient(incarnation)
 	vms, err := s.OpenVMList()
@@ -181,7 +181,7 @@
 	})
 	n := &entryNode{addr: vm.Caller, signals: make(chan os.Signal, 2), done: make(chan error, 1)}
 	n.unit = New(Options{Settings: s, Incarnation: incarnation, Replica: r, Log: client, Peers: peers, Clock: clock.Boot{}})
-	opt := kernel.Options{DrainTimeout: s.LongestDrain.D(), Signals: n.signals}
+	opt := kernel.Options{DrainTimeout: s.DrainTimeout.D(), Signals: n.signals}
 	cl.entryWG.Go(func() {
 		n.done <- kernel.Run(cl.entryCtx, opt, r, n.unit)
 		_ = peers.Close()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,7 +24,7 @@
 	Streams      Streams           `json:"streams"`
 	VMList       driver.Target     `json:"vm_list"`
 	WeightStore  driver.Target     `json:"weight_store"`
-	LongestDrain settings.Duration `json:"longest_drain"`
+	DrainTimeout settings.Duration `json:"longest_drain"`
 	Cells        int               `json:"cells"`
 	Lease        Lease             `json:"lease"`
 	Gossip       Gossip            `json:"gossip"`
@@ -66,7 +66,7 @@
 func Defaults() Settings {
 	return Settings{
 		Streams:      Streams{Config: "config", Control: "control", Commits: "commits"},
-		LongestDrain: settings.Duration(2 * time.Minute),
+		DrainTimeout: settings.Duration(2 * time.Minute),
 		Cells:        1,
 		Lease: Lease{
 			TTL:       settings.Duration(6 * time.Second),
@@ -98,7 +98,7 @@
 }
 
 func (s *Settings) checkTimes(p *settings.Problems) {
-	positive(p, "longest_drain", s.LongestDrain)
+	positive(p, "longest_drain", s.DrainTimeout)
 	positive(p, "lease.ttl", s.Lease.TTL)
 	positive(p, "lease.renew", s.Lease.Renew)
 	positive(p, "lease.margin", s.Lease.Margin)
