--- a/internal/code/code.go
+++ b/internal/code/code.go
@@ -34,7 +34,7 @@
 type Info struct {
 	Name   string
 	Status int  // HTTP status towards callers
-	Again  bool // whether the same request may succeed later
+	Retryable  bool // whether the same request may succeed later
 	Text   string
 }
 
--- a/internal/entry/callerapi/refuse.go
+++ b/internal/entry/callerapi/refuse.go
@@ -33,7 +33,7 @@
 	switch {
 	case e.RetryAfter > 0:
 		r.RetryAfterMS = max(e.RetryAfter.Milliseconds(), 1)
-	case e.Code.Info().Again:
+	case e.Code.Info().Retryable:
 		r.RetryAfterMS = defaultRetryAfter.Milliseconds()
 	}
 	return r
--- a/internal/operator/codes.go
+++ b/internal/operator/codes.go
@@ -20,7 +20,7 @@
 	for _, c := range slices.Sorted(maps.Keys(all)) {
 		i := all[c]
 		again := "no"
-		if i.Again {
+		if i.Retryable {
 			again = "yes"
 		}
 		fmt.Fprintf(&b, "| %d | `%s` | %d | %s | %s |\n", int(c), i.Name, i.Status, again, i.Text)
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -132,7 +132,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case !a.Err.Code.Info().Again:
+	case !a.Err.Code.Info().Retryable:
 		p.stats.Final++
 		return Decision{Err: a.Err}
 	case a.Err.Run == code.Ran, a.Err.Run == code.Unknown && !a.Idempotent:
