--- a/internal/driver/httpdriver/httpapi/piece.go
+++ b/internal/driver/httpdriver/httpapi/piece.go
@@ -6,10 +6,10 @@
 	// TokenBytes is how many prompt bytes engines of this protocol count as
 	// one token.
 	TokenBytes = 4
-	// PieceTokens is how many tokens one piece of the prefix cache holds.
-	PieceTokens = 2000
+	// BlockTokens is how many tokens one piece of the prefix cache holds.
+	BlockTokens = 2000
 	// PieceBytes is the prompt length of one piece.
-	PieceBytes = TokenBytes * PieceTokens
+	PieceBytes = TokenBytes * BlockTokens
 )
 
 // Tokens returns the number of prompt tokens.
--- a/internal/driver/httpdriver/httpapi/piece_test.go
+++ b/internal/driver/httpdriver/httpapi/piece_test.go
@@ -14,7 +14,7 @@
 // again on engines that do not have them, if the two packages computed
 // different keys.
 func TestPiecesEqualThoseOfRouting(t *testing.T) {
-	prompt := bytes.Repeat([]byte("lot "), httpapi.PieceTokens*3+10)
+	prompt := bytes.Repeat([]byte("lot "), httpapi.BlockTokens*3+10)
 	want := route.Pieces(nil, "m", prompt, httpapi.PieceBytes)
 	assert.Equal(t, len(want), 3)
 	assert.DeepEqual(t, httpapi.Pieces("m", prompt), want)
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -113,7 +113,7 @@
 // start works out what is left to prefill after cache hits. A KV cache is
 // imported beside the batch's work if that is quicker than computing it.
 func (r *run) start(s *sequence, now time.Time) {
-	cached := r.cache.hits(s.pieces) * httpapi.PieceTokens
+	cached := r.cache.hits(s.pieces) * httpapi.BlockTokens
 	left := float64(s.promptTokens() - cached)
 	compute := left / r.cfg.PrefillRate
 	transfer := float64(kvBytes(s.req)) / float64(r.cfg.KVRate)
--- a/internal/standin/engine/batch_test.go
+++ b/internal/standin/engine/batch_test.go
@@ -72,7 +72,7 @@
 func TestCachedPiecesAreNotComputedAgain(t *testing.T) {
 	r := testRun(t, Config{CachePieces: 3})
 	now := time.Now()
-	prompt := 2*httpapi.PieceTokens + 10
+	prompt := 2*httpapi.BlockTokens + 10
 	r.put(t, prompt, 0, nil)
 	for r.cache.free() == 3 {
 		r.stepOnce(now)
