--- a/internal/driver/httpdriver/httpapi/piece.go
+++ b/internal/driver/httpdriver/httpapi/piece.go
@@ -8,8 +8,8 @@
 	TokenBytes = 4
 	// BlockTokens is how many tokens one piece of the prefix cache holds.
 	BlockTokens = 2000
-	// PieceBytes is the prompt length of one piece.
-	PieceBytes = TokenBytes * BlockTokens
+	// BlockBytes is the prompt length of one piece.
+	BlockBytes = TokenBytes * BlockTokens
 )
 
 // Tokens returns the number of prompt tokens.
@@ -24,12 +24,12 @@
 // and adapters of a model share keys, though no engine shares their KV cache:
 // events are a hint where to send, the engine alone knows what it can use.
 func Pieces(model string, prompt []byte) []uint64 {
-	keys := make([]uint64, 0, len(prompt)/PieceBytes)
+	keys := make([]uint64, 0, len(prompt)/BlockBytes)
 	h := xxhash.Sum64String(model)
-	for len(prompt) >= PieceBytes {
-		h = splitMix(h ^ xxhash.Sum64(prompt[:PieceBytes]))
+	for len(prompt) >= BlockBytes {
+		h = splitMix(h ^ xxhash.Sum64(prompt[:BlockBytes]))
 		keys = append(keys, h)
-		prompt = prompt[PieceBytes:]
+		prompt = prompt[BlockBytes:]
 	}
 	return keys
 }
--- a/internal/driver/httpdriver/httpapi/piece_test.go
+++ b/internal/driver/httpdriver/httpapi/piece_test.go
@@ -15,7 +15,7 @@
 // different keys.
 func TestPiecesEqualThoseOfRouting(t *testing.T) {
 	prompt := bytes.Repeat([]byte("lot "), httpapi.BlockTokens*3+10)
-	want := route.Pieces(nil, "m", prompt, httpapi.PieceBytes)
+	want := route.Pieces(nil, "m", prompt, httpapi.BlockBytes)
 	assert.Equal(t, len(want), 3)
 	assert.DeepEqual(t, httpapi.Pieces("m", prompt), want)
 }
--- a/internal/standin/caller/mix.go
+++ b/internal/standin/caller/mix.go
@@ -79,7 +79,7 @@
 
 // document returns the prefix that all long requests of a workspace share.
 func (c *Config) document(workspace string) string {
-	size := c.LongPieces * httpapi.PieceBytes
+	size := c.LongPieces * httpapi.BlockBytes
 	return words("manifest "+workspace, size/minWordBytes)[:size]
 }
 
