--- a/internal/driver/httpdriver/httpapi/piece.go
+++ b/internal/driver/httpdriver/httpapi/piece.go
@@ -17,13 +17,13 @@
 	return (len(prompt) + TokenBytes - 1) / TokenBytes
 }
 
-// Pieces returns the key of each whole piece of the prompt, in order, as cache
+// BlockKeys returns the key of each whole piece of the prompt, in order, as cache
 // events name it. The key of a piece covers the whole prefix up to the piece's
 // end: it is the mix of the key before it, or of the hash of the model's name,
 // with the hash of the piece. Package route computes the same keys. Versions
 // and adapters of a model share keys, though no engine shares their KV cache:
 // events are a hint where to send, the engine alone knows what it can use.
-func Pieces(model string, prompt []byte) []uint64 {
+func BlockKeys(model string, prompt []byte) []uint64 {
 	keys := make([]uint64, 0, len(prompt)/BlockBytes)
 	h := xxhash.Sum64String(model)
 	for len(prompt) >= BlockBytes {
--- a/internal/driver/httpdriver/httpapi/piece_test.go
+++ b/internal/driver/httpdriver/httpapi/piece_test.go
@@ -17,5 +17,5 @@
 	prompt := bytes.Repeat([]byte("lot "), httpapi.BlockTokens*3+10)
 	want := route.Pieces(nil, "m", prompt, httpapi.BlockBytes)
 	assert.Equal(t, len(want), 3)
-	assert.DeepEqual(t, httpapi.Pieces("m", prompt), want)
+	assert.DeepEqual(t, httpapi.BlockKeys("m", prompt), want)
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -20,7 +20,7 @@
 }
 
 func pieceKeys(req *httpapi.Generate) []pieceKey {
-	pieces := httpapi.Pieces(req.Model, req.Prompt)
+	pieces := httpapi.BlockKeys(req.Model, req.Prompt)
 	keys := make([]pieceKey, len(pieces))
 	for i, p := range pieces {
 		keys[i] = pieceKey{req.Version, req.Adapter, p}
