--- a/internal/commit/answers.go
+++ b/internal/commit/answers.go
@@ -123,7 +123,7 @@
 	if errors.Is(err, driver.ErrNotSent) || errors.Is(err, driver.ErrRefused) {
 		return true
 	}
-	return c.opts.disabled.cutIsUnknown && errors.Is(err, driver.ErrCut)
+	return c.opts.disabled.cutIsUnknown && errors.Is(err, driver.ErrConnectionLost)
 }
 
 // detachedContext returns a context with the deadline of ctx but without its cancellation.
--- a/internal/commit/fakes_test.go
+++ b/internal/commit/fakes_test.go
@@ -63,13 +63,13 @@
 		return 0, driver.ErrRefused
 	case occurs(l.answerLost):
 		l.add(writer, e)
-		return 0, driver.ErrCut
+		return 0, driver.ErrConnectionLost
 	case occurs(l.requestLost):
-		return 0, driver.ErrCut
+		return 0, driver.ErrConnectionLost
 	case occurs(l.delayed):
 		wait := time.Duration(rng.Int64N(int64(l.maxDelay)))
 		time.AfterFunc(wait, func() { l.add(writer, e) })
-		return 0, driver.ErrCut
+		return 0, driver.ErrConnectionLost
 	}
 	return l.add(writer, e), ctx.Err()
 }
@@ -160,13 +160,13 @@
 		return nil, driver.ErrRefused
 	case occurs(s.answerLost):
 		s.execute(ctx, c)
-		return nil, driver.ErrCut
+		return nil, driver.ErrConnectionLost
 	case occurs(s.requestLost):
-		return nil, driver.ErrCut
+		return nil, driver.ErrConnectionLost
 	case occurs(s.delayed):
 		wait := time.Duration(rng.Int64N(int64(s.maxDelay)))
 		time.AfterFunc(wait, func() { s.execute(ctx, c) })
-		return nil, driver.ErrCut
+		return nil, driver.ErrConnectionLost
 	case occurs(s.wrongAnswer):
 		s.execute(ctx, c)
 		return nil, driver.ErrBadAnswer
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -151,7 +151,7 @@
 		f.state = driver.EngineState{Incarnation: fmt.Sprint("crashed", f.restarts), Role: driver.RoleMixed}
 	}
 	if loseAnswer {
-		return driver.ErrCut
+		return driver.ErrConnectionLost
 	}
 	return nil
 }
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -19,9 +19,9 @@
 	ErrNotSent = errors.New("not sent")
 	// ErrRefused means that the endpoint answered that it did not run the work.
 	ErrRefused = errors.New("refused by endpoint")
-	// ErrCut means that the connection broke, or timed out, after bytes had
+	// ErrConnectionLost means that the connection broke, or timed out, after bytes had
 	// left: the work may or may not have run.
-	ErrCut = errors.New("connection cut after sending")
+	ErrConnectionLost = errors.New("connection cut after sending")
 	// ErrFailed means that the endpoint ran the work and answered an error.
 	ErrFailed = errors.New("endpoint failed")
 	// ErrStaleFence means that the engine refused an old fencing token.
--- a/internal/driver/httpdriver/client.go
+++ b/internal/driver/httpdriver/client.go
@@ -108,7 +108,7 @@
 
 func (c *client) classify(t *sendTracker, err error) error {
 	if t.sent() {
-		return fmt.Errorf("%w: %s: %w", driver.ErrCut, c.address, err)
+		return fmt.Errorf("%w: %s: %w", driver.ErrConnectionLost, c.address, err)
 	}
 	return fmt.Errorf("%w: %s: %w", driver.ErrNotSent, c.address, err)
 }
@@ -125,7 +125,7 @@
 	var f httpapi.Failure
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxFailureBody))
 	if err != nil {
-		return fmt.Errorf("%w: answer %s: %w", driver.ErrCut, resp.Status, err)
+		return fmt.Errorf("%w: answer %s: %w", driver.ErrConnectionLost, resp.Status, err)
 	}
 	if json.Unmarshal(b, &f) != nil || f.Name == "" {
 		return fmt.Errorf("%w: answer %s without a reason", driver.ErrBadAnswer, resp.Status)
@@ -147,7 +147,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", driver.ErrCut, err)
+		return nil, fmt.Errorf("%w: %w", driver.ErrConnectionLost, err)
 	}
 	return b, nil
 }
--- a/internal/driver/httpdriver/errors_test.go
+++ b/internal/driver/httpdriver/errors_test.go
@@ -109,7 +109,7 @@
 		_, err := d.Call(t.Context(), call)
 		assert.NilError(t, err)
 		_, err = d.Call(t.Context(), call)
-		assert.ErrorIs(t, err, driver.ErrCut)
+		assert.ErrorIs(t, err, driver.ErrConnectionLost)
 		assert.Equal(t, calls.Load(), int32(2))
 	}
 }
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err := openService(t, s.Listener.Addr().String()).Call(ctx, &driver.Call{Attempt: "a", Operation: "o"})
-	assert.ErrorIs(t, err, driver.ErrCut)
+	assert.ErrorIs(t, err, driver.ErrConnectionLost)
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
@@ -193,7 +193,7 @@
 		name, body string
 		want       error
 	}{
-		{"no end line", token, driver.ErrCut},
+		{"no end line", token, driver.ErrConnectionLost},
 		{"other attempt", token + `{"attempt":"a2","pos":1,"text":"eHg="}` + "\n", driver.ErrBadAnswer},
 		{"skips a position", token + `{"attempt":"a1","pos":2,"text":"eHg="}` + "\n", driver.ErrBadAnswer},
 		{"wrong checksum", token + `{"attempt":"a1","end":true,"tokens":1,"sum":1}` + "\n", driver.ErrBadAnswer},
--- a/internal/driver/httpdriver/order.go
+++ b/internal/driver/httpdriver/order.go
@@ -52,7 +52,7 @@
 		return fmt.Errorf("%w: permit: %w", driver.ErrNotSent, err)
 	}
 	if _, err := conn.Write(msg[last:]); err != nil {
-		return fmt.Errorf("%w: %w", driver.ErrCut, err)
+		return fmt.Errorf("%w: %w", driver.ErrConnectionLost, err)
 	}
 	return readOrderAnswer(conn)
 }
@@ -60,7 +60,7 @@
 func readOrderAnswer(conn net.Conn) error {
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return fmt.Errorf("%w: %w", driver.ErrCut, err)
+		return fmt.Errorf("%w: %w", driver.ErrConnectionLost, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusAccepted {
--- a/internal/driver/httpdriver/stream.go
+++ b/internal/driver/httpdriver/stream.go
@@ -58,7 +58,7 @@
 		if err == nil {
 			err = io.ErrUnexpectedEOF
 		}
-		return driver.Token{}, fmt.Errorf("%w: stream of attempt %s: %w", driver.ErrCut, s.attempt, err)
+		return driver.Token{}, fmt.Errorf("%w: stream of attempt %s: %w", driver.ErrConnectionLost, s.attempt, err)
 	}
 	var l httpapi.StreamLine
 	if err := json.Unmarshal(s.lines.Bytes(), &l); err != nil {
--- a/internal/entry/dispatch/attempt.go
+++ b/internal/entry/dispatch/attempt.go
@@ -34,7 +34,7 @@
 
 var (
 	errMoved       = errors.New("moved by a planned change")
-	errStall       = fmt.Errorf("%w: engine sends nothing", driver.ErrCut)
+	errStall       = fmt.Errorf("%w: engine sends nothing", driver.ErrConnectionLost)
 	errCallerWrite = errors.New("caller does not take the stream")
 	errQuarantined = errors.New("the request crashed the engines that ran it")
 )
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -98,7 +98,7 @@
 // connection breaks after two tokens; the stream must resume on another engine each time and be
 // complete in the end.
 func TestStreamResumesAfterRepeatedBreaks(t *testing.T) {
-	s := &script{open: func(int64, *driver.GenerateRequest) (error, error) { return driver.ErrCut, nil }}
+	s := &script{open: func(int64, *driver.GenerateRequest) (error, error) { return driver.ErrConnectionLost, nil }}
 	d := startDispatcher(t, s, 3, withBudget())
 	text, err := generate(d, 10, 10*time.Second)
 	assert.NilError(t, err)
@@ -142,7 +142,7 @@
 // attemptsOfFailingRequests returns the number of attempts that engines receive for requests that
 // all fail.
 func attemptsOfFailingRequests(t *testing.T, p *retry.Policy) int64 {
-	s := &script{open: func(int64, *driver.GenerateRequest) (error, error) { return nil, driver.ErrCut }}
+	s := &script{open: func(int64, *driver.GenerateRequest) (error, error) { return nil, driver.ErrConnectionLost }}
 	d := startDispatcher(t, s, 3, p)
 	var wg sync.WaitGroup
 	for range failingRequests {
@@ -167,7 +167,7 @@
 	}{
 		{"refused", nil, driver.ErrRefused, code.EndpointRefused, code.NotRun},
 		{"not sent", nil, driver.ErrNotSent, code.EndpointRefused, code.NotRun},
-		{"cut", nil, driver.ErrCut, code.EndpointCut, code.Unknown},
+		{"cut", nil, driver.ErrConnectionLost, code.EndpointCut, code.Unknown},
 		{"failed", nil, driver.ErrFailed, code.EndpointFailed, code.Ran},
 		{"silent", errHang, nil, code.DeadlineMissed, code.Ran},
 	}
@@ -194,7 +194,7 @@
 		}}
 	}
 	call := &callerapi.Call{Service: "svc", Operation: "op"}
-	s := failFirst(driver.ErrCut)
+	s := failFirst(driver.ErrConnectionLost)
 	d := startDispatcher(t, s, 2, withBudget())
 	body, err := d.Lookup(context.Background(), call)
 	assert.NilError(t, err)
@@ -208,7 +208,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, string(body), "ok")
 	}
-	for _, firstErr := range []error{driver.ErrCut, driver.ErrFailed, driver.ErrBadAnswer} {
+	for _, firstErr := range []error{driver.ErrConnectionLost, driver.ErrFailed, driver.ErrBadAnswer} {
 		s.attempts.Store(0)
 		s.call = failFirst(firstErr).call
 		_, err = d.Dispatch(context.Background(), &commit.Call{Service: "svc"}, permit)
--- a/internal/entry/dispatch/fakes_test.go
+++ b/internal/entry/dispatch/fakes_test.go
@@ -85,7 +85,7 @@
 	if s.end != nil && s.pos >= s.r.From+2 {
 		if errors.Is(s.end, errHang) {
 			<-s.ctx.Done()
-			return driver.Token{}, driver.ErrCut
+			return driver.Token{}, driver.ErrConnectionLost
 		}
 		return driver.Token{}, s.end
 	}
--- a/internal/entry/dispatch/isolate.go
+++ b/internal/entry/dispatch/isolate.go
@@ -107,7 +107,7 @@
 // and exchanges evidence with the other entries. The caller excludes the engine from further
 // attempts of this request.
 func (s *session) reportCrash(ctx context.Context, e *fleet.Engine, exposure *crashExposure, err error) {
-	if ctx.Err() != nil || !errors.Is(err, driver.ErrCut) || errors.Is(err, errStall) {
+	if ctx.Err() != nil || !errors.Is(err, driver.ErrConnectionLost) || errors.Is(err, errStall) {
 		return
 	}
 	if !s.hasCrashed(ctx, e, exposure.crash.Incarnation) {
--- a/internal/entry/stream/pump.go
+++ b/internal/entry/stream/pump.go
@@ -39,7 +39,7 @@
 		select {
 		case p.tokens <- t:
 		case <-p.stop:
-			p.err = driver.ErrCut
+			p.err = driver.ErrConnectionLost
 			return
 		}
 	}
--- a/internal/entry/stream/stream_test.go
+++ b/internal/entry/stream/stream_test.go
@@ -104,7 +104,7 @@
 func (e *endlessStream) Next() (driver.Token, error) {
 	select {
 	case <-e.closed:
-		return driver.Token{}, driver.ErrCut
+		return driver.Token{}, driver.ErrConnectionLost
 	default:
 	}
 	e.sent++
@@ -126,7 +126,7 @@
 	assert.Assert(t, e.sent <= maxBufferedTokens+3, "%d tokens were read ahead", e.sent)
 	for range p.Tokens() {
 	}
-	assert.ErrorIs(t, p.Err(), driver.ErrCut)
+	assert.ErrorIs(t, p.Err(), driver.ErrConnectionLost)
 }
 
 type finiteStream struct{ left int }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -136,7 +136,7 @@
 	if x.sent.n == 0 {
 		return nil, fmt.Errorf("%w: %w", driver.ErrNotSent, err)
 	}
-	return nil, fmt.Errorf("%w: %w", driver.ErrCut, err)
+	return nil, fmt.Errorf("%w: %w", driver.ErrConnectionLost, err)
 }
 
 // acquire returns an idle connection that is still reusable, or dials a new one.
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -151,7 +151,7 @@
 	_, err := do(t, p, e.addr, get("/"))
 	assert.NilError(t, err)
 	_, err = do(t, p, e.addr, get("/"))
-	assert.ErrorIs(t, err, driver.ErrCut)
+	assert.ErrorIs(t, err, driver.ErrConnectionLost)
 	assert.Equal(t, e.requests.Load(), int32(2))
 }
 
@@ -243,7 +243,7 @@
 
 	e := listen(t, func(e *endpoint, _ int, _ net.Conn, br *bufio.Reader) { e.read(br) })
 	_, err = do(t, NewPool(), e.addr, get("/"))
-	assert.ErrorIs(t, err, driver.ErrCut)
+	assert.ErrorIs(t, err, driver.ErrConnectionLost)
 }
 
 // A response without Content-Length or chunked encoding ends when the connection closes. Guards
@@ -296,7 +296,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	_, err := NewPool().Do(ctx, e.addr, get("/"))
-	assert.ErrorIs(t, err, driver.ErrCut)
+	assert.ErrorIs(t, err, driver.ErrConnectionLost)
 	<-closed
 }
 
@@ -389,5 +389,5 @@
 		answer(c, strings.Repeat("garbage ", 10)+"\r\n\r\n")
 	})
 	_, err := do(t, NewPool(), e.addr, get("/"))
-	assert.Assert(t, errors.Is(err, driver.ErrCut), "%v", err)
+	assert.Assert(t, errors.Is(err, driver.ErrConnectionLost), "%v", err)
 }
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -252,7 +252,7 @@
 	x.attempts = append(x.attempts, attemptTrace{e.ID, r.outcome.String()})
 	x.tried[e.ID] = true
 	x.g.o.Planner.End(x.now(), t, placementOutcome(&r))
-	if r.outcome == lost && !x.headerSent && errors.Is(r.err, driver.ErrCut) {
+	if r.outcome == lost && !x.headerSent && errors.Is(r.err, driver.ErrConnectionLost) {
 		x.g.o.OnCrash(x.call.Fingerprint, e.ID)
 	}
 }
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -33,7 +33,7 @@
 		runs  int
 	}{
 		{"", nil, 1},
-		{FaultLostAnswer, driver.ErrCut, 1},
+		{FaultLostAnswer, driver.ErrConnectionLost, 1},
 		{FaultCrossed, driver.ErrBadAnswer, 1},
 		{FaultFail, driver.ErrFailed, 1},
 		{FaultRefuse, driver.ErrRefused, 0},
