--- a/cmd/fescue-control/main.go
+++ b/cmd/fescue-control/main.go
@@ -33,7 +33,7 @@
 	unit := control.New(control.Options{
 		Replica: parts.Replica, Log: parts.Log, Peers: parts.Peers, Weights: weights, Clock: clock.Boot{},
 		Stream: s.Streams.Control, VM: s.VM, Incarnation: parts.Incarnation,
-		Lease: s.LeaseOptions(), RenewInterval: s.Lease.Renew.D(), ChangeTimeouts: s.ChangeTimeouts(),
+		Lease: s.LeaseOptions(), RenewInterval: s.Lease.RenewInterval.D(), ChangeTimeouts: s.ChangeTimeouts(),
 	})
 	report := func() status.Report { return reportOf(s, parts, unit) }
 	units := append(parts.Units(), unit, status.NewServer(s.Addresses.Status, report, nil))
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -56,7 +56,7 @@
 		TTL:        s.Lease.TTL.D(),
 		Margin:     s.Lease.Margin.D(),
 		MaxFlight:  s.Lease.MaxFlight.D(),
-		IdleWindow: maxMissedIdleRenewals * s.Lease.Renew.D(),
+		IdleWindow: maxMissedIdleRenewals * s.Lease.RenewInterval.D(),
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,7 +47,7 @@
 // Lease times of the authority over engines.
 type Lease struct {
 	TTL       settings.Duration `json:"ttl"`        // from the renewal that the log shows
-	Renew     settings.Duration `json:"renew"`      // between renewals
+	RenewInterval     settings.Duration `json:"renew"`      // between renewals
 	Margin    settings.Duration `json:"margin"`     // added by others for clock rate
 	MaxFlight settings.Duration `json:"max_flight"` // longest time an order may be on its way
 }
@@ -70,7 +70,7 @@
 		Cells:        1,
 		Lease: Lease{
 			TTL:       settings.Duration(6 * time.Second),
-			Renew:     settings.Duration(2 * time.Second),
+			RenewInterval:     settings.Duration(2 * time.Second),
 			Margin:    settings.Duration(time.Second),
 			MaxFlight: settings.Duration(2 * time.Second),
 		},
@@ -100,11 +100,11 @@
 func (s *Settings) checkTimes(p *settings.Problems) {
 	positive(p, "longest_drain", s.DrainTimeout)
 	positive(p, "lease.ttl", s.Lease.TTL)
-	positive(p, "lease.renew", s.Lease.Renew)
+	positive(p, "lease.renew", s.Lease.RenewInterval)
 	positive(p, "lease.margin", s.Lease.Margin)
 	positive(p, "lease.max_flight", s.Lease.MaxFlight)
 	positive(p, "gossip.every", s.Gossip.Every)
-	if s.Lease.Renew*2 > s.Lease.TTL {
+	if s.Lease.RenewInterval*2 > s.Lease.TTL {
 		p.Add("lease.renew", code.BadSettings, "is over half of lease.ttl; allowed: at most %s, so that one lost renewal does not lapse the lease", s.Lease.TTL.D()/2)
 	}
 	if s.Lease.MaxFlight >= s.Lease.TTL {
