--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -55,7 +55,7 @@
 	return lease.Options{
 		TTL:        s.Lease.TTL.D(),
 		Margin:     s.Lease.Margin.D(),
-		MaxFlight:  s.Lease.MaxFlight.D(),
+		MaxFlight:  s.Lease.MaxOrderDelay.D(),
 		IdleWindow: maxMissedIdleRenewals * s.Lease.RenewInterval.D(),
 	}
 }
@@ -63,7 +63,7 @@
 // ChangeTimeouts returns the timeouts of planned changes.
 func (s *Settings) ChangeTimeouts() reconcile.Timeouts {
 	return reconcile.Timeouts{
-		MaxFlight:    s.Lease.MaxFlight.D(),
+		MaxFlight:    s.Lease.MaxOrderDelay.D(),
 		MoveAfter:    s.Changes.MoveAfter.D(),
 		DrainTimeout: s.Changes.DrainTimeout.D(),
 		RetryDelay:   s.Changes.RetryDelay.D(),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,7 +49,7 @@
 	TTL       settings.Duration `json:"ttl"`        // from the renewal that the log shows
 	RenewInterval     settings.Duration `json:"renew"`      // between renewals
 	Margin    settings.Duration `json:"margin"`     // added by others for clock rate
-	MaxFlight settings.Duration `json:"max_flight"` // longest time an order may be on its way
+	MaxOrderDelay settings.Duration `json:"max_flight"` // longest time an order may be on its way
 }
 
 // Gossip times between peers.
@@ -72,7 +72,7 @@
 			TTL:       settings.Duration(6 * time.Second),
 			RenewInterval:     settings.Duration(2 * time.Second),
 			Margin:    settings.Duration(time.Second),
-			MaxFlight: settings.Duration(2 * time.Second),
+			MaxOrderDelay: settings.Duration(2 * time.Second),
 		},
 		Gossip: Gossip{
 			Every:   settings.Duration(500 * time.Millisecond),
@@ -102,13 +102,13 @@
 	positive(p, "lease.ttl", s.Lease.TTL)
 	positive(p, "lease.renew", s.Lease.RenewInterval)
 	positive(p, "lease.margin", s.Lease.Margin)
-	positive(p, "lease.max_flight", s.Lease.MaxFlight)
+	positive(p, "lease.max_flight", s.Lease.MaxOrderDelay)
 	positive(p, "gossip.every", s.Gossip.Every)
 	if s.Lease.RenewInterval*2 > s.Lease.TTL {
 		p.Add("lease.renew", code.BadSettings, "is over half of lease.ttl; allowed: at most %s, so that one lost renewal does not lapse the lease", s.Lease.TTL.D()/2)
 	}
-	if s.Lease.MaxFlight >= s.Lease.TTL {
-		p.Add("lease.max_flight", code.BadSettings, "is %s; allowed: less than lease.ttl", s.Lease.MaxFlight.D())
+	if s.Lease.MaxOrderDelay >= s.Lease.TTL {
+		p.Add("lease.max_flight", code.BadSettings, "is %s; allowed: less than lease.ttl", s.Lease.MaxOrderDelay.D())
 	}
 	if s.Gossip.Suspect <= s.Gossip.Every {
 		p.Add("gossip.suspect", code.BadSettings, "is %s; allowed: more than gossip.every", s.Gossip.Suspect.D())
