--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,7 +54,7 @@
 
 // Gossip times between peers.
 type Gossip struct {
-	Every   settings.Duration `json:"every"`
+	Interval   settings.Duration `json:"every"`
 	Suspect settings.Duration `json:"suspect"` // silence after which a peer is suspect
 	Gone    settings.Duration `json:"gone"`    // silence after which a peer is gone
 }
@@ -75,7 +75,7 @@
 			MaxOrderDelay: settings.Duration(2 * time.Second),
 		},
 		Gossip: Gossip{
-			Every:   settings.Duration(500 * time.Millisecond),
+			Interval:   settings.Duration(500 * time.Millisecond),
 			Suspect: settings.Duration(2 * time.Second),
 			Gone:    settings.Duration(10 * time.Second),
 		},
@@ -103,14 +103,14 @@
 	positive(p, "lease.renew", s.Lease.RenewInterval)
 	positive(p, "lease.margin", s.Lease.Margin)
 	positive(p, "lease.max_flight", s.Lease.MaxOrderDelay)
-	positive(p, "gossip.every", s.Gossip.Every)
+	positive(p, "gossip.every", s.Gossip.Interval)
 	if s.Lease.RenewInterval*2 > s.Lease.TTL {
 		p.Add("lease.renew", code.BadSettings, "is over half of lease.ttl; allowed: at most %s, so that one lost renewal does not lapse the lease", s.Lease.TTL.D()/2)
 	}
 	if s.Lease.MaxOrderDelay >= s.Lease.TTL {
 		p.Add("lease.max_flight", code.BadSettings, "is %s; allowed: less than lease.ttl", s.Lease.MaxOrderDelay.D())
 	}
-	if s.Gossip.Suspect <= s.Gossip.Every {
+	if s.Gossip.Suspect <= s.Gossip.Interval {
 		p.Add("gossip.suspect", code.BadSettings, "is %s; allowed: more than gossip.every", s.Gossip.Suspect.D())
 	}
 	if s.Gossip.Gone <= s.Gossip.Suspect {
