--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,7 +55,7 @@
 // Gossip times between peers.
 type Gossip struct {
 	Interval   settings.Duration `json:"every"`
-	Suspect settings.Duration `json:"suspect"` // silence after which a peer is suspect
+	SuspectTimeout settings.Duration `json:"suspect"` // silence after which a peer is suspect
 	Gone    settings.Duration `json:"gone"`    // silence after which a peer is gone
 }
 
@@ -76,7 +76,7 @@
 		},
 		Gossip: Gossip{
 			Interval:   settings.Duration(500 * time.Millisecond),
-			Suspect: settings.Duration(2 * time.Second),
+			SuspectTimeout: settings.Duration(2 * time.Second),
 			Gone:    settings.Duration(10 * time.Second),
 		},
 	}
@@ -110,10 +110,10 @@
 	if s.Lease.MaxOrderDelay >= s.Lease.TTL {
 		p.Add("lease.max_flight", code.BadSettings, "is %s; allowed: less than lease.ttl", s.Lease.MaxOrderDelay.D())
 	}
-	if s.Gossip.Suspect <= s.Gossip.Interval {
-		p.Add("gossip.suspect", code.BadSettings, "is %s; allowed: more than gossip.every", s.Gossip.Suspect.D())
+	if s.Gossip.SuspectTimeout <= s.Gossip.Interval {
+		p.Add("gossip.suspect", code.BadSettings, "is %s; allowed: more than gossip.every", s.Gossip.SuspectTimeout.D())
 	}
-	if s.Gossip.Gone <= s.Gossip.Suspect {
+	if s.Gossip.Gone <= s.Gossip.SuspectTimeout {
 		p.Add("gossip.gone", code.BadSettings, "is %s; allowed: more than gossip.suspect", s.Gossip.Gone.D())
 	}
 }
