--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -56,7 +56,7 @@
 type Gossip struct {
 	Interval   settings.Duration `json:"every"`
 	SuspectTimeout settings.Duration `json:"suspect"` // silence after which a peer is suspect
-	Gone    settings.Duration `json:"gone"`    // silence after which a peer is gone
+	GoneTimeout    settings.Duration `json:"gone"`    // silence after which a peer is gone
 }
 
 // Defaults returns settings with every optional key set. Grounds: a lease of
@@ -77,7 +77,7 @@
 		Gossip: Gossip{
 			Interval:   settings.Duration(500 * time.Millisecond),
 			SuspectTimeout: settings.Duration(2 * time.Second),
-			Gone:    settings.Duration(10 * time.Second),
+			GoneTimeout:    settings.Duration(10 * time.Second),
 		},
 	}
 }
@@ -113,8 +113,8 @@
 	if s.Gossip.SuspectTimeout <= s.Gossip.Interval {
 		p.Add("gossip.suspect", code.BadSettings, "is %s; allowed: more than gossip.every", s.Gossip.SuspectTimeout.D())
 	}
-	if s.Gossip.Gone <= s.Gossip.SuspectTimeout {
-		p.Add("gossip.gone", code.BadSettings, "is %s; allowed: more than gossip.suspect", s.Gossip.Gone.D())
+	if s.Gossip.GoneTimeout <= s.Gossip.SuspectTimeout {
+		p.Add("gossip.gone", code.BadSettings, "is %s; allowed: more than gossip.suspect", s.Gossip.GoneTimeout.D())
 	}
 }
 
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -37,7 +37,7 @@
 	p.Replica = replica.New(replica.Options{
 		Log: p.Log, VMs: vms, Peers: p.Peers, Clock: clock.Boot{}, Stream: s.Streams.Config,
 		VM: s.VM, Process: name, Incarnation: p.Incarnation,
-		Every: s.Gossip.Interval.D(), Suspect: s.Gossip.SuspectTimeout.D(), Gone: s.Gossip.Gone.D(),
+		Every: s.Gossip.Interval.D(), Suspect: s.Gossip.SuspectTimeout.D(), Gone: s.Gossip.GoneTimeout.D(),
 		Checkpoint: true,
 	})
 	return p, nil
