--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -121,7 +121,7 @@
 	QueuedTokens    int     // prompt tokens waiting for prefill
 	PrefillRate     float64 // tokens a second, measured by the engine
 	DecodeStep      time.Duration
-	CacheFree       int // free prefix cache pieces
+	FreeCacheBlocks       int // free prefix cache pieces
 	PrefillRequests int
 }
 
--- a/internal/driver/httpdriver/httpapi/httpapi.go
+++ b/internal/driver/httpdriver/httpapi/httpapi.go
@@ -107,7 +107,7 @@
 		QueuedTokens:    r.QueuedTokens,
 		PrefillRate:     r.PrefillRate,
 		DecodeStep:      time.Duration(r.DecodeStepUS) * time.Microsecond,
-		CacheFree:       r.CacheFree,
+		FreeCacheBlocks:       r.CacheFree,
 		PrefillRequests: r.PrefillRequests,
 	}
 }
