--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -169,7 +169,7 @@
 	MaxTokens int
 	Seed      uint64
 	From      int // first token position to send; >0 resumes
-	Prior     []byte
+	PriorOutput     []byte
 	Priority  int
 	KV        *KVHandle // imported before decoding, if set
 }
--- a/internal/driver/httpdriver/engine.go
+++ b/internal/driver/httpdriver/engine.go
@@ -91,7 +91,7 @@
 		MaxTokens: req.MaxTokens,
 		Seed:      req.Seed,
 		From:      req.From,
-		Prior:     req.Prior,
+		Prior:     req.PriorOutput,
 		Priority:  req.Priority,
 		KV:        req.KV,
 	}
