--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -168,7 +168,7 @@
 	Prompt    []byte
 	MaxTokens int
 	Seed      uint64
-	From      int // first token position to send; >0 resumes
+	FirstPosition      int // first token position to send; >0 resumes
 	PriorOutput     []byte
 	Priority  int
 	KV        *KVHandle // imported before decoding, if set
--- a/internal/driver/httpdriver/stream.go
+++ b/internal/driver/httpdriver/stream.go
@@ -32,7 +32,7 @@
 	lines.Buffer(nil, maxLine)
 	return &tokenStream{
 		attempt: req.Attempt,
-		next:    req.From,
+		next:    req.FirstPosition,
 		sum:     xxhash.New(),
 		body:    body,
 		lines:   lines,
--- a/internal/entry/dispatch/attempt.go
+++ b/internal/entry/dispatch/attempt.go
@@ -90,7 +90,7 @@
 		Attempt: s.dispatcher.newAttempt(),
 		Model:   s.req.Model, Version: s.req.Version, Adapter: s.req.Adapter,
 		Prompt: s.req.Prompt, MaxTokens: s.req.MaxTokens, Seed: s.req.Seed, Priority: s.priority,
-		From: s.assembler.Next(), PriorOutput: s.assembler.Text(), KV: s.movedKV,
+		FirstPosition: s.assembler.Next(), PriorOutput: s.assembler.Text(), KV: s.movedKV,
 	}
 	s.movedKV = nil
 	if decision.Prefill.Endpoint != nil && req.KV == nil {
@@ -251,7 +251,7 @@
 	defer release()
 	s.dispatcher.router.Sent(s.dispatcher.clk.Now(), dispatch)
 	prefillReq := *req
-	prefillReq.Attempt, prefillReq.MaxTokens, prefillReq.From, prefillReq.PriorOutput = s.dispatcher.newAttempt(), 0, 0, nil
+	prefillReq.Attempt, prefillReq.MaxTokens, prefillReq.FirstPosition, prefillReq.PriorOutput = s.dispatcher.newAttempt(), 0, 0, nil
 	exposure := &crashExposure{
 		crash: suspect.Crash{Endpoint: e.Name, Incarnation: e.Incarnation()}, began: s.dispatcher.clk.Now(),
 		verdict: s.dispatcher.suspects.Judge(s.dispatcher.clk.Now(), s.fingerprint),
--- a/internal/entry/dispatch/fakes_test.go
+++ b/internal/entry/dispatch/fakes_test.go
@@ -56,7 +56,7 @@
 		return nil, refuse
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	return &fakeStream{ctx: ctx, cancel: cancel, r: r, pos: r.From, end: end}, nil
+	return &fakeStream{ctx: ctx, cancel: cancel, r: r, pos: r.FirstPosition, end: end}, nil
 }
 
 func (e *fakeEngine) Export(context.Context, string) (driver.KVHandle, error) {
@@ -82,7 +82,7 @@
 	if s.pos >= s.r.MaxTokens {
 		return driver.Token{}, io.EOF
 	}
-	if s.end != nil && s.pos >= s.r.From+2 {
+	if s.end != nil && s.pos >= s.r.FirstPosition+2 {
 		if errors.Is(s.end, errHang) {
 			<-s.ctx.Done()
 			return driver.Token{}, driver.ErrConnectionLost
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -101,7 +101,7 @@
 	assert.ErrorIs(t, err, driver.ErrConnectionLost)
 	text = append(text, rest...)
 	resumed := ask("a2")
-	resumed.From, resumed.PriorOutput, resumed.KV = bytes.Count(text, []byte(" ")), text, &h
+	resumed.FirstPosition, resumed.PriorOutput, resumed.KV = bytes.Count(text, []byte(" ")), text, &h
 	s, err = second.Generate(t.Context(), resumed)
 	assert.NilError(t, err)
 	rest, err = collect(s, 21)
