--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -217,8 +217,8 @@
 	c    interface{ Close() error }
 }
 
-// Closing returns a unit that closes c and needs no other step.
-func Closing(name string, c interface{ Close() error }) Unit { return closing{name, c} }
+// CloserUnit returns a unit that closes c and needs no other step.
+func CloserUnit(name string, c interface{ Close() error }) Unit { return closing{name, c} }
 
 // Name implements Unit.
 func (c closing) Name() string { return c.name }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -45,7 +45,7 @@
 
 // Units returns the parts in the order in which the kernel takes them.
 func (p *Parts) Units() []kernel.Unit {
-	return []kernel.Unit{kernel.Closing("log", p.Log), kernel.Closing("peers", p.Peers), p.Replica}
+	return []kernel.Unit{kernel.CloserUnit("log", p.Log), kernel.CloserUnit("peers", p.Peers), p.Replica}
 }
 
 // Hello returns what a process says of itself to peers.
