--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -48,7 +48,7 @@
 // Validate implements settings.Validator.
 func (s *Settings) Validate(p *settings.Problems) {
 	s.Settings.Validate(p)
-	s.RequireServing(p)
+	s.CheckServingAddresses(p)
 	if commit.WindowFor(s.Commits.Retention.D()) <= 0 {
 		p.Add("commits.retention", code.BadSettings, "is %s; allowed: more than %s, or no commit could run",
 			s.Commits.Retention.D(), commit.MaxClockSkew+commit.RetentionMargin)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// RequireServing checks the addresses that only fescue-entry listens on.
-func (s *Settings) RequireServing(p *settings.Problems) {
+// CheckServingAddresses checks the addresses that only fescue-entry listens on.
+func (s *Settings) CheckServingAddresses(p *settings.Problems) {
 	CheckAddress(p, "addresses.caller", s.Addresses.Caller)
 	CheckAddress(p, "addresses.peer", s.Addresses.Peer)
 }
