--- a/internal/driver/httpdriver/engine.go
+++ b/internal/driver/httpdriver/engine.go
@@ -91,7 +91,7 @@
 		MaxTokens: req.MaxTokens,
 		Seed:      req.Seed,
 		From:      req.FirstPosition,
-		Prior:     req.PriorOutput,
+		PriorOutput:     req.PriorOutput,
 		Priority:  req.Priority,
 		KV:        req.KV,
 	}
--- a/internal/driver/httpdriver/httpapi/httpapi.go
+++ b/internal/driver/httpdriver/httpapi/httpapi.go
@@ -65,7 +65,7 @@
 	MaxTokens int              `json:"max_tokens"`
 	Seed      uint64           `json:"seed"`
 	From      int              `json:"from,omitempty"`
-	Prior     []byte           `json:"prior,omitempty"`
+	PriorOutput     []byte           `json:"prior,omitempty"`
 	Priority  int              `json:"priority,omitempty"`
 	KV        *driver.KVHandle `json:"kv,omitempty"`
 }
