--- a/internal/driver/httpdriver/engine.go
+++ b/internal/driver/httpdriver/engine.go
@@ -90,7 +90,7 @@
 		Prompt:    req.Prompt,
 		MaxTokens: req.MaxTokens,
 		Seed:      req.Seed,
-		From:      req.FirstPosition,
+		FirstPosition:      req.FirstPosition,
 		PriorOutput:     req.PriorOutput,
 		Priority:  req.Priority,
 		KV:        req.KV,
--- a/internal/driver/httpdriver/httpapi/httpapi.go
+++ b/internal/driver/httpdriver/httpapi/httpapi.go
@@ -64,7 +64,7 @@
 	Prompt    []byte           `json:"prompt"`
 	MaxTokens int              `json:"max_tokens"`
 	Seed      uint64           `json:"seed"`
-	From      int              `json:"from,omitempty"`
+	FirstPosition      int              `json:"from,omitempty"`
 	PriorOutput     []byte           `json:"prior,omitempty"`
 	Priority  int              `json:"priority,omitempty"`
 	KV        *driver.KVHandle `json:"kv,omitempty"`
--- a/internal/standin/engine/sequence.go
+++ b/internal/standin/engine/sequence.go
@@ -41,15 +41,15 @@
 		completion:  oracle.New(req.Model, req.Version, req.Adapter, req.Prompt, req.Seed),
 		prefillOnly: prefillOnly,
 		pieces:      pieceKeys(req),
-		pos:         req.From,
+		pos:         req.FirstPosition,
 		// Buffered for the whole answer: a slow reader must not stop the batch.
-		tokens: make(chan driver.Token, max(0, req.MaxTokens-req.From)+1),
+		tokens: make(chan driver.Token, max(0, req.MaxTokens-req.FirstPosition)+1),
 		done:   make(chan struct{}),
 	}
 }
 
 func (s *sequence) promptTokens() int {
-	return httpapi.Tokens(s.req.Prompt) + s.req.From
+	return httpapi.Tokens(s.req.Prompt) + s.req.FirstPosition
 }
 
 func (s *sequence) leave(o outcome) {
