--- a/internal/driver/httpdriver/httpapi/httpapi.go
+++ b/internal/driver/httpdriver/httpapi/httpapi.go
@@ -94,7 +94,7 @@
 	QueuedTokens    int     `json:"queued_tokens"`
 	PrefillRate     float64 `json:"prefill_rate"`
 	DecodeStepUS    int64   `json:"decode_step_us"`
-	CacheFree       int     `json:"cache_free"`
+	FreeCacheBlocks       int     `json:"cache_free"`
 	PrefillRequests int     `json:"prefill_requests"`
 }
 
@@ -107,7 +107,7 @@
 		QueuedTokens:    r.QueuedTokens,
 		PrefillRate:     r.PrefillRate,
 		DecodeStep:      time.Duration(r.DecodeStepUS) * time.Microsecond,
-		FreeCacheBlocks:       r.CacheFree,
+		FreeCacheBlocks:       r.FreeCacheBlocks,
 		PrefillRequests: r.PrefillRequests,
 	}
 }
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -95,7 +95,7 @@
 		Queued:       len(r.queue),
 		PrefillRate:  r.cfg.PrefillRate,
 		DecodeStepUS: r.step.Microseconds(),
-		CacheFree:    r.cache.free(),
+		FreeCacheBlocks:    r.cache.free(),
 	}
 	for _, s := range r.batch {
 		if s.prefillLeft > 0 {
