--- a/internal/driver/httpdriver/engine.go
+++ b/internal/driver/httpdriver/engine.go
@@ -29,7 +29,7 @@
 func (c *client) report(ctx context.Context) (driver.LoadReport, error) {
 	var r httpapi.Report
 	err := c.get(ctx, httpapi.PathReport, nil, &r)
-	return r.Driver(), err
+	return r.LoadReport(), err
 }
 
 // CacheEvents implements driver.Engine.
--- a/internal/driver/httpdriver/httpapi/httpapi.go
+++ b/internal/driver/httpdriver/httpapi/httpapi.go
@@ -98,8 +98,8 @@
 	PrefillRequests int     `json:"prefill_requests"`
 }
 
-// Driver returns r in the system's own type.
-func (r *Report) Driver() driver.LoadReport {
+// LoadReport returns r in the system's own type.
+func (r *Report) LoadReport() driver.LoadReport {
 	return driver.LoadReport{
 		Age:             time.Duration(r.AgeMS) * time.Millisecond,
 		Running:         r.Running,
