--- a/internal/code/code.go
+++ b/internal/code/code.go
@@ -32,10 +32,10 @@
 
 // Info describes one code for the answer encoder and the documentation.
 type Info struct {
-	Name   string
-	Status int  // HTTP status towards callers
-	Retryable  bool // whether the same request may succeed later
-	Text   string
+	Name      string
+	Status    int  // HTTP status towards callers
+	Retryable bool // whether the same request may succeed later
+	Text      string
 }
 
 // Error is a numbered error. Detail is for people, Code and Run for programs.
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -121,7 +121,7 @@
 	QueuedTokens    int     // prompt tokens waiting for prefill
 	PrefillRate     float64 // tokens a second, measured by the engine
 	DecodeStep      time.Duration
-	FreeCacheBlocks       int // free prefix cache pieces
+	FreeCacheBlocks int // free prefix cache pieces
 	PrefillRequests int
 }
 
@@ -161,17 +161,17 @@
 
 // GenerateRequest is one attempt at a streamed completion.
 type GenerateRequest struct {
-	Attempt   string // id of this attempt, echoed by the engine
-	Model     string
-	Version   string
-	Adapter   string
-	Prompt    []byte
-	MaxTokens int
-	Seed      uint64
-	FirstPosition      int // first token position to send; >0 resumes
-	PriorOutput     []byte
-	Priority  int
-	KV        *KVHandle // imported before decoding, if set
+	Attempt       string // id of this attempt, echoed by the engine
+	Model         string
+	Version       string
+	Adapter       string
+	Prompt        []byte
+	MaxTokens     int
+	Seed          uint64
+	FirstPosition int // first token position to send; >0 resumes
+	PriorOutput   []byte
+	Priority      int
+	KV            *KVHandle // imported before decoding, if set
 }
 
 // KVHandle names an exported KV cache at the engine that holds it.
--- a/internal/driver/httpdriver/engine.go
+++ b/internal/driver/httpdriver/engine.go
@@ -83,17 +83,17 @@
 
 func generateBody(req *driver.GenerateRequest) *httpapi.Generate {
 	return &httpapi.Generate{
-		Attempt:   req.Attempt,
-		Model:     req.Model,
-		Version:   req.Version,
-		Adapter:   req.Adapter,
-		Prompt:    req.Prompt,
-		MaxTokens: req.MaxTokens,
-		Seed:      req.Seed,
-		FirstPosition:      req.FirstPosition,
-		PriorOutput:     req.PriorOutput,
-		Priority:  req.Priority,
-		KV:        req.KV,
+		Attempt:       req.Attempt,
+		Model:         req.Model,
+		Version:       req.Version,
+		Adapter:       req.Adapter,
+		Prompt:        req.Prompt,
+		MaxTokens:     req.MaxTokens,
+		Seed:          req.Seed,
+		FirstPosition: req.FirstPosition,
+		PriorOutput:   req.PriorOutput,
+		Priority:      req.Priority,
+		KV:            req.KV,
 	}
 }
 
--- a/internal/driver/httpdriver/httpapi/httpapi.go
+++ b/internal/driver/httpdriver/httpapi/httpapi.go
@@ -57,17 +57,17 @@
 
 // Generate is the body of a generate or prefill request.
 type Generate struct {
-	Attempt   string           `json:"attempt"`
-	Model     string           `json:"model"`
-	Version   string           `json:"version"`
-	Adapter   string           `json:"adapter,omitempty"`
-	Prompt    []byte           `json:"prompt"`
-	MaxTokens int              `json:"max_tokens"`
-	Seed      uint64           `json:"seed"`
-	FirstPosition      int              `json:"from,omitempty"`
-	PriorOutput     []byte           `json:"prior,omitempty"`
-	Priority  int              `json:"priority,omitempty"`
-	KV        *driver.KVHandle `json:"kv,omitempty"`
+	Attempt       string           `json:"attempt"`
+	Model         string           `json:"model"`
+	Version       string           `json:"version"`
+	Adapter       string           `json:"adapter,omitempty"`
+	Prompt        []byte           `json:"prompt"`
+	MaxTokens     int              `json:"max_tokens"`
+	Seed          uint64           `json:"seed"`
+	FirstPosition int              `json:"from,omitempty"`
+	PriorOutput   []byte           `json:"prior,omitempty"`
+	Priority      int              `json:"priority,omitempty"`
+	KV            *driver.KVHandle `json:"kv,omitempty"`
 }
 
 // StreamLine is one line of a generate answer. The line with End set is the
@@ -94,7 +94,7 @@
 	QueuedTokens    int     `json:"queued_tokens"`
 	PrefillRate     float64 `json:"prefill_rate"`
 	DecodeStepUS    int64   `json:"decode_step_us"`
-	FreeCacheBlocks       int     `json:"cache_free"`
+	FreeCacheBlocks int     `json:"cache_free"`
 	PrefillRequests int     `json:"prefill_requests"`
 }
 
@@ -107,7 +107,7 @@
 		QueuedTokens:    r.QueuedTokens,
 		PrefillRate:     r.PrefillRate,
 		DecodeStep:      time.Duration(r.DecodeStepUS) * time.Microsecond,
-		FreeCacheBlocks:       r.FreeCacheBlocks,
+		FreeCacheBlocks: r.FreeCacheBlocks,
 		PrefillRequests: r.PrefillRequests,
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,15 +46,15 @@
 
 // Lease times of the authority over engines.
 type Lease struct {
-	TTL       settings.Duration `json:"ttl"`        // from the renewal that the log shows
-	RenewInterval     settings.Duration `json:"renew"`      // between renewals
-	Margin    settings.Duration `json:"margin"`     // added by others for clock rate
+	TTL           settings.Duration `json:"ttl"`        // from the renewal that the log shows
+	RenewInterval settings.Duration `json:"renew"`      // between renewals
+	Margin        settings.Duration `json:"margin"`     // added by others for clock rate
 	MaxOrderDelay settings.Duration `json:"max_flight"` // longest time an order may be on its way
 }
 
 // Gossip times between peers.
 type Gossip struct {
-	Interval   settings.Duration `json:"every"`
+	Interval       settings.Duration `json:"every"`
 	SuspectTimeout settings.Duration `json:"suspect"` // silence after which a peer is suspect
 	GoneTimeout    settings.Duration `json:"gone"`    // silence after which a peer is gone
 }
@@ -69,13 +69,13 @@
 		DrainTimeout: settings.Duration(2 * time.Minute),
 		Cells:        1,
 		Lease: Lease{
-			TTL:       settings.Duration(6 * time.Second),
-			RenewInterval:     settings.Duration(2 * time.Second),
-			Margin:    settings.Duration(time.Second),
+			TTL:           settings.Duration(6 * time.Second),
+			RenewInterval: settings.Duration(2 * time.Second),
+			Margin:        settings.Duration(time.Second),
 			MaxOrderDelay: settings.Duration(2 * time.Second),
 		},
 		Gossip: Gossip{
-			Interval:   settings.Duration(500 * time.Millisecond),
+			Interval:       settings.Duration(500 * time.Millisecond),
 			SuspectTimeout: settings.Duration(2 * time.Second),
 			GoneTimeout:    settings.Duration(10 * time.Second),
 		},
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -91,11 +91,11 @@
 
 func (r *run) report() httpapi.Report {
 	rep := httpapi.Report{
-		Running:      len(r.batch),
-		Queued:       len(r.queue),
-		PrefillRate:  r.cfg.PrefillRate,
-		DecodeStepUS: r.step.Microseconds(),
-		FreeCacheBlocks:    r.cache.free(),
+		Running:         len(r.batch),
+		Queued:          len(r.queue),
+		PrefillRate:     r.cfg.PrefillRate,
+		DecodeStepUS:    r.step.Microseconds(),
+		FreeCacheBlocks: r.cache.free(),
 	}
 	for _, s := range r.batch {
 		if s.prefillLeft > 0 {
