--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -1,10 +1,11 @@
-// Package driver defines what the system expects of the outside: engines,
-// plain services, the log service, the VM list and the weight store. Each
-// protocol to one of them is one package that registers itself by name with
-// the kernel; settings and the sheet choose by that name.
+// Package driver defines the interfaces to external systems: engines, plain services, the log
+// service, the VM list and the weight store.
 //
-// Errors carry how far the work got, since retries and the "not run" promise
-// depend on nothing else: see ErrNotSent, ErrRefused and ErrCut.
+// Each protocol to one of them is implemented by a package of its own that registers a driver by
+// name; settings and the sheet select the driver by that name.
+//
+// Errors report how far a request got, because retries and the guarantee behind the answer "not
+// run" depend only on that: see ErrNotSent, ErrRefused and ErrConnectionLost.
 package driver
 
 import (
@@ -15,47 +16,45 @@
 
 var (
 	// ErrNotSent means that no byte of the request reached the endpoint, for
-	// example a refused connection. The work can't have run.
+	// example because the connection was refused. The work can't have run.
 	ErrNotSent = errors.New("not sent")
 	// ErrRefused means that the endpoint answered that it did not run the work.
 	ErrRefused = errors.New("refused by endpoint")
-	// ErrConnectionLost means that the connection broke, or timed out, after bytes had
-	// left: the work may or may not have run.
+	// ErrConnectionLost means that the connection broke or timed out after bytes had been sent:
+	// the work may or may not have run.
 	ErrConnectionLost = errors.New("connection cut after sending")
-	// ErrFailed means that the endpoint ran the work and answered an error.
+	// ErrFailed means that the endpoint ran the work and answered with an error.
 	ErrFailed = errors.New("endpoint failed")
 	// ErrStaleFence means that the engine refused an old fencing token.
 	ErrStaleFence = errors.New("stale fencing token")
-	// ErrBadAnswer means that the answer belongs to another attempt or fails
-	// its check.
+	// ErrBadAnswer means that the answer belongs to another attempt or failed validation.
 	ErrBadAnswer = errors.New("answer fails its check")
-	// ErrExpired means that the wanted log offset is past its retention.
+	// ErrExpired means that the requested log offset is past its retention.
 	ErrExpired = errors.New("offset expired")
 )
 
 // Record is one entry of a log stream.
 type Record struct {
 	Offset uint64
-	Time   time.Time // set by the log service, monotone within a stream
+	Time   time.Time // set by the log service, never decreases within a stream
 	Data   []byte
 }
 
 // Page is the answer to one read of a log stream.
 type Page struct {
 	Records []Record
-	First   uint64 // oldest offset still kept
+	First   uint64 // oldest offset still retained
 	End     uint64 // offset that the next append would get
 }
 
-// Log is an append-only service with offsets. A stream starts at offset 1.
+// Log is a client of the log service, which keeps append-only streams of records. A stream starts at offset 1.
 type Log interface {
-	// Append adds one record. ErrNotSent and ErrRefused mean it is not in the
-	// log and never will be; any other error means that it may be there, or
-	// may still appear later.
+	// Append adds one record. ErrNotSent and ErrRefused mean that it is not in the log and never
+	// will be; after any other error it may be there already or may still appear later.
 	Append(ctx context.Context, stream string, data []byte) (offset uint64, err error)
-	// Read returns up to limit records from offset from on. It waits up to wait
-	// for the first one. It fails with ErrExpired when from < Page.First; the
-	// returned Page then still carries First and End.
+	// Read returns up to limit records starting at offset from. It waits up to wait for the first
+	// one. It fails with ErrExpired if from < Page.First; First and End of the returned Page are
+	// set in that case too.
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (Page, error)
 }
 
@@ -69,21 +68,21 @@
 	Leaving bool
 }
 
-// VMList is the platform's list of live and leaving VMs. It lags.
+// VMList is the platform's list of live and leaving VMs. It lags behind the actual state.
 type VMList interface {
 	List(ctx context.Context) ([]VM, error)
 }
 
-// WeightStore tells what loading a model costs. The engines fetch for
-// themselves; the system only paces the orders that make them do so.
+// WeightStore reports the size of models and the bandwidth for loading them. Engines fetch the
+// weights themselves; the system only paces the load orders.
 type WeightStore interface {
-	// Size returns the bytes of one model version or adapter.
+	// Size returns the size of one model version or adapter in bytes.
 	Size(ctx context.Context, model, version string) (bytes int64, err error)
-	// Rate returns the store's total bytes a second.
+	// Rate returns the store's total bandwidth in bytes per second.
 	Rate(ctx context.Context) (bytesPerSecond int64, err error)
 }
 
-// Role is what an engine does of a request.
+// Role is the part of a request's processing that an engine does: prefill, decode or both.
 type Role string
 
 // The roles that an engine can be ordered into.
@@ -93,58 +92,58 @@
 	RoleMixed   Role = "mixed"
 )
 
-// Loaded names a model version, or an adapter version on top of a model, in an
-// engine's memory.
+// Loaded identifies a model version, or an adapter version on top of a model, that an engine has
+// in memory.
 type Loaded struct {
 	Model   string `json:"model"`
 	Version string `json:"version"` // of the adapter if there is one, else of the model
 	Adapter string `json:"adapter,omitempty"`
 }
 
-// EngineState is what an engine says of itself right now, without lag.
+// EngineState is an engine's own current state; unlike a LoadReport it doesn't lag.
 type EngineState struct {
 	Incarnation string   `json:"incarnation"` // changes when the engine restarts
 	Role        Role     `json:"role"`
-	Changing    bool     `json:"changing"` // an order is being carried out
+	Changing    bool     `json:"changing"` // the engine is executing an order
 	Loaded      []Loaded `json:"loaded"`
 	Running     int      `json:"running"` // requests in the batch
 	Queued      int      `json:"queued"`
-	Fence       uint64   `json:"fence"`      // highest token seen; 0 if it ignores them
-	LastOrder   string   `json:"last_order"` // id of the last order accepted
+	Fence       uint64   `json:"fence"`      // highest fencing token received; 0 if the engine ignores them
+	LastOrder   string   `json:"last_order"` // id of the last accepted order
 }
 
-// LoadReport is an engine's lagged load figure.
+// LoadReport describes an engine's load some time ago (see Age).
 type LoadReport struct {
-	Age             time.Duration // how old the figures are, as the engine states it
+	Age             time.Duration // age of the values according to the engine
 	Running         int
 	Queued          int
 	QueuedTokens    int     // prompt tokens waiting for prefill
-	PrefillRate     float64 // tokens a second, measured by the engine
+	PrefillRate     float64 // tokens per second, measured by the engine
 	DecodeStep      time.Duration
-	FreeCacheBlocks int // free prefix cache pieces
+	FreeCacheBlocks int // free blocks of the prefix cache
 	PrefillRequests int
 }
 
-// CacheEvent tells that a prefix piece entered or left an engine's cache.
-// Events come late; Seq is dense per incarnation, so that a gap shows.
+// CacheEvent reports that a block entered or left an engine's prefix cache. Events arrive with a
+// delay. Seq has no gaps within an incarnation, so that the receiver detects lost events.
 type CacheEvent struct {
 	Seq         uint64
 	Incarnation string
-	Piece       uint64 // hash of the whole prefix up to the end of the piece
+	Piece       uint64 // hash of the whole prefix up to the end of the block
 	Evicted     bool
 }
 
-// OrderKind is what an order asks of an engine.
+// OrderKind is the kind of change that an order requests.
 type OrderKind string
 
-// The orders an engine takes.
+// The kinds of orders.
 const (
 	OrderRole   OrderKind = "role"
 	OrderLoad   OrderKind = "load"
 	OrderUnload OrderKind = "unload"
 )
 
-// Order is one instruction to an engine.
+// Order is one command to an engine.
 type Order struct {
 	ID    string    `json:"id"`
 	Fence uint64    `json:"fence"`
@@ -153,28 +152,28 @@
 	Load  Loaded    `json:"load"`
 }
 
-// Permit is asked by a driver immediately before the bytes that complete an
-// order leave. An error stops the order, which the engine then never sees
-// whole. This is what bounds an old holder's orders at engines that ignore
-// fencing tokens.
+// Permit reports whether the sender may still send an order. A driver calls it immediately before
+// it sends the bytes that complete the order; after an error it doesn't send them, so that the
+// engine never receives the whole order. At engines that ignore fencing tokens this is what stops
+// the orders of a process that has lost its lease.
 type Permit func() error
 
 // GenerateRequest is one attempt at a streamed completion.
 type GenerateRequest struct {
-	Attempt       string // id of this attempt, echoed by the engine
+	Attempt       string // id of this attempt, repeated in the engine's answer
 	Model         string
 	Version       string
 	Adapter       string
 	Prompt        []byte
 	MaxTokens     int
 	Seed          uint64
-	FirstPosition int // first token position to send; >0 resumes
+	FirstPosition int // first token position to send; above 0 if the request is resumed
 	PriorOutput   []byte
 	Priority      int
-	KV            *KVHandle // imported before decoding, if set
+	KV            *KVHandle // imported by the engine before decoding, if set
 }
 
-// KVHandle names an exported KV cache at the engine that holds it.
+// KVHandle identifies an exported KV cache at the engine that holds it.
 type KVHandle struct {
 	Endpoint string `json:"endpoint"` // address of the exporting engine
 	ID       string `json:"id"`
@@ -189,8 +188,8 @@
 	Text    []byte
 }
 
-// TokenStream yields the tokens of one attempt. Next returns io.EOF only after
-// the engine said that the completion is whole; ErrCut otherwise.
+// TokenStream yields the tokens of one attempt. Next returns io.EOF only after the engine has
+// marked the completion as finished; if the stream ends earlier, it returns ErrConnectionLost.
 type TokenStream interface {
 	Next() (Token, error)
 	// Close cancels the attempt at the engine if it still runs.
@@ -204,8 +203,8 @@
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 	Prefill(ctx context.Context, req *GenerateRequest) (KVHandle, error)
 	Generate(ctx context.Context, req *GenerateRequest) (TokenStream, error)
-	// Export makes a running attempt's KV cache fetchable, so that another
-	// engine can resume it. The attempt ends at the exporting engine.
+	// Export makes the KV cache of a running attempt available to other engines, so that one of
+	// them can resume the attempt. The attempt ends at the exporting engine.
 	Export(ctx context.Context, attempt string) (KVHandle, error)
 	Order(ctx context.Context, o Order, permit Permit) error
 	Close() error
--- a/internal/driver/httpdriver/bench_test.go
+++ b/internal/driver/httpdriver/bench_test.go
@@ -13,7 +13,7 @@
 	"fescuestand/internal/driver/httpdriver/httpapi"
 )
 
-// BenchmarkTokenStream measures what one token costs an entry at its driver.
+// BenchmarkTokenStream measures the time that the driver takes to read one token.
 func BenchmarkTokenStream(b *testing.B) {
 	const tokens = 200
 	var body bytes.Buffer
--- a/internal/driver/httpdriver/client.go
+++ b/internal/driver/httpdriver/client.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	maxIdleConns   = 256
-	idleTimeout    = 30 * time.Second
-	maxAnswer      = 64 << 20
-	maxFailureBody = 64 << 10
-	bufferSize     = 16 << 10
+	maxIdleConns    = 256
+	idleConnTimeout = 30 * time.Second
+	maxAnswerBytes  = 64 << 20
+	maxFailureBytes = 64 << 10
+	bufferBytes     = 16 << 10
 )
 
-// client sends requests to one address over a pool of connections.
+// client sends requests to one address over a connection pool.
 type client struct {
 	address   string
 	opts      options
@@ -43,13 +43,13 @@
 		address: t.Address,
 		opts:    o,
 		transport: &http.Transport{
-			// No proxy and no compression: endpoints are met directly.
+			// Endpoints are connected directly, without a proxy and compression.
 			DisableCompression:  true,
 			MaxIdleConns:        maxIdleConns,
 			MaxIdleConnsPerHost: maxIdleConns,
-			IdleConnTimeout:     idleTimeout,
-			ReadBufferSize:      bufferSize,
-			WriteBufferSize:     bufferSize,
+			IdleConnTimeout:     idleConnTimeout,
+			ReadBufferSize:      bufferBytes,
+			WriteBufferSize:     bufferBytes,
 			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 				c, err := dialer.DialContext(ctx, network, address)
 				if err != nil {
@@ -61,16 +61,17 @@
 	}, nil
 }
 
-// Close gives the idle connections up.
+// Close closes the idle connections.
 func (c *client) Close() error {
 	c.transport.CloseIdleConnections()
 	return nil
 }
 
-// onceBody can be read only once. net/http sends a request again on a fresh
-// connection if a reused one turns out to be closed and the request looks
-// idempotent: a body of its own types, or an idempotency key, is enough. A
-// body that can't be rewound keeps it from that.
+// onceBody is a request body that can be read only once.
+//
+// If a reused connection turns out to be closed, net/http retries the request on a new one if the
+// request looks idempotent, for which an idempotency key or a body that it can rewind is enough. A
+// body that can't be rewound prevents that.
 type onceBody struct{ io.Reader }
 
 func (onceBody) Close() error { return nil }
@@ -85,7 +86,7 @@
 		req.Body = onceBody{bytes.NewReader(body)}
 		req.ContentLength = int64(len(body))
 		if len(body) == 0 {
-			req.ContentLength = -1 // 0 would let net/http replace the body
+			req.ContentLength = -1 // with 0, net/http would replace the body
 		}
 	}
 	for k, v := range header {
@@ -106,6 +107,7 @@
 	return resp, nil
 }
 
+// classify wraps the error of a failed round trip by whether any byte of the request was sent.
 func (c *client) classify(t *sendTracker, err error) error {
 	if t.sent() {
 		return fmt.Errorf("%w: %s: %w", driver.ErrConnectionLost, c.address, err)
@@ -113,17 +115,17 @@
 	return fmt.Errorf("%w: %s: %w", driver.ErrNotSent, c.address, err)
 }
 
-// expiredError carries the page bounds of an expired offset.
+// expiredError is returned for an expired offset; it holds the stream's current bounds.
 type expiredError struct{ first, end uint64 }
 
 func (e *expiredError) Error() string { return fmt.Sprintf("oldest offset kept is %d", e.first) }
 func (e *expiredError) Unwrap() error { return driver.ErrExpired }
 
-// failure turns an answer that is not 2xx into an error. An answer that does
-// not say whether the work ran proves nothing.
+// failure converts an answer whose status is not 2xx to an error. An answer without a valid Failure
+// body, which a proxy may have sent, doesn't show whether the work ran and gives ErrBadAnswer.
 func failure(resp *http.Response) error {
 	var f httpapi.Failure
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxFailureBody))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxFailureBytes))
 	if err != nil {
 		return fmt.Errorf("%w: answer %s: %w", driver.ErrConnectionLost, resp.Status, err)
 	}
@@ -142,17 +144,17 @@
 	}
 }
 
-// read reads the whole answer.
+// read reads the whole body of the answer and closes it.
 func read(resp *http.Response) ([]byte, error) {
 	defer func() { _ = resp.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", driver.ErrConnectionLost, err)
 	}
 	return b, nil
 }
 
-// decode reads the answer's JSON into v.
+// decode reads the answer's body and unmarshals its JSON into v.
 func decode(resp *http.Response, v any) error {
 	b, err := read(resp)
 	if err != nil {
--- a/internal/driver/httpdriver/conn.go
+++ b/internal/driver/httpdriver/conn.go
@@ -10,12 +10,12 @@
 
 var errSealed = errors.New("connection is sealed")
 
-// sealedConn counts what was written and can be sealed against more.
+// sealedConn counts the written bytes and can be sealed, which rejects all further writes.
 //
-// It guards against a false "not sent": net/http gives up on a cancelled
-// request while its writing goroutine may still be about to write. The caller
-// would be told "not run", and the bytes would leave a moment later. Seal and
-// Write exclude each other, so that once Seal has seen no byte, none follows.
+// It prevents a false ErrNotSent: when a request is cancelled, net/http returns while its writing
+// goroutine may be about to write. The caller would get the answer "not run", and the request would
+// be sent a moment later. seal and Write exclude each other, so that once seal has returned a count,
+// no byte follows.
 type sealedConn struct {
 	net.Conn
 	mu      sync.Mutex
@@ -23,8 +23,8 @@
 	sealed  bool
 }
 
-// Write implements net.Conn. The count rises before the bytes leave, since
-// some of them may be out when Write fails.
+// Write implements net.Conn. It counts the bytes before it sends them, because some of them may
+// have been sent even if the write fails.
 func (c *sealedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,7 +41,7 @@
 	return c.written
 }
 
-// seal stops further writes and returns the final count.
+// seal rejects further writes and returns the final number of written bytes.
 func (c *sealedConn) seal() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +49,8 @@
 	return c.written
 }
 
-// sendTracker knows whether a request's bytes have left.
+// sendTracker records the connections that a request uses, to find whether any of its bytes was
+// sent.
 type sendTracker struct {
 	mu       sync.Mutex
 	finished bool
@@ -61,7 +62,7 @@
 	start int64 // bytes written on it before this request
 }
 
-// trace returns a context that reports the connections that a request uses.
+// trace returns a context that makes the transport report the connections that a request uses.
 func (t *sendTracker) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -80,17 +81,17 @@
 	})
 }
 
-// sent seals the failed request's connections and tells whether any byte of it
-// has left.
+// sent seals the connections of the failed request and reports whether any byte of the request was
+// sent.
 func (t *sendTracker) sent() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.finished = true
-	left := false
+	anySent := false
 	for _, u := range t.uses {
 		if u.conn.seal() > u.start {
-			left = true
+			anySent = true
 		}
 	}
-	return left
+	return anySent
 }
--- a/internal/driver/httpdriver/conn_test.go
+++ b/internal/driver/httpdriver/conn_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSealedConnectionSendsNothingMore(t *testing.T) {
+func TestSealedConnectionRejectsWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
 	defer func() { _ = far.Close() }()
--- a/internal/driver/httpdriver/errors_test.go
+++ b/internal/driver/httpdriver/errors_test.go
@@ -42,7 +42,7 @@
 	return e
 }
 
-func answering(t *testing.T, status int, attempt, body string) string {
+func startServer(t *testing.T, status int, attempt, body string) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -54,7 +54,7 @@
 	return s.Listener.Addr().String()
 }
 
-func TestAnswerBecomesTheErrorThatItProves(t *testing.T) {
+func TestAnswerIsMappedToError(t *testing.T) {
 	tests := []struct {
 		name, attempt, body string
 		status              int
@@ -69,7 +69,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := openService(t, answering(t, tt.status, tt.attempt, tt.body))
+			s := openService(t, startServer(t, tt.status, tt.attempt, tt.body))
 			_, err := s.Call(t.Context(), &driver.Call{Attempt: "a1", Operation: "commit", Key: "k"})
 			if tt.want == nil {
 				assert.NilError(t, err)
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestNothingListensIsNotSent(t *testing.T) {
+func TestRefusedConnectionIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
@@ -89,11 +89,10 @@
 	assert.ErrorIs(t, err, driver.ErrNotSent)
 }
 
-// A caller's print-and-commit runs twice: its endpoint takes the request over a
-// kept connection, does the work and dies before it answers. net/http then
-// sends a request that carries an idempotency key again on a fresh connection,
-// although the system decided to dispatch once.
-func TestRequestIsNeverSentAgainByTheLibrary(t *testing.T) {
+// Guards against a commit that runs twice: the endpoint receives the request over a reused
+// connection, does the work and crashes before it answers. net/http then retries a request that
+// carries an idempotency key on a new connection, although the system dispatches it only once.
+func TestTransportDoesNotRetryRequests(t *testing.T) {
 	for _, body := range []string{"", "lot 7"} {
 		var calls atomic.Int32
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -114,7 +113,7 @@
 	}
 }
 
-func TestDeadlineAfterSendingIsCut(t *testing.T) {
+func TestDeadlineAfterSendingIsConnectionLost(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -127,11 +126,10 @@
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
-// A caller is told "not run", yet its commit runs: the request is cancelled
-// while the connection stands but nothing is written; the report says that no
-// byte has left, and then the library's writer sends it after all. Whatever the
-// driver reports, the endpoint must agree with it.
-func TestNotSentIsTrueUnderCancellation(t *testing.T) {
+// Guards against a commit that runs although its caller got the answer "not run": the request is
+// cancelled after the connection is established and before anything is written; the driver reports
+// ErrNotSent, and the writing goroutine of net/http sends the request afterwards.
+func TestCancelledRequestReportedNotSentIsNotReceived(t *testing.T) {
 	var arrived sync.Map
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		arrived.Store(r.Header.Get(httpapi.HeaderKey), true)
@@ -154,15 +152,14 @@
 	assert.Assert(t, len(notSent) > 0)
 	for _, key := range notSent {
 		_, ran := arrived.Load(key)
-		assert.Assert(t, !ran, "a request reported as not sent arrived")
+		assert.Assert(t, !ran, "the endpoint received a request that was reported as not sent")
 	}
 }
 
-// Two conflicting orders take effect: an old holder is paused between its lease
-// check and its order, a successor takes over, and the old order arrives later.
-// The engine acts on whole orders only; a permit that fails must leave it
-// without the last byte, whatever the kernel still sends.
-func TestWithheldPermitLeavesTheOrderIncomplete(t *testing.T) {
+// Guards against two conflicting orders that both take effect: a lease holder is paused between its
+// lease check and its order, another process takes over, and the old order arrives later. Engines
+// execute complete orders only, so the last byte must not be sent if the permit fails.
+func TestDeniedPermitLeavesOrderIncomplete(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
@@ -178,16 +175,16 @@
 		}
 		whole <- err == nil
 	}()
-	lapsed := errors.New("lease has lapsed")
+	errLeaseExpired := errors.New("lease has expired")
 	err = openEngine(t, l.Addr().String()).Order(t.Context(),
 		driver.Order{ID: "o1", Kind: driver.OrderRole, Role: driver.RoleDecode},
-		func() error { return lapsed })
-	assert.ErrorIs(t, err, lapsed)
+		func() error { return errLeaseExpired })
+	assert.ErrorIs(t, err, errLeaseExpired)
 	assert.ErrorIs(t, err, driver.ErrNotSent)
 	assert.Assert(t, !<-whole)
 }
 
-func TestStreamThatEndsEarlyIsCutAndForeignTokensAreRefused(t *testing.T) {
+func TestInvalidTokenStreamIsRejected(t *testing.T) {
 	token := `{"attempt":"a1","pos":0,"text":"eHg="}` + "\n"
 	tests := []struct {
 		name, body string
@@ -201,7 +198,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			e := openEngine(t, answering(t, 200, "a1", tt.body))
+			e := openEngine(t, startServer(t, 200, "a1", tt.body))
 			s, err := e.Generate(t.Context(), &driver.GenerateRequest{Attempt: "a1", MaxTokens: 5})
 			assert.NilError(t, err)
 			defer func() { _ = s.Close() }()
@@ -213,7 +210,7 @@
 	}
 }
 
-func TestUnknownOptionIsNamed(t *testing.T) {
+func TestUnknownOptionIsReported(t *testing.T) {
 	open, err := driver.Logs.Get(httpdriver.Name)
 	assert.NilError(t, err)
 	_, err = open(driver.Target{Address: "127.0.0.1:1", Options: map[string]string{"colour": "red"}})
--- a/internal/driver/httpdriver/httpapi/httpapi.go
+++ b/internal/driver/httpdriver/httpapi/httpapi.go
@@ -1,6 +1,6 @@
-// Package httpapi holds the messages of the plain HTTP/JSON protocol that the
-// "http" drivers speak to engines, plain services, the log service, the VM
-// list and the weight store. docs/STANDINS.md describes the paths.
+// Package httpapi defines the messages of the HTTP/JSON protocol that the "http" drivers speak to
+// engines, plain services, the log service, the VM list and the weight store. docs/STANDINS.md
+// describes the paths.
 package httpapi
 
 import (
@@ -11,15 +11,15 @@
 
 // Header names.
 const (
-	HeaderAttempt = "Attempt"         // id of the attempt, echoed in the answer
-	HeaderKey     = "Idempotency-Key" // of a non-idempotent call
-	HeaderClient  = "Client"          // name of the VM that asks
+	HeaderAttempt = "Attempt"         // id of the attempt, repeated in the answer
+	HeaderKey     = "Idempotency-Key" // idempotency key of a non-idempotent call
+	HeaderClient  = "Client"          // name of the VM that sends the request
 )
 
 // Paths of an engine.
 const (
 	PathState       = "/state"
-	PathReport      = "/report" // plain services too
+	PathReport      = "/report" // also of plain services
 	PathCacheEvents = "/cache-events"
 	PathGenerate    = "/generate"
 	PathPrefill     = "/prefill"
@@ -28,17 +28,17 @@
 	PathOrder       = "/order"
 )
 
-// Paths of the other outside systems.
+// Paths of the other external systems.
 const (
-	PathCall    = "/call/"    // plain service, followed by the operation
-	PathStreams = "/streams/" // log service, followed by the stream
+	PathCall    = "/call/"    // of a plain service; followed by the operation
+	PathStreams = "/streams/" // of the log service; followed by the stream
 	PathVMs     = "/vms"
 	PathSize    = "/size"
 	PathRate    = "/rate"
 	PathFetch   = "/fetch"
 )
 
-// Names of failures that a driver tells apart.
+// Names of failures for which drivers return errors of their own.
 const (
 	StaleFence = "stale-fence"
 	Expired    = "expired"
@@ -48,9 +48,9 @@
 type Failure struct {
 	Name   string `json:"name"`
 	Detail string `json:"detail,omitempty"`
-	// Ran says whether the work was executed before it failed.
+	// Ran reports whether the work was executed before it failed.
 	Ran bool `json:"ran"`
-	// First and End are set by the log service when an offset has expired.
+	// First and End are set by the log service if the requested offset has expired.
 	First uint64 `json:"first,omitempty"`
 	End   uint64 `json:"end,omitempty"`
 }
@@ -70,8 +70,8 @@
 	KV            *driver.KVHandle `json:"kv,omitempty"`
 }
 
-// StreamLine is one line of a generate answer. The line with End set is the
-// last one of a whole answer; its Tokens and Sum cover what this attempt sent.
+// StreamLine is one line of the answer to a generate request. The last line of a complete answer
+// has End set; its Tokens and Sum are the count and checksum of the tokens sent in this attempt.
 type StreamLine struct {
 	Attempt string `json:"attempt"`
 	Pos     int    `json:"pos"`
@@ -81,12 +81,12 @@
 	Sum     uint64 `json:"sum,omitempty"`
 }
 
-// Export asks for the KV cache of a running attempt.
+// Export is the body of a request to export the KV cache of a running attempt.
 type Export struct {
 	Attempt string `json:"attempt"`
 }
 
-// Report is a load report.
+// Report is a load report of an engine or a plain service.
 type Report struct {
 	AgeMS           int64   `json:"age_ms"`
 	Running         int     `json:"running"`
@@ -98,7 +98,7 @@
 	PrefillRequests int     `json:"prefill_requests"`
 }
 
-// LoadReport returns r in the system's own type.
+// LoadReport converts r to a driver.LoadReport.
 func (r *Report) LoadReport() driver.LoadReport {
 	return driver.LoadReport{
 		Age:             time.Duration(r.AgeMS) * time.Millisecond,
@@ -156,7 +156,7 @@
 	Bytes int64 `json:"bytes"`
 }
 
-// Rate is the weight store's total rate.
+// Rate is the weight store's total bandwidth.
 type Rate struct {
 	BytesPerSecond int64 `json:"bytes_per_second"`
 }
--- a/internal/driver/httpdriver/httpapi/piece.go
+++ b/internal/driver/httpdriver/httpapi/piece.go
@@ -3,26 +3,28 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// TokenBytes is how many prompt bytes engines of this protocol count as
-	// one token.
+	// TokenBytes is the number of prompt bytes that engines of this protocol count as one token.
 	TokenBytes = 4
-	// BlockTokens is how many tokens one piece of the prefix cache holds.
+	// BlockTokens is the number of tokens in one block of the prefix cache.
 	BlockTokens = 2000
-	// BlockBytes is the prompt length of one piece.
+	// BlockBytes is the number of prompt bytes in one block.
 	BlockBytes = TokenBytes * BlockTokens
 )
 
-// Tokens returns the number of prompt tokens.
+// Tokens returns the number of tokens in the prompt.
 func Tokens(prompt []byte) int {
 	return (len(prompt) + TokenBytes - 1) / TokenBytes
 }
 
-// BlockKeys returns the key of each whole piece of the prompt, in order, as cache
-// events name it. The key of a piece covers the whole prefix up to the piece's
-// end: it is the mix of the key before it, or of the hash of the model's name,
-// with the hash of the piece. Package route computes the same keys. Versions
-// and adapters of a model share keys, though no engine shares their KV cache:
-// events are a hint where to send, the engine alone knows what it can use.
+// BlockKeys returns the key of each complete block of the prompt, in order, as used in cache
+// events.
+//
+// A block's key covers the whole prefix up to the end of the block: it mixes the previous key (for
+// the first block, the hash of the model's name) with the hash of the block. Package route computes
+// the same keys.
+//
+// Versions and adapters of a model share keys, though engines share no KV cache between them: cache
+// events are only a routing hint, and the engine alone decides which blocks it can reuse.
 func BlockKeys(model string, prompt []byte) []uint64 {
 	keys := make([]uint64, 0, len(prompt)/BlockBytes)
 	h := xxhash.Sum64String(model)
--- a/internal/driver/httpdriver/httpapi/piece_test.go
+++ b/internal/driver/httpdriver/httpapi/piece_test.go
@@ -10,10 +10,9 @@
 	"fescuestand/internal/policy/route"
 )
 
-// Cache events of engines would match nothing, and prompts would be computed
-// again on engines that do not have them, if the two packages computed
-// different keys.
-func TestPiecesEqualThoseOfRouting(t *testing.T) {
+// Guards against different keys in packages httpapi and route: cache events of engines would then
+// match no prompt, and prefixes would be computed again on engines that do not have them cached.
+func TestBlockKeysMatchRouting(t *testing.T) {
 	prompt := bytes.Repeat([]byte("lot "), httpapi.BlockTokens*3+10)
 	want := route.Pieces(nil, "m", prompt, httpapi.BlockBytes)
 	assert.Equal(t, len(want), 3)
--- a/internal/driver/httpdriver/httpdriver.go
+++ b/internal/driver/httpdriver/httpdriver.go
@@ -1,10 +1,9 @@
-// Package httpdriver speaks the plain HTTP/JSON protocol of package httpapi.
-// It registers drivers named "http" for engines, plain services, the log
-// service, the VM list and the weight store.
+// Package httpdriver implements the HTTP/JSON protocol of package httpapi. It registers drivers
+// named "http" for engines, plain services, the log service, the VM list and the weight store.
 //
-// What a failure proves matters more here than speed: "not sent" is said only
-// if no byte has left and none can leave any more, and nothing is ever sent a
-// second time behind the back of the core.
+// Exact error reports have priority over speed. A driver returns driver.ErrNotSent only if no byte
+// of the request has been sent and none can be sent any more, and it never retries a request on its
+// own, as only its callers decide about retries.
 package httpdriver
 
 import (
@@ -14,13 +13,13 @@
 	"fescuestand/internal/driver"
 )
 
-// Name is the name that the drivers are chosen by.
+// Name is the name under which the drivers are registered.
 const Name = "http"
 
 // Options of a Target.
 const (
-	optClient      = "client"       // name of the VM, sent to the platform
-	optDialTimeout = "dial_timeout" // such as "500ms"
+	optClient      = "client"       // name of the VM, sent in the Client header
+	optDialTimeout = "dial_timeout" // a duration, such as "500ms"
 )
 
 const defaultDialTimeout = time.Second
@@ -63,7 +62,7 @@
 	})
 }
 
-// options are the Target's options, decoded.
+// options are the decoded options of a driver.Target.
 type options struct {
 	client      string
 	dialTimeout time.Duration
--- a/internal/driver/httpdriver/order.go
+++ b/internal/driver/httpdriver/order.go
@@ -16,20 +16,21 @@
 	"fescuestand/internal/driver/httpdriver/httpapi"
 )
 
-// orderTimeout bounds an order's connection, its retransmissions included. The
-// wait of a successor at engines that ignore fencing tokens builds on it.
+// orderTimeout bounds the lifetime of an order's connection, including TCP retransmissions. A
+// process that takes over an engine that ignores fencing tokens relies on this bound when it waits
+// for orders of the previous lease holder to expire.
 const orderTimeout = time.Second
 
-// sendOrder sends one order over a connection of its own.
+// sendOrder sends one order over a new connection.
 //
-// It guards against an order that arrives after its sender has lost the
-// authority, at an engine that does not check fencing tokens: the process is
-// paused, or the network holds the bytes back, while a successor takes over;
-// then the old order lands on top of the successor's. The engine acts only on
-// a whole order. So everything but the last byte goes first, and the permit,
-// which looks at the lease, is asked immediately before that byte. A pause up
-// to there leaves an order that is never complete. After it TCP_USER_TIMEOUT
-// and SO_LINGER 0 bound how long the kernel may try to deliver the byte.
+// It prevents an order from taking effect after its sender has lost the lease, at an engine that
+// does not check fencing tokens: the sender is paused, or the network delays its packets, while
+// another process takes over, and the old order then overrides the new holder's.
+//
+// An engine executes only complete orders. sendOrder therefore sends all bytes but the last one,
+// calls permit, which checks the lease, and only then sends the last byte. If the process is paused
+// before that check, the order is never completed. After it, TCP_USER_TIMEOUT and SO_LINGER 0 bound
+// how long the kernel may try to deliver the last byte.
 func sendOrder(ctx context.Context, c *client, o driver.Order, permit driver.Permit) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -99,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Closing then resets the connection and drops unsent bytes.
+	// With linger 0, Close resets the connection and discards unsent bytes.
 	if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
 		_ = conn.Close()
 		return nil, err
--- a/internal/driver/httpdriver/stream.go
+++ b/internal/driver/httpdriver/stream.go
@@ -13,9 +13,9 @@
 	"fescuestand/internal/driver/httpdriver/httpapi"
 )
 
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// tokenStream reads the lines of one generate answer and checks each.
+// tokenStream reads and validates the lines of the answer to one generate request.
 type tokenStream struct {
 	attempt string
 	next    int // position of the next token
@@ -29,7 +29,7 @@
 
 func newTokenStream(req *driver.GenerateRequest, body io.ReadCloser, cancel context.CancelFunc) *tokenStream {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	return &tokenStream{
 		attempt: req.Attempt,
 		next:    req.FirstPosition,
@@ -79,12 +79,12 @@
 	return driver.Token{Attempt: l.Attempt, Pos: l.Pos, Text: l.Text}, nil
 }
 
-// end checks the last line against what came.
+// end checks the count and checksum in the last line against the received tokens.
 func (s *tokenStream) end(l *httpapi.StreamLine) error {
 	if l.Tokens != s.tokens || l.Sum != s.sum.Sum64() {
 		return fmt.Errorf("%w: the end line is for %d tokens, %d came", driver.ErrBadAnswer, l.Tokens, s.tokens)
 	}
-	// Read to the end, so that the connection can be used again.
+	// Read the body to its end, so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, s.body)
 	return io.EOF
 }
--- a/internal/driver/registries.go
+++ b/internal/driver/registries.go
@@ -2,16 +2,16 @@
 
 import "fescuestand/internal/registry"
 
-// Target names an outside system: the driver that speaks its protocol, its
-// address and what else the driver takes.
+// Target identifies an external system: the driver that speaks its protocol, its address and
+// options for the driver.
 type Target struct {
 	Driver  string            `json:"driver"`
 	Address string            `json:"address"`
 	Options map[string]string `json:"options,omitempty"`
 }
 
-// None of the openers connects before its first use, so that a process starts
-// while an outside system is down.
+// No opener connects before the first use, so that a process can start while an external system
+// is down.
 
 // EngineOpener opens a model engine.
 type EngineOpener func(t Target) (Engine, error)
@@ -28,7 +28,7 @@
 // WeightStoreOpener opens the weight store.
 type WeightStoreOpener func(t Target) (WeightStore, error)
 
-// The registries that driver packages register with.
+// The registries in which driver packages register themselves.
 var (
 	Engines      = registry.New[EngineOpener]("engine driver")
 	Services     = registry.New[ServiceOpener]("plain service driver")
