--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,12 +1,15 @@
-// Package kernel runs a process: it takes the units that a command wires
-// together through one lifecycle under one errgroup.
+// Package kernel runs a process: it takes the units that a command wires together through a common
+// lifecycle.
 //
-// The order is Provision (acquire what the unit needs: listeners, connections
-// opened lazily), Validate, Run, Drain, Close. Provision and Validate go in
-// the order of wiring and the first error stops the start, after which every
-// provisioned unit is closed. Run goes concurrently. SIGTERM or SIGINT starts
-// Drain, also concurrently; when every unit has drained, or the longest drain
-// is over, Run's context ends. Close goes in reverse order.
+// The steps are:
+//   - Provision acquires what the unit needs: listeners and lazily opened connections. Units are
+//     provisioned in the order of wiring.
+//   - Validate is called in the same order. After the first error in either step the start is
+//     aborted and every provisioned unit is closed.
+//   - Run is called concurrently, in one errgroup.
+//   - Drain is called concurrently on SIGTERM or SIGINT. When every unit has drained or the drain
+//     timeout has passed, the context of Run is cancelled.
+//   - Close is called in reverse order.
 package kernel
 
 import (
@@ -21,56 +24,57 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Unit is one part of a process. It implements those of the interfaces below
-// that it needs.
+// Unit is a component of a process. It implements those of the interfaces below whose steps it
+// needs.
 type Unit interface {
 	Name() string
 }
 
-// Provisioner acquires what the unit needs. After an error the unit is not
-// closed.
+// Provisioner is a unit that acquires resources before the process runs. If Provision fails, the
+// unit is not closed.
 type Provisioner interface {
 	Provision(ctx context.Context) error
 }
 
-// Validator checks what can be checked only after every unit is provisioned.
+// Validator is a unit with checks that are possible only after every unit is provisioned.
 type Validator interface {
 	Validate() error
 }
 
-// Runner works until ctx ends. An error stops the process.
+// Runner is a unit that works in the background until ctx ends. An error stops the process.
 type Runner interface {
 	Run(ctx context.Context) error
 }
 
-// Drainer finishes the work in hand and takes no more. It returns when nothing
-// is left, or when ctx ends; Left then says what remained.
+// Drainer is a unit that finishes its work in progress before the process stops and accepts no new
+// work meanwhile. Drain returns when no work is left or when ctx ends; Left (see Leftover) then
+// returns the amount of unfinished work.
 type Drainer interface {
 	Drain(ctx context.Context) error
 }
 
-// Leftover tells how much work a drain that ran out of time left behind.
+// Leftover is a Drainer that reports how much work was unfinished when its drain timed out.
 type Leftover interface {
 	Left() int
 }
 
-// Closer releases what Provision acquired.
+// Closer is a unit that releases what Provision acquired.
 type Closer interface {
 	Close() error
 }
 
-// Options of one process.
+// Options configure a process.
 type Options struct {
-	// DrainTimeout bounds a drain. What is left then is logged and cut.
+	// DrainTimeout bounds a drain. Work that is unfinished then is logged and aborted.
 	DrainTimeout time.Duration
 	// Signals replaces SIGTERM and SIGINT in tests.
 	Signals <-chan os.Signal
 }
 
-// ErrDrainCut means that the longest drain passed with work left.
-var ErrDrainCut = errors.New("longest drain passed with work left")
+// ErrDrainTimeout means that the drain timeout passed with work left.
+var ErrDrainTimeout = errors.New("drain timed out with work left")
 
-// Run takes units through their lifecycle and returns when all are closed.
+// Run takes the units through their lifecycle and returns when all are closed.
 func Run(ctx context.Context, opt Options, units ...Unit) error {
 	provisioned, err := provision(ctx, units)
 	if err == nil {
@@ -131,7 +135,8 @@
 	return errors.Join(err, drainErr)
 }
 
-// awaitSignalAndDrain returns at once when ctx ends without a signal.
+// awaitSignalAndDrain waits for a signal and then drains all units. It returns at once if ctx ends
+// before a signal arrives.
 func awaitSignalAndDrain(ctx context.Context, opt Options, units []Unit) error {
 	signals := opt.Signals
 	if signals == nil {
@@ -144,17 +149,17 @@
 	case <-ctx.Done():
 		return nil
 	case s := <-signals:
-		log.WithField("signal", s).WithField("longest_ms", opt.DrainTimeout.Milliseconds()).Info("drain begins")
+		log.WithField("signal", s).WithField("longest_ms", opt.DrainTimeout.Milliseconds()).Info("drain started")
 	}
 	drainCtx, cancel := context.WithTimeout(ctx, opt.DrainTimeout)
 	defer cancel()
-	go ignoreFurther(drainCtx, signals)
+	go ignoreSignals(drainCtx, signals)
 	return drainAll(drainCtx, units)
 }
 
-// ignoreFurther keeps a second signal from cutting requests: an impatient
-// operator or platform sends SIGTERM again while streams still finish.
-func ignoreFurther(ctx context.Context, signals <-chan os.Signal) {
+// ignoreSignals consumes repeated signals during a drain: an operator or the platform may send
+// SIGTERM again, and the default handler would end the process and its running streams.
+func ignoreSignals(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -174,7 +179,7 @@
 		}
 	}
 	err := group.Wait()
-	log.WithField("ms", time.Since(start).Milliseconds()).WithField("whole", err == nil).Info("drain ends")
+	log.WithField("ms", time.Since(start).Milliseconds()).WithField("whole", err == nil).Info("drain finished")
 	return err
 }
 
@@ -190,8 +195,8 @@
 	if err == nil && left == 0 {
 		return nil
 	}
-	log.WithError(err).WithField("unit", u.Name()).WithField("left", left).Error("drain ran out of time")
-	return ErrDrainCut
+	log.WithError(err).WithField("unit", u.Name()).WithField("left", left).Error("drain timed out")
+	return ErrDrainTimeout
 }
 
 func closeAll(units []Unit) error {
@@ -211,17 +216,17 @@
 	return err
 }
 
-// closing is a unit whose only step is Close.
-type closing struct {
+// closerUnit is a unit whose only step is Close.
+type closerUnit struct {
 	name string
 	c    interface{ Close() error }
 }
 
-// CloserUnit returns a unit that closes c and needs no other step.
-func CloserUnit(name string, c interface{ Close() error }) Unit { return closing{name, c} }
+// CloserUnit returns a unit that closes c and has no other step.
+func CloserUnit(name string, c interface{ Close() error }) Unit { return closerUnit{name, c} }
 
 // Name implements Unit.
-func (c closing) Name() string { return c.name }
+func (c closerUnit) Name() string { return c.name }
 
 // Close implements Closer.
-func (c closing) Close() error { return c.c.Close() }
+func (c closerUnit) Close() error { return c.c.Close() }
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -46,10 +46,9 @@
 	return nil
 }
 
-// An operator sends SIGTERM, then a second one while a stream still finishes.
-// The caller would see a cut stream if the second signal ended the process.
-// The cause would be a handler that is removed after the first signal.
-func TestSecondSignalDoesNotCutTheDrain(t *testing.T) {
+// Guards against a stream that is interrupted because a second SIGTERM ends the process during the
+// drain, as it would if the signal handler were removed after the first signal.
+func TestSecondSignalDoesNotInterruptDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var events []string
 		signals := make(chan os.Signal, 2)
@@ -62,14 +61,14 @@
 	})
 }
 
-func TestDrainPastItsLimitIsReported(t *testing.T) {
+func TestDrainTimeoutIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var events []string
 		signals := make(chan os.Signal, 1)
 		signals <- syscall.SIGTERM
 		u := &unit{name: "a", events: &events, drainFor: time.Hour}
 		err := Run(t.Context(), Options{DrainTimeout: time.Second, Signals: signals}, u)
-		assert.ErrorIs(t, err, ErrDrainCut)
+		assert.ErrorIs(t, err, ErrDrainTimeout)
 		assert.DeepEqual(t, events, []string{"provision a", "close a"})
 	})
 }
--- a/internal/kernel/main.go
+++ b/internal/kernel/main.go
@@ -13,18 +13,18 @@
 	"fescuestand/internal/settings"
 )
 
-// Version of every binary.
+// Version is the version of every binary.
 const Version = "0.1.0"
 
 // Exit codes of every binary.
 const (
-	ExitOK       = 0
-	ExitFailed   = 1 // a fault while running
-	ExitUsage    = 2 // bad command line or settings; nothing was started
-	ExitDrainCut = 3 // the longest drain passed with work left
+	ExitOK           = 0
+	ExitFailed       = 1 // an error while running
+	ExitUsage        = 2 // invalid command line or settings; nothing was started
+	ExitDrainTimeout = 3 // the drain timeout passed with work left
 )
 
-// Flags that every long-running binary takes.
+// Flags are the command-line flags of every long-running binary.
 type Flags struct {
 	Config  string `long:"config" short:"c" value-name:"FILE" description:"settings, JSON with comments (docs/SETTINGS.md)"`
 	Check   bool   `long:"check" description:"check the settings and exit"`
@@ -32,7 +32,7 @@
 	Log     string `long:"log" choice:"debug" choice:"info" choice:"warn" choice:"error" default:"info" description:"lowest level that is logged"`
 }
 
-// Wire builds a process's units from the settings file.
+// Wire builds the units of a process from the settings file.
 type Wire func(config string) (Options, []Unit, error)
 
 // Main parses the command line, wires the units, runs them and returns the
@@ -76,21 +76,20 @@
 	case err == nil:
 		log.WithField("process", name).Info("stopped")
 		return ExitOK
-	case errors.Is(err, ErrDrainCut):
-		return ExitDrainCut
+	case errors.Is(err, ErrDrainTimeout):
+		return ExitDrainTimeout
 	default:
 		log.WithError(err).WithField("process", name).Error("failed")
 		return ExitFailed
 	}
 }
 
-// PrintProblems writes each problem of a settings or sheet file on a line of
-// its own.
+// PrintProblems prints each problem of a settings or sheet file to stderr on a separate line.
 func PrintProblems(err error) {
 	var p *settings.Problems
 	if errors.As(err, &p) {
-		for _, one := range p.List {
-			fmt.Fprintln(os.Stderr, one)
+		for _, problem := range p.List {
+			fmt.Fprintln(os.Stderr, problem)
 		}
 		return
 	}
