--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -17,16 +17,16 @@
 	}
 }
 
-// Every calls step each period until ctx ends, and returns why it ended. A step that
-// takes longer than a period delays the next one; missed ones are left out.
+// Every calls step once per period until ctx ends and returns ctx.Err(). A step that takes longer
+// than a period delays the next one; missed periods are skipped.
 func Every(ctx context.Context, period time.Duration, step func()) error {
-	tick := time.NewTicker(period)
-	defer tick.Stop()
+	ticker := time.NewTicker(period)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
+		case <-ticker.C:
 			step()
 		}
 	}
--- a/internal/code/code.go
+++ b/internal/code/code.go
@@ -1,10 +1,8 @@
-// Package code lists the numbered result codes that every answer, refusal and
-// operator-facing error of the system carries. docs/RESULT-CODES.md holds the
-// same table and a test keeps the two equal.
+// Package code defines the numbered result codes of every answer, refusal and operator-facing error
+// of the system. docs/RESULT-CODES.md contains the same table; a test compares the two.
 //
-// A number is never reused for another meaning. The thousands digit tells the
-// reader whose matter it is: 1 the request, 2 load, 3 endpoints, 4 commits,
-// 5 settings and sheets, 6 the platform and the system itself.
+// A number is never reused with another meaning. The thousands digit gives the area: 1 the request,
+// 2 load, 3 endpoints, 4 commits, 5 settings and sheets, 6 the platform and the system itself.
 package code
 
 import (
@@ -14,58 +12,58 @@
 	"time"
 )
 
-// Code is one numbered result.
+// Code is a numbered result code.
 type Code int
 
-// Run says whether the request was executed by an engine or plain service.
+// Run states whether an engine or plain service executed the request.
 type Run string
 
 const (
-	// Ran means executed exactly once; the answer is this request's own.
+	// Ran means that the request was executed exactly once and that the answer belongs to it.
 	Ran Run = "ran"
-	// NotRun means no endpoint has executed the request or ever will.
+	// NotRun means that no endpoint has executed the request or ever will.
 	NotRun Run = "not-run"
-	// Unknown means the request may or may not have been executed. A
-	// non-idempotent request with this answer is never dispatched again.
+	// Unknown means that the request may or may not have been executed. A non-idempotent request
+	// with this answer is never dispatched again.
 	Unknown Run = "unknown"
 )
 
-// Info describes one code for the answer encoder and the documentation.
+// Info describes one code, for answers to callers and for the documentation.
 type Info struct {
 	Name      string
-	Status    int  // HTTP status towards callers
+	Status    int  // HTTP status of answers to callers
 	Retryable bool // whether the same request may succeed later
 	Text      string
 }
 
-// Error is a numbered error. Detail is for people, Code and Run for programs.
+// Error is an error with a result code. Detail is meant for people, Code and Run for programs.
 type Error struct {
 	Code       Code
 	Run        Run
 	Detail     string
-	RetryAfter time.Duration // zero when asking again cannot help
+	RetryAfter time.Duration // zero if a retry cannot succeed
 	Err        error
 }
 
-// New returns a numbered error for a request that no endpoint has executed.
+// New returns an error with code c for a request that no endpoint has executed.
 func New(c Code, format string, args ...any) *Error {
 	return &Error{Code: c, Run: NotRun, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns a numbered error around err, which stays visible to errors.Is.
+// Wrap returns an error like New that wraps err.
 func Wrap(c Code, err error, format string, args ...any) *Error {
 	e := New(c, format, args...)
 	e.Err = err
 	return e
 }
 
-// WithRun sets what is known about the execution and returns e.
+// WithRun sets whether the request was executed and returns e.
 func (e *Error) WithRun(r Run) *Error {
 	e.Run = r
 	return e
 }
 
-// WithRetryAfter sets the time to come back and returns e.
+// WithRetryAfter sets the Retry-After delay and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
@@ -83,8 +81,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Of returns the numbered error in err's chain, or err as an Internal error
-// whose execution is unknown.
+// Of returns the Error in err's chain. If there is none, it wraps err with the code Internal and
+// the run state Unknown.
 func Of(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -93,7 +91,7 @@
 	return Wrap(Internal, err, "unexpected error").WithRun(Unknown)
 }
 
-// String returns the code's name as used in logs and the docs.
+// String returns the code's name, as used in logs and the documentation.
 func (c Code) String() string { return c.Info().Name }
 
 // Info returns the code's description.
--- a/internal/code/code_test.go
+++ b/internal/code/code_test.go
@@ -16,10 +16,10 @@
 }
 
 func TestNamesAreUnique(t *testing.T) {
-	seen := map[string]Code{}
+	codeByName := map[string]Code{}
 	for c, i := range All() {
-		other, dup := seen[i.Name]
+		other, dup := codeByName[i.Name]
 		assert.Assert(t, !dup, "%d and %d are both %q", c, other, i.Name)
-		seen[i.Name] = c
+		codeByName[i.Name] = c
 	}
 }
--- a/internal/code/table.go
+++ b/internal/code/table.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// The codes. Each one's meaning stands in table and docs/RESULT-CODES.md.
+// The result codes; table and docs/RESULT-CODES.md describe each.
 const (
 	OK Code = 0
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node holds what every process on an entry VM knows of itself from
-// its settings, and opens the platform's services by driver name.
+// Package node defines the settings that all processes on an entry VM share, and opens the
+// platform's services through the drivers that the settings select.
 package node
 
 import (
@@ -13,7 +13,7 @@
 	"fescuestand/internal/settings"
 )
 
-// Settings are the keys common to fescue-entry and fescue-control.
+// Settings are the settings common to fescue-entry and fescue-control.
 // docs/SETTINGS.md describes each.
 type Settings struct {
 	Deployment   string            `json:"deployment"`
@@ -30,11 +30,11 @@
 	Gossip       Gossip            `json:"gossip"`
 }
 
-// Addresses that this process listens on, host:port with an IP number.
+// Addresses are the addresses that the process listens on, each an IP address with a port.
 type Addresses struct {
-	Caller string `json:"caller,omitempty"` // callers' HTTP; fescue-entry only
-	Peer   string `json:"peer,omitempty"`   // the system's own processes; fescue-entry only
-	Status string `json:"status"`           // status, metrics and burn for operators
+	Caller string `json:"caller,omitempty"` // HTTP for callers; fescue-entry only
+	Peer   string `json:"peer,omitempty"`   // for the system's other processes; fescue-entry only
+	Status string `json:"status"`           // status, metrics and error budgets (/burn) for operators
 }
 
 // Streams names the log streams.
@@ -44,24 +44,25 @@
 	Commits string `json:"commits"`
 }
 
-// Lease times of the authority over engines.
+// Lease configures the leases by which one process at a time may order an engine.
 type Lease struct {
-	TTL           settings.Duration `json:"ttl"`        // from the renewal that the log shows
-	RenewInterval settings.Duration `json:"renew"`      // between renewals
-	Margin        settings.Duration `json:"margin"`     // added by others for clock rate
-	MaxOrderDelay settings.Duration `json:"max_flight"` // longest time an order may be on its way
+	TTL           settings.Duration `json:"ttl"`        // lifetime, counted from the renewal in the log
+	RenewInterval settings.Duration `json:"renew"`      // time between renewals
+	Margin        settings.Duration `json:"margin"`     // added by other processes for differences in clock rate
+	MaxOrderDelay settings.Duration `json:"max_flight"` // maximum time between sending an order and its arrival
 }
 
-// Gossip times between peers.
+// Gossip configures the gossip between peers.
 type Gossip struct {
 	Interval       settings.Duration `json:"every"`
-	SuspectTimeout settings.Duration `json:"suspect"` // silence after which a peer is suspect
-	GoneTimeout    settings.Duration `json:"gone"`    // silence after which a peer is gone
+	SuspectTimeout settings.Duration `json:"suspect"` // time without a message after which a peer is suspect
+	GoneTimeout    settings.Duration `json:"gone"`    // time without a message after which a peer is gone
 }
 
-// Defaults returns settings with every optional key set. Grounds: a lease of
-// 6 s renewed every 2 s survives two lost renewals and leaves an engine
-// without orders for under 10 s; gossip each 500 ms notices a leaving VM well
+// Defaults returns settings with every optional key set.
+//
+// A lease of 6 s that is renewed every 2 s survives two lost renewals and, if its holder fails,
+// leaves an engine without orders for less than 10 s. Gossip every 500 ms detects a leaving VM well
 // within the few seconds that callers are promised.
 func Defaults() Settings {
 	return Settings{
@@ -84,9 +85,9 @@
 
 // Validate implements settings.Validator.
 func (s *Settings) Validate(p *settings.Problems) {
-	requireText(p, "deployment", s.Deployment)
-	requireText(p, "vm", s.VM)
-	requireText(p, "zone", s.Zone)
+	requireNonEmpty(p, "deployment", s.Deployment)
+	requireNonEmpty(p, "vm", s.VM)
+	requireNonEmpty(p, "zone", s.Zone)
 	CheckAddress(p, "addresses.status", s.Addresses.Status)
 	CheckTarget(p, "log", s.Log, driver.Logs.Names())
 	CheckTarget(p, "vm_list", s.VMList, driver.VMLists.Names())
@@ -98,12 +99,12 @@
 }
 
 func (s *Settings) checkTimes(p *settings.Problems) {
-	positive(p, "longest_drain", s.DrainTimeout)
-	positive(p, "lease.ttl", s.Lease.TTL)
-	positive(p, "lease.renew", s.Lease.RenewInterval)
-	positive(p, "lease.margin", s.Lease.Margin)
-	positive(p, "lease.max_flight", s.Lease.MaxOrderDelay)
-	positive(p, "gossip.every", s.Gossip.Interval)
+	requirePositive(p, "longest_drain", s.DrainTimeout)
+	requirePositive(p, "lease.ttl", s.Lease.TTL)
+	requirePositive(p, "lease.renew", s.Lease.RenewInterval)
+	requirePositive(p, "lease.margin", s.Lease.Margin)
+	requirePositive(p, "lease.max_flight", s.Lease.MaxOrderDelay)
+	requirePositive(p, "gossip.every", s.Gossip.Interval)
 	if s.Lease.RenewInterval*2 > s.Lease.TTL {
 		p.Add("lease.renew", code.BadSettings, "is over half of lease.ttl; allowed: at most %s, so that one lost renewal does not lapse the lease", s.Lease.TTL.D()/2)
 	}
@@ -124,8 +125,8 @@
 	CheckAddress(p, "addresses.peer", s.Addresses.Peer)
 }
 
-// CheckAddress reports an address that is absent or not host:port with an IP
-// number, the only form that works without a name service.
+// CheckAddress adds a problem to p if addr is missing or is not an IP address with a port, the only
+// form that works without a name service.
 func CheckAddress(p *settings.Problems, path, addr string) {
 	if addr == "" {
 		p.Add(path, code.MissingSetting, "is required; allowed: IP:port, such as \"127.0.0.1:7001\"")
@@ -137,34 +138,34 @@
 	}
 }
 
-// CheckTarget reports a target whose address or driver is wrong.
+// CheckTarget adds a problem to p if the address of t is invalid or its driver is not one of known.
 func CheckTarget(p *settings.Problems, path string, t driver.Target, known []string) {
 	CheckAddress(p, path+".address", t.Address)
-	for _, k := range known {
-		if k == t.Driver {
+	for _, name := range known {
+		if name == t.Driver {
 			return
 		}
 	}
 	p.Add(path+".driver", code.BadSettings, "is %q; allowed: %v", t.Driver, known)
 }
 
-func requireText(p *settings.Problems, path, v string) {
+func requireNonEmpty(p *settings.Problems, path, v string) {
 	if v == "" {
 		p.Add(path, code.MissingSetting, "is required")
 	}
 }
 
-func positive(p *settings.Problems, path string, d settings.Duration) {
+func requirePositive(p *settings.Problems, path string, d settings.Duration) {
 	if d <= 0 {
 		p.Add(path, code.BadSettings, "is %s; allowed: more than 0", d.D())
 	}
 }
 
-// NewIncarnation returns an id that no other start of any process has.
+// NewIncarnation returns a random id that is unique to this start of the process.
 func NewIncarnation() string {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		panic("node: no randomness: " + err.Error())
+		panic("node: can't read random bytes: " + err.Error())
 	}
 	return hex.EncodeToString(b[:])
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process builds the parts that both processes of a VM have: access to
-// the log, links to peers and the copy of what all share.
+// Package process builds the components that both processes of a VM have: the log client, the
+// connections to peers and the replica of the shared state.
 package process
 
 import (
@@ -12,7 +12,7 @@
 	"fescuestand/internal/wire"
 )
 
-// Parts of one process. Each start has an incarnation of its own.
+// Parts are the common components of a process. Each start of a process has its own incarnation.
 type Parts struct {
 	Incarnation string
 	Log         *logclient.Client
@@ -20,8 +20,8 @@
 	Replica     *replica.Replica
 }
 
-// New wires the parts of the process called name, "entry" or "control". It
-// connects nowhere.
+// New builds the components of the process called name, "entry" or "control". It opens no
+// connection.
 func New(s *node.Settings, name string) (*Parts, error) {
 	service, err := s.OpenLog()
 	if err != nil {
@@ -43,12 +43,12 @@
 	return p, nil
 }
 
-// Units returns the parts in the order in which the kernel takes them.
+// Units returns the components as units of package kernel, in the order of their start.
 func (p *Parts) Units() []kernel.Unit {
 	return []kernel.Unit{kernel.CloserUnit("log", p.Log), kernel.CloserUnit("peers", p.Peers), p.Replica}
 }
 
-// Hello returns what a process says of itself to peers.
+// Hello returns the message by which a process introduces itself to peers.
 func Hello(s *node.Settings, name, incarnation string) *wire.Hello {
 	return &wire.Hello{
 		Protocol: peer.Protocol, Deployment: s.Deployment, Vm: s.VM, Zone: s.Zone,
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry holds the plug-ins that packages register from init and
-// that settings or the sheet choose by name.
+// Package registry keeps plug-ins that packages register from init and that settings or the sheet
+// select by name.
 package registry
 
 import (
@@ -22,14 +22,14 @@
 	owner string // package that registered it
 }
 
-// New returns an empty registry; kind names the type in error messages.
+// New returns an empty registry; error messages call its plug-ins kind.
 func New[T any](kind string) *Registry[T] {
 	return &Registry[T]{kind: kind, plugins: map[string]plugin[T]{}}
 }
 
-// Register adds a plug-in. It is called from init and panics on a name that is
-// taken, naming both packages, since which of the two would serve would
-// otherwise depend on the order of imports.
+// Register adds a plug-in; packages call it from init. It panics if the name is taken, and the
+// message names both packages: otherwise the order of imports would determine which of the two
+// plug-ins is used.
 func (r *Registry[T]) Register(name string, value T) {
 	owner := callerPackage()
 	r.mu.Lock()
@@ -40,7 +40,8 @@
 	r.plugins[name] = plugin[T]{value: value, owner: owner}
 }
 
-// Get returns the named plug-in; the error lists the names there are.
+// Get returns the plug-in with the given name. If there is none, the error lists the registered
+// names.
 func (r *Registry[T]) Get(name string) (T, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -51,7 +52,7 @@
 	return zero, fmt.Errorf("unknown %s %q; known: %s", r.kind, name, strings.Join(r.names(), ", "))
 }
 
-// Names returns the registered names in order.
+// Names returns the registered names in sorted order.
 func (r *Registry[T]) Names() []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -67,7 +68,7 @@
 	return names
 }
 
-// callerPackage returns the package path of Register's caller.
+// callerPackage returns the path of the package that called Register.
 func callerPackage() string {
 	const skip = 2 // this function and Register
 	pc, _, _, ok := runtime.Caller(skip)
--- a/internal/splitmix/splitmix.go
+++ b/internal/splitmix/splitmix.go
@@ -1,9 +1,9 @@
-// Package splitmix spreads the bits of 64-bit keys, for rendezvous hashing and for
-// pseudo-random numbers that a seed fixes.
+// Package splitmix mixes the bits of 64-bit keys, for rendezvous hashing and for reproducible
+// pseudo-random numbers from a seed.
 package splitmix
 
-// Mix is the finaliser of splitmix64: every input bit changes about half of
-// the output bits.
+// Mix is the output function of the SplitMix64 generator: a change of any input bit changes about
+// half of the output bits.
 func Mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
