--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,8 @@
-// Package eventlog writes log entries as key=value lines without ever making
-// their writers wait: a reader that stops, or a flood of entries, costs lines,
-// whose number is told once there is room again.
+// Package eventlog writes log entries as key=value lines without ever blocking the goroutines that
+// log them.
+//
+// If the reader of the log blocks or entries arrive faster than the rate limit, lines are dropped;
+// the next line that is written is preceded by one with the number of dropped lines.
 package eventlog
 
 import (
@@ -16,20 +18,20 @@
 )
 
 const (
-	// queueLines is how many lines wait for a slow reader: some seconds of a
-	// busy VM's, 1 MB at most.
+	// queueLines is the number of lines that are queued for a slow reader: the lines of a few
+	// seconds on a busy VM, at most 1 MB.
 	queueLines = 4096
-	// linesPerSecond bounds the lines written: an entry costs some 20 µs of
-	// processor time, so that the log takes 1% of a core at most.
+	// linesPerSecond limits the rate of lines below warning level. An entry takes about 20 µs of
+	// CPU time, so the log uses at most 1% of a core.
 	linesPerSecond = 400
-	// burstLines may be written at once after a quiet time.
+	// burstLines is the number of lines that may be written at once after an idle time.
 	burstLines = 800
 )
 
-// Handler is an apex/log handler. It is safe for concurrent use.
+// Handler is a handler for package apex/log. It is safe for concurrent use.
 type Handler struct {
-	queue chan *log.Entry
-	left  atomic.Int64
+	queue   chan *log.Entry
+	dropped atomic.Int64
 }
 
 // New returns a handler that writes to w until the process ends.
@@ -44,55 +46,55 @@
 	select {
 	case h.queue <- e:
 	default:
-		h.left.Add(1)
+		h.dropped.Add(1)
 	}
 	return nil
 }
 
-// LeftOut is how many lines were not written so far and have not been told.
-func (h *Handler) LeftOut() int64 { return h.left.Load() }
+// Dropped returns the number of lines dropped since the last reported number.
+func (h *Handler) Dropped() int64 { return h.dropped.Load() }
 
-// write is the only goroutine that touches w, so that a blocked w blocks
-// nobody else.
+// write formats queued entries and writes them to w. It runs in a goroutine of its own, so that a
+// blocked w blocks no goroutine that logs.
 func (h *Handler) write(ctx context.Context, w io.Writer) {
 	var buf bytes.Buffer
 	format := logfmt.New(&buf)
-	tokens, at := float64(burstLines), time.Now()
+	tokens, lastRefill := float64(burstLines), time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case e := <-h.queue:
 			now := time.Now()
-			tokens = min(tokens+now.Sub(at).Seconds()*linesPerSecond, burstLines)
-			at = now
+			tokens = min(tokens+now.Sub(lastRefill).Seconds()*linesPerSecond, burstLines)
+			lastRefill = now
 			if tokens < 1 && e.Level < log.WarnLevel {
-				h.left.Add(1)
+				h.dropped.Add(1)
 				continue
 			}
 			tokens--
 			buf.Reset()
-			h.tellLeftOut(&buf)
-			// Formatting into a buffer can't fail; a closed w loses lines.
+			h.reportDropped(&buf)
+			// Formatting into a buffer can't fail; lines for a closed w are lost.
 			_ = format.HandleLog(e)
 			_, _ = w.Write(buf.Bytes())
 		}
 	}
 }
 
-func (h *Handler) tellLeftOut(buf *bytes.Buffer) {
-	n := h.left.Swap(0)
+func (h *Handler) reportDropped(buf *bytes.Buffer) {
+	n := h.dropped.Swap(0)
 	if n == 0 {
 		return
 	}
 	buf.WriteString("level=warn message=\"lines left out\" count=" + strconv.FormatInt(n, 10) + "\n")
 }
 
-// Flush gives the writer up to d to write what waits.
+// Flush waits up to d for the queued entries to be written.
 func (h *Handler) Flush(d time.Duration) {
-	const step = 5 * time.Millisecond
-	for end := time.Now().Add(d); len(h.queue) > 0 && time.Now().Before(end); {
-		time.Sleep(step)
+	const interval = 5 * time.Millisecond
+	for deadline := time.Now().Add(d); len(h.queue) > 0 && time.Now().Before(deadline); {
+		time.Sleep(interval)
 	}
-	time.Sleep(step)
+	time.Sleep(interval)
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// buffer is a writer that a test reads while the log writes.
+// buffer is a bytes.Buffer that is safe for concurrent use.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -30,7 +30,7 @@
 	return b.b.String()
 }
 
-func TestEntriesAreLinesOfKeysAndValues(t *testing.T) {
+func TestEntriesAreWrittenAsKeyValueLines(t *testing.T) {
 	var out buffer
 	h := New(&out)
 	l := &log.Logger{Handler: h, Level: log.InfoLevel}
@@ -39,9 +39,9 @@
 	assert.Assert(t, strings.Contains(out.String(), `message="request ends" id=9c why="two words"`), out.String())
 }
 
-// Whoever reads the log stops reading. Each request writes a line; if that waited
-// for the reader, all callers would.
-func TestAStoppedReaderStopsNobody(t *testing.T) {
+// Guards against requests that block on the log: each request writes a line, and a reader of the
+// log that stops reading would block all of them.
+func TestBlockedReaderDoesNotBlockLogging(t *testing.T) {
 	r, w, err := os.Pipe()
 	assert.NilError(t, err)
 	defer func() { _ = r.Close(); _ = w.Close() }()
@@ -57,14 +57,14 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("writers wait for the log's reader")
+		t.Fatal("logging blocks on the reader of the log")
 	}
-	assert.Assert(t, h.LeftOut() > 0)
+	assert.Assert(t, h.Dropped() > 0)
 }
 
-// Under overload each refusal is a line. Written without a bound they would take
-// the processor time that the requests need.
-func TestAFloodIsBoundedAndCounted(t *testing.T) {
+// Guards against a log that uses too much CPU time under overload, when each refused request writes
+// a line.
+func TestLogRateIsLimited(t *testing.T) {
 	var out buffer
 	h := New(&out)
 	l := &log.Logger{Handler: h, Level: log.InfoLevel}
@@ -78,7 +78,7 @@
 	lines := strings.Count(out.String(), "flood")
 	assert.Assert(t, lines >= burstLines && lines < 2*burstLines, "%d lines", lines)
 	assert.Assert(t, strings.Contains(out.String(), `message="lines left out" count=`))
-	assert.Assert(t, strings.Contains(out.String(), "after"), "warnings are written all the same")
+	assert.Assert(t, strings.Contains(out.String(), "after"), "a warning is written despite the rate limit")
 }
 
 func BenchmarkLine(b *testing.B) {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain finds in the log lines of one or several VMs what became of a
-// request: its own lines in the order of time, what was believed of the endpoints
-// that it met, and the line that decided its answer.
+// Package explain reconstructs the processing of a request from the log lines of one or more VMs:
+// the request's own lines in order of time, the recorded state of the endpoints that it was sent to,
+// and the line that determined its answer.
 package explain
 
 import (
@@ -14,24 +14,24 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Line is one log line.
+// Line is a parsed log line.
 type Line struct {
-	Source string // of the line, such as a file's name
+	Source string // where the line comes from, such as a file or VM name
 	At     time.Time
 	Text   string
 	fields map[string]string
 	order  []string
 }
 
-// maxLine bounds a line; longer ones are cut by no writer of this project.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a line; no process of this project writes longer ones.
+const maxLineBytes = 1 << 20
 
-// Read returns the log lines of r. What is no key=value line with a time is
-// passed over, as other programs may write to the same file.
+// Read returns the log lines of r. Lines that are not key=value lines with a timestamp are skipped,
+// because other programs may write to the same file.
 func Read(source string, r io.Reader) ([]Line, error) {
 	var lines []Line
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, maxLine)
+	sc.Buffer(nil, maxLineBytes)
 	for sc.Scan() {
 		if l, ok := parse(source, sc.Text()); ok {
 			lines = append(lines, l)
@@ -42,7 +42,7 @@
 
 func parse(source, text string) (Line, bool) {
 	if at := strings.Index(text, "timestamp="); at > 0 {
-		// A collector of several VMs' logs puts the VM's name before the line.
+		// A collector of the logs of several VMs prefixes each line with the VM's name.
 		if before := strings.Fields(text[:at]); len(before) > 0 {
 			source = before[len(before)-1]
 		}
@@ -62,42 +62,42 @@
 	return l, d.Err() == nil && err == nil
 }
 
-// Story is what the lines tell of a request.
-type Story struct {
-	ID       string
-	Own      []Line // the request's lines
-	Beliefs  []Line // newest line before its end of each endpoint that it met, and of the configuration
-	Decisive *Line  // that decided its answer, nil if no line names the request
+// Trace holds the log lines that explain the answer to a request.
+type Trace struct {
+	ID           string
+	RequestLines []Line // the request's lines
+	States       []Line // newest lines before its end about its endpoints, the configuration and the keyed logs
+	Decisive     *Line  // the line that determined its answer, nil if no line names the request
 }
 
-// Find returns the story of the request with the given id.
-func Find(lines []Line, id string) Story {
+// Find returns the trace of the request with the given id.
+func Find(lines []Line, id string) Trace {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	s := Story{ID: id}
+	t := Trace{ID: id}
 	for _, l := range lines {
 		if l.fields["id"] == id {
-			s.Own = append(s.Own, l)
+			t.RequestLines = append(t.RequestLines, l)
 		}
 	}
-	if len(s.Own) == 0 {
-		return s
+	if len(t.RequestLines) == 0 {
+		return t
 	}
-	s.Decisive = &s.Own[len(s.Own)-1]
-	s.Beliefs = beliefs(lines, s.Decisive)
-	return s
+	t.Decisive = &t.RequestLines[len(t.RequestLines)-1]
+	t.States = recordedStates(lines, t.Decisive)
+	return t
 }
 
-// beliefs returns the newest lines of the same source, before last, about what
-// last names.
-func beliefs(lines []Line, last *Line) []Line {
-	met := endpoints(last)
+// recordedStates returns the newest lines from the source of last, not later than last, about each
+// endpoint that last names, the configuration and each keyed log.
+func recordedStates(lines []Line, last *Line) []Line {
+	attempted := endpoints(last)
 	newest := map[string]Line{}
 	for _, l := range lines {
 		if l.Source != last.Source || l.At.After(last.At) {
 			continue
 		}
 		switch e := l.fields["endpoint"]; {
-		case met[e]:
+		case attempted[e]:
 			newest["endpoint "+e] = l
 		case l.fields["message"] == "configuration in force":
 			newest["configuration"] = l
@@ -113,19 +113,19 @@
 	return out
 }
 
-// endpoints returns the endpoints of a line's attempts.
+// endpoints returns the endpoints of the attempts that a line lists.
 func endpoints(l *Line) map[string]bool {
-	met := map[string]bool{}
+	attempted := map[string]bool{}
 	for _, key := range l.order {
 		if strings.HasPrefix(key, "attempt") {
 			e, _, _ := strings.Cut(l.fields[key], ":")
-			met[e] = true
+			attempted[e] = true
 		}
 	}
-	return met
+	return attempted
 }
 
-// reasons explains the outcomes that a request's last line can have.
+// reasons explains each outcome that the last line of a request can name.
 var reasons = map[string]string{
 	"answered": "the whole answer was passed on",
 	"not-sent": "no byte of it reached an endpoint",
@@ -136,26 +136,26 @@
 	"refused":  "it was given up before it was sent: engines could not have served it in time",
 }
 
-// Write prints the story.
-func (s Story) Write(w io.Writer) error {
-	if s.Decisive == nil {
-		_, err := fmt.Fprintf(w, "no line names %s\n", s.ID)
+// Write prints the trace.
+func (t Trace) Write(w io.Writer) error {
+	if t.Decisive == nil {
+		_, err := fmt.Fprintf(w, "no line names %s\n", t.ID)
 		return err
 	}
 	var b strings.Builder
-	end := s.Decisive.At
+	end := t.Decisive.At
 	b.WriteString("believed at its end:\n")
-	for _, l := range s.Beliefs {
-		fmt.Fprintf(&b, "  %s  %s\n", ago(end.Sub(l.At)), l.Text)
+	for _, l := range t.States {
+		fmt.Fprintf(&b, "  %s  %s\n", formatAgo(end.Sub(l.At)), l.Text)
 	}
 	b.WriteString("the request:\n")
-	for _, l := range s.Own {
+	for _, l := range t.RequestLines {
 		fmt.Fprintf(&b, "  %s  %s: %s\n", l.At.Format("15:04:05.000"), l.Source, l.Text)
 	}
-	f := s.Decisive.fields
+	f := t.Decisive.fields
 	fmt.Fprintf(&b, "decided by: %s", f["message"])
-	if why := reasons[f["outcome"]]; why != "" {
-		fmt.Fprintf(&b, ", outcome %s: %s", f["outcome"], why)
+	if reason := reasons[f["outcome"]]; reason != "" {
+		fmt.Fprintf(&b, ", outcome %s: %s", f["outcome"], reason)
 	}
 	if f["code"] != "" {
 		fmt.Fprintf(&b, "; code %s", f["code"])
@@ -168,4 +168,4 @@
 	return err
 }
 
-func ago(d time.Duration) string { return fmt.Sprintf("%8.3f s before", d.Seconds()) }
+func formatAgo(d time.Duration) string { return fmt.Sprintf("%8.3f s before", d.Seconds()) }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -19,7 +19,7 @@
 timestamp=2026-09-05T22:42:14.95Z level=info message="endpoint reports" endpoint=i-1 draining=true
 `
 
-func story(t *testing.T, id string) string {
+func explainRequest(t *testing.T, id string) string {
 	t.Helper()
 	a, err := Read("vm-a", strings.NewReader(vmA))
 	assert.NilError(t, err)
@@ -30,8 +30,8 @@
 	return out.String()
 }
 
-func TestARequestsStory(t *testing.T) {
-	assert.Equal(t, story(t, "9c"), `believed at its end:
+func TestRequestTrace(t *testing.T) {
+	assert.Equal(t, explainRequest(t, "9c"), `believed at its end:
      0.900 s before  timestamp=2026-09-05T22:42:14.1Z level=info message="configuration in force" routes=9 version=4
      0.800 s before  timestamp=2026-09-05T22:42:14.2Z level=info message="endpoint reports" endpoint=i-1 draining=false
 the request:
@@ -41,6 +41,6 @@
 `)
 }
 
-func TestAnUnknownRequestIsSaidToBeUnknown(t *testing.T) {
-	assert.Equal(t, story(t, "77"), "no line names 77\n")
+func TestUnknownRequest(t *testing.T) {
+	assert.Equal(t, explainRequest(t, "77"), "no line names 77\n")
 }
