--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	readyTimeout = 20 * time.Second
-	readyPause   = 50 * time.Millisecond
-	stopTimeout  = 20 * time.Second
+	readyTimeout  = 20 * time.Second
+	readyInterval = 50 * time.Millisecond
+	stopTimeout   = 20 * time.Second
 )
 
-// Demo is one run of an example.
+// Demo is one run of an example deployment.
 type Demo struct {
-	Bin        string // directory of the binaries
-	Deployment *Deployment
-	For        time.Duration // how long the caller sends new requests
-	Rate       float64
-	NoControl  bool          // leave fescue-control out
-	KillEntry  time.Duration // kill the last entry this long into the run; 0: never
-	Caller     []string      // further flags of the caller
-	Out        io.Writer
+	BinDir      string // directory of the binaries
+	Deployment  *Deployment
+	Duration    time.Duration // how long the caller sends new requests
+	Rate        float64
+	NoControl   bool          // don't start fescue-control
+	KillEntry   time.Duration // time from the start of the caller to killing the last entry; 0: never
+	CallerFlags []string      // additional flags of the caller
+	Output      io.Writer
 
 	logDir   string
 	standins []*process
@@ -39,16 +39,16 @@
 	entries  []*process
 }
 
-// Run runs the demo. It fails if anything did not start, if an answer was not
-// whole, or if a process did not stop as it must.
+// Run runs the demo. It fails if a process did not start, if an answer was incomplete, or if a
+// process did not stop gracefully.
 func (d *Demo) Run(ctx context.Context) (err error) {
 	d.logDir = filepath.Join(".demo", d.Deployment.Sheet.Deployment)
 	if err := os.MkdirAll(d.logDir, 0o755); err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(d.Out, "deployment %s: logs of every process in %s\n", d.Deployment.Sheet.Deployment, d.logDir)
+	_, _ = fmt.Fprintf(d.Output, "deployment %s: logs of every process in %s\n", d.Deployment.Sheet.Deployment, d.logDir)
 	defer func() { err = errors.Join(err, d.stopAll()) }()
-	if err := d.requireFree(); err != nil {
+	if err := d.requireAddressesFree(); err != nil {
 		return err
 	}
 	steps := []struct {
@@ -62,22 +62,22 @@
 		{"run the caller", d.runCaller},
 	}
 	for _, s := range steps {
-		begun := time.Now()
+		startedAt := time.Now()
 		if err := s.run(ctx); err != nil {
 			return eris.Wrap(err, s.name)
 		}
-		_, _ = fmt.Fprintf(d.Out, "%6.1f s  %s\n", time.Since(begun).Seconds(), s.name)
+		_, _ = fmt.Fprintf(d.Output, "%6.1f s  %s\n", time.Since(startedAt).Seconds(), s.name)
 	}
 	return nil
 }
 
-// requireFree fails if an address of the example is taken. Two demos at once
-// would share stand-ins, and one's publish would reach the other's fleet.
-func (d *Demo) requireFree() error {
+// requireAddressesFree fails if an address of the example is in use. Two demos that run at the same
+// time would share stand-ins, and the publish of one would reach the fleet of the other.
+func (d *Demo) requireAddressesFree() error {
 	for _, a := range d.Deployment.addresses() {
 		l, err := net.Listen("tcp", a)
 		if err != nil {
-			return eris.Wrap(err, "an address of the example is taken; does another demo run?")
+			return eris.Wrap(err, "an address of the example is in use; is another demo running?")
 		}
 		_ = l.Close()
 	}
@@ -109,14 +109,14 @@
 	return d.command(ctx, "fescuectl", "publish", "--config", d.Deployment.CtlFile, d.Deployment.SheetFile)
 }
 
-// command runs a binary in the foreground.
+// command runs a binary and waits for it to end.
 func (d *Demo) command(ctx context.Context, binary string, args ...string) error {
-	cmd := exec.CommandContext(ctx, filepath.Join(d.Bin, binary), args...)
-	cmd.Stdout, cmd.Stderr = d.Out, d.Out
+	cmd := exec.CommandContext(ctx, filepath.Join(d.BinDir, binary), args...)
+	cmd.Stdout, cmd.Stderr = d.Output, d.Output
 	return cmd.Run()
 }
 
-// awaitListening waits until every address takes connections.
+// awaitListening waits until every address accepts connections.
 func (d *Demo) awaitListening(ctx context.Context, addresses []string) error {
 	for _, a := range addresses {
 		err := d.await(ctx, a, func() error {
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// awaitServing waits until every entry names an address to use.
+// awaitServing waits until every entry advertises addresses to callers.
 func (d *Demo) awaitServing(ctx context.Context) error {
 	for _, vm := range d.Deployment.VMs {
 		a := vm.Entry.Addresses.Caller
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// await repeats the probe until it succeeds, time is over, or a process that
-// must run has ended.
+// await repeats the probe until it succeeds, readyTimeout has passed, or a process that must be
+// running has ended.
 func (d *Demo) await(ctx context.Context, what string, probe func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -171,7 +171,7 @@
 		select {
 		case <-ctx.Done():
 			return eris.Wrapf(err, "%s is not ready", what)
-		case <-time.After(readyPause):
+		case <-time.After(readyInterval):
 		}
 	}
 }
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// stopAll stops the system first and the outside world after it.
+// stopAll stops the processes of the system first and the stand-ins after them.
 func (d *Demo) stopAll() error {
 	var errs []error
 	for _, group := range [][]*process{d.entries, d.controls, d.standins} {
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -1,6 +1,6 @@
-// Package demo starts one example deployment with its stand-ins on loopback,
-// runs a caller against it and stops everything. It is a development tool: the
-// product's own processes start no other process.
+// Package demo starts one example deployment with its stand-ins on loopback addresses, runs a caller
+// against it and stops everything. It is a development tool; the processes of the product itself
+// never start other processes.
 package demo
 
 import (
@@ -15,7 +15,7 @@
 	"fescuestand/internal/sheet"
 )
 
-// Deployment is what the demo needs to know of an example directory.
+// Deployment is the part of an example directory that the demo uses.
 type Deployment struct {
 	Dir       string
 	SheetFile string
@@ -24,7 +24,7 @@
 	VMs       []VM
 }
 
-// VM is one entry VM of the example.
+// VM is one entry VM of the example with its settings files.
 type VM struct {
 	EntryFile   string
 	ControlFile string
@@ -32,7 +32,7 @@
 	Control     node.Settings
 }
 
-// Load reads the example in dir.
+// Load reads the example in directory dir.
 func Load(dir string) (*Deployment, error) {
 	d := &Deployment{
 		Dir:       dir,
@@ -85,8 +85,8 @@
 	return all
 }
 
-// read decodes what all processes have in common; each checks its file whole
-// when it starts.
+// read decodes the settings that all processes have in common. It doesn't validate them, as each
+// process checks its whole file when it starts.
 func read(file string, v any) error {
 	b, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/demo/process.go
+++ b/internal/demo/process.go
@@ -11,13 +11,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// process is one child process. Its output goes to a file of its own.
+// process is a child process whose output goes to its own log file.
 type process struct {
 	name string
 	cmd  *exec.Cmd
-	done chan struct{} // closed when it has ended
+	done chan struct{} // closed when the process has ended
 	err  error
-	// killed says that the demo killed it on purpose.
+	// killed reports whether the demo killed the process on purpose.
 	killed atomic.Bool
 }
 
@@ -28,7 +28,7 @@
 		return nil, err
 	}
 	defer func() { _ = out.Close() }()
-	cmd := exec.Command(filepath.Join(d.Bin, binary), args...)
+	cmd := exec.Command(filepath.Join(d.BinDir, binary), args...)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return nil, eris.Wrapf(err, "can't start %s", name)
@@ -41,16 +41,16 @@
 	return p, nil
 }
 
-// stop asks the process to end and waits. It fails if the process does not end
-// in time or not with exit code 0.
-func (p *process) stop(longest time.Duration) error {
+// stop sends SIGTERM and waits for the process to end. After the timeout it kills the process. It
+// fails if the process had to be killed or ended with an exit code other than 0.
+func (p *process) stop(timeout time.Duration) error {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(longest):
+	case <-time.After(timeout):
 		_ = p.cmd.Process.Kill()
 		<-p.done
-		return eris.Errorf("%s did not stop within %s", p.name, longest)
+		return eris.Errorf("%s did not stop within %s", p.name, timeout)
 	}
 	if p.err != nil && !p.killed.Load() {
 		return eris.Wrapf(p.err, "%s", p.name)
@@ -58,13 +58,13 @@
 	return nil
 }
 
-// kill ends the process without notice.
+// kill ends the process with SIGKILL.
 func (p *process) kill() {
 	p.killed.Store(true)
 	_ = p.cmd.Process.Kill()
 }
 
-// ended tells whether the process has ended.
+// ended reports whether the process has ended.
 func (p *process) ended() bool {
 	select {
 	case <-p.done:
--- a/internal/demo/run/main.go
+++ b/internal/demo/run/main.go
@@ -1,5 +1,5 @@
-// Command run is `make demo`: it serves a shifting mix on stand-ins and exits
-// 0 only if every answer was whole.
+// Command run implements `make demo`: it starts an example deployment with stand-ins, runs a caller
+// with a changing mix of requests, and exits with 0 only if every answer was complete.
 package main
 
 import (
@@ -52,8 +52,8 @@
 		return kernel.ExitUsage
 	}
 	d := &demo.Demo{
-		Bin: o.Bin, Deployment: deployment, For: o.For, Rate: o.Rate,
-		NoControl: o.NoControl, KillEntry: o.KillEntry, Caller: o.Args.Caller, Out: os.Stdout,
+		BinDir: o.Bin, Deployment: deployment, Duration: o.For, Rate: o.Rate,
+		NoControl: o.NoControl, KillEntry: o.KillEntry, CallerFlags: o.Args.Caller, Output: os.Stdout,
 	}
 	if err := d.Run(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "demo failed:", err)
--- a/internal/demo/standins.go
+++ b/internal/demo/standins.go
@@ -9,17 +9,17 @@
 	"fescuestand/internal/sheet"
 )
 
-const standin = "fescue-standin"
+const standinBinary = "fescue-standin"
 
-// startStandins starts the outside world that the sheet and settings describe.
+// startStandins starts stand-ins for the external systems that the sheet and settings name.
 func (d *Demo) startStandins(ctx context.Context) error {
 	s := d.Deployment.Sheet
-	first := d.Deployment.VMs[0].Entry
-	addresses := []string{first.Log.Address, first.VMList.Address, first.WeightStore.Address}
+	settings := d.Deployment.VMs[0].Entry
+	addresses := []string{settings.Log.Address, settings.VMList.Address, settings.WeightStore.Address}
 	commands := [][]string{
-		{"log", "log", "--listen", first.Log.Address},
-		append([]string{"vmlist", "vmlist", "--listen", first.VMList.Address}, d.vmFlags()...),
-		{"weights", "weights", "--listen", first.WeightStore.Address},
+		{"log", "log", "--listen", settings.Log.Address},
+		append([]string{"vmlist", "vmlist", "--listen", settings.VMList.Address}, d.vmFlags()...),
+		{"weights", "weights", "--listen", settings.WeightStore.Address},
 	}
 	for i := range s.Engines {
 		e := &s.Engines[i]
@@ -33,7 +33,7 @@
 		}
 	}
 	for _, c := range commands {
-		p, err := d.start(c[0], standin, c[1:]...)
+		p, err := d.start(c[0], standinBinary, c[1:]...)
 		if err != nil {
 			return err
 		}
@@ -85,23 +85,23 @@
 	return flags
 }
 
-// runCaller runs the caller and, if asked, kills an entry during the run.
+// runCaller runs the caller and, if KillEntry is set, kills an entry during the run.
 func (d *Demo) runCaller(ctx context.Context) error {
 	if d.KillEntry > 0 {
-		victim := d.entries[len(d.entries)-1]
+		entry := d.entries[len(d.entries)-1]
 		t := time.AfterFunc(d.KillEntry, func() {
-			_, _ = fmt.Fprintln(d.Out, "killing", victim.name)
-			victim.kill()
+			_, _ = fmt.Fprintln(d.Output, "killing", entry.name)
+			entry.kill()
 		})
 		defer t.Stop()
 	}
-	return d.command(ctx, standin, append([]string{"--log", "warn", "caller"}, d.callerFlags()...)...)
+	return d.command(ctx, standinBinary, append([]string{"--log", "warn", "caller"}, d.callerFlags()...)...)
 }
 
 func (d *Demo) callerFlags() []string {
 	s := d.Deployment.Sheet
 	flags := []string{
-		"--for", d.For.String(), "--rate", fmt.Sprint(d.Rate), "--strict",
+		"--for", d.Duration.String(), "--rate", fmt.Sprint(d.Rate), "--strict",
 		"--model", s.Pools[0].Model, "--model-version", s.Pools[0].Version,
 	}
 	for _, vm := range d.Deployment.VMs {
@@ -119,5 +119,5 @@
 	if d.KillEntry > 0 {
 		flags = append(flags, "--resend")
 	}
-	return append(flags, d.Caller...)
+	return append(flags, d.CallerFlags...)
 }
