--- a/cmd/fescue-control/main.go
+++ b/cmd/fescue-control/main.go
@@ -1,4 +1,5 @@
-// Command fescue-control holds the authority over engines on an entry VM.
+// Command fescue-control manages engines from an entry VM: it holds leases over them and sends them
+// orders.
 package main
 
 import (
@@ -6,7 +7,7 @@
 
 	"fescuestand/internal/clock"
 	"fescuestand/internal/control"
-	_ "fescuestand/internal/driver/httpdriver" // the "http" drivers
+	_ "fescuestand/internal/driver/httpdriver" // registers the "http" drivers
 	"fescuestand/internal/kernel"
 	"fescuestand/internal/process"
 	"fescuestand/internal/status"
@@ -35,12 +36,12 @@
 		Stream: s.Streams.Control, VM: s.VM, Incarnation: parts.Incarnation,
 		Lease: s.LeaseOptions(), RenewInterval: s.Lease.RenewInterval.D(), ChangeTimeouts: s.ChangeTimeouts(),
 	})
-	report := func() status.Report { return reportOf(s, parts, unit) }
+	report := func() status.Report { return statusReport(s, parts, unit) }
 	units := append(parts.Units(), unit, status.NewServer(s.Addresses.Status, report, nil))
 	return kernel.Options{DrainTimeout: s.DrainTimeout.D()}, units, nil
 }
 
-func reportOf(s *control.Settings, p *process.Parts, c *control.Control) status.Report {
+func statusReport(s *control.Settings, p *process.Parts, c *control.Control) status.Report {
 	v := p.Replica.View()
 	return status.Report{
 		VM: s.VM, Zone: s.Zone, Process: "control", Incarnation: p.Incarnation,
--- a/cmd/fescue-entry/main.go
+++ b/cmd/fescue-entry/main.go
@@ -1,4 +1,4 @@
-// Command fescue-entry faces callers on an entry VM.
+// Command fescue-entry serves callers on an entry VM.
 package main
 
 import (
@@ -6,7 +6,7 @@
 	"os"
 
 	"fescuestand/internal/clock"
-	_ "fescuestand/internal/driver/httpdriver"
+	_ "fescuestand/internal/driver/httpdriver" // registers the "http" drivers
 	"fescuestand/internal/entry"
 	"fescuestand/internal/kernel"
 	"fescuestand/internal/process"
@@ -15,10 +15,10 @@
 
 func main() {
 	about := "fescue-entry serves callers: it admits, queues, routes and streams their requests and runs their commits once."
-	os.Exit(kernel.Main("fescue-entry", about, os.Args[1:], wire))
+	os.Exit(kernel.Main("fescue-entry", about, os.Args[1:], wireUnits))
 }
 
-func wire(config string) (kernel.Options, []kernel.Unit, error) {
+func wireUnits(config string) (kernel.Options, []kernel.Unit, error) {
 	s, err := entry.Load(config)
 	if err != nil {
 		return kernel.Options{}, nil, err
--- a/cmd/fescue-node/main.go
+++ b/cmd/fescue-node/main.go
@@ -13,20 +13,20 @@
 	"fescuestand/platform"
 )
 
-// lastLines is the time for the log's last lines to be written.
-const lastLines = 100 * time.Millisecond
+// flushTimeout is the maximum wait for the last log lines to be written when the process ends.
+const flushTimeout = 100 * time.Millisecond
 
 func main() {
-	about := "fescue-node serves callers on the users' platform: it tells them where to connect, routes, streams and repeats."
+	about := "fescue-node serves callers on the users' platform: it advertises addresses, routes and streams requests, and retries failed ones."
 	args := os.Args[1:]
 	if path := platform.SettingsPath(); path != "" && len(args) == 0 {
 		args = []string{"--config", path}
 	}
 	events := eventlog.New(os.Stdout)
-	status := kernel.Main("fescue-node", about, args, func(config string) (kernel.Options, []kernel.Unit, error) {
+	exitCode := kernel.Main("fescue-node", about, args, func(config string) (kernel.Options, []kernel.Unit, error) {
 		log.SetHandler(events)
 		return platform.Wire(config, rand.Text())
 	})
-	events.Flush(lastLines)
-	os.Exit(status)
+	events.Flush(flushTimeout)
+	os.Exit(exitCode)
 }
--- a/cmd/fescue-standin/caller.go
+++ b/cmd/fescue-standin/caller.go
@@ -12,7 +12,7 @@
 )
 
 type callerCommand struct {
-	parsed
+	baseCommand
 	Entries       []string      `long:"entry" value-name:"IP:PORT" required:"true" description:"entry that is asked for addresses; may be repeated"`
 	Seed          uint64        `long:"seed" default:"1" description:"seed of the mix"`
 	For           time.Duration `long:"for" default:"15s" description:"how long new requests are sent"`
@@ -62,7 +62,7 @@
 		rep.Print(os.Stdout)
 	}
 	if !rep.Good(c.Strict) {
-		return kernel.ExitFailed, fmt.Errorf("not every answer was whole, right and honest, or none was on time")
+		return kernel.ExitFailed, fmt.Errorf("an answer was incomplete, wrong or misreported, or no answer was on time")
 	}
 	return kernel.ExitOK, nil
 }
--- a/cmd/fescue-standin/commands.go
+++ b/cmd/fescue-standin/commands.go
@@ -32,12 +32,12 @@
 	add("caller", "A caller that checks every answer.", &callerCommand{})
 }
 
-// serve runs a handler until the process is stopped.
+// serve serves HTTP requests with h until ctx ends.
 func serve(ctx context.Context, address string, h http.Handler) (int, error) {
-	return ended(httpjson.Serve(ctx, address, h))
+	return exitStatus(httpjson.Serve(ctx, address, h))
 }
 
-func ended(err error) (int, error) {
+func exitStatus(err error) (int, error) {
 	if err != nil {
 		return kernel.ExitFailed, err
 	}
@@ -45,7 +45,7 @@
 }
 
 type serviceCommand struct {
-	parsed
+	baseCommand
 	Listen      []string      `long:"listen" value-name:"IP:PORT" required:"true" description:"address of an endpoint; may be repeated"`
 	Operations  []string      `long:"operation" value-name:"NAME" description:"an operation; may be repeated; none: every operation"`
 	ServiceTime time.Duration `long:"service-time" default:"5ms" description:"time that one call takes"`
@@ -61,11 +61,11 @@
 		})
 		g.Go(func() error { return httpjson.Serve(ctx, address, s.Handler()) })
 	}
-	return ended(g.Wait())
+	return exitStatus(g.Wait())
 }
 
 type logCommand struct {
-	parsed
+	baseCommand
 	Listen      string        `long:"listen" value-name:"IP:PORT" required:"true" description:"address"`
 	Appends     float64       `long:"appends-per-second" default:"400" description:"appends taken a second; above: 429, not in the log"`
 	KeepTime    time.Duration `long:"keep-time" default:"1h" description:"retention by age"`
@@ -80,7 +80,7 @@
 }
 
 type vmListCommand struct {
-	parsed
+	baseCommand
 	Listen string        `long:"listen" value-name:"IP:PORT" required:"true" description:"address"`
 	VMs    []string      `long:"vm" value-name:"NAME,ZONE,CALLER,PEER,STATUS" description:"a VM at the start; may be repeated"`
 	Lag    time.Duration `long:"lag" default:"1s" description:"time until a change shows"`
@@ -101,7 +101,7 @@
 }
 
 type weightsCommand struct {
-	parsed
+	baseCommand
 	Listen string   `long:"listen" value-name:"IP:PORT" required:"true" description:"address"`
 	Rate   int64    `long:"rate" default:"1000000000" description:"bytes a second, all fetches together"`
 	Size   int64    `long:"size" default:"500000000" description:"bytes of a model version or adapter"`
--- a/cmd/fescue-standin/engine.go
+++ b/cmd/fescue-standin/engine.go
@@ -16,10 +16,10 @@
 	"fescuestand/internal/standin/engine"
 )
 
-const exitCrash = 70 // of an engine process that a fault crashed
+const exitCrash = 70 // exit code of an engine process that an injected fault crashed
 
 type engineCommand struct {
-	parsed
+	baseCommand
 	Listen       string        `long:"listen" value-name:"IP:PORT" description:"address of the engine"`
 	Engines      int           `long:"engines" default:"1" description:"engines in this process"`
 	BasePort     int           `long:"base-port" description:"port of the first engine on 127.0.0.1, in place of --listen"`
@@ -60,7 +60,7 @@
 		}
 		g.Go(func() error { return engine.New(cfg).Serve(ctx) })
 	}
-	return ended(g.Wait())
+	return exitStatus(g.Wait())
 }
 
 func (c *engineCommand) config(address string, loaded []driver.Loaded) engine.Config {
--- a/cmd/fescue-standin/main.go
+++ b/cmd/fescue-standin/main.go
@@ -1,6 +1,5 @@
-// Command fescue-standin takes the place of the outside world in tests and
-// first runs: engines, plain services, the platform's services and a caller.
-// It is no part of a deployment.
+// Command fescue-standin replaces external systems in tests and first runs: engines, plain services,
+// the platform's services and a caller. It is not part of a deployment.
 package main
 
 import (
@@ -25,7 +24,7 @@
 	"switch faults on.\n\nExit codes: 0 done, 1 failed while running (caller: an answer was wrong or cut), " +
 	"2 bad command line."
 
-// common flags stand before the subcommand.
+// common are the flags that precede the subcommand.
 type common struct {
 	Version func() `long:"version" description:"print the version and exit"`
 	Log     string `long:"log" choice:"debug" choice:"info" choice:"warn" choice:"error" default:"info" description:"lowest level that is logged"`
@@ -62,7 +61,7 @@
 	}
 }
 
-// exitError carries an exit code through the parser.
+// exitError passes an exit code through the flag parser.
 type exitError struct {
 	code int
 	err  error
@@ -103,9 +102,9 @@
 	}
 }
 
-// parsed is embedded by commands. The parser requires Execute of them, but its
-// command handler runs them.
-type parsed struct{}
+// baseCommand is embedded in commands to implement flags.Commander. The parser requires Execute, but
+// CommandHandler runs the commands instead.
+type baseCommand struct{}
 
 // Execute implements flags.Commander.
-func (parsed) Execute([]string) error { return nil }
+func (baseCommand) Execute([]string) error { return nil }
--- a/cmd/fescuectl/main.go
+++ b/cmd/fescuectl/main.go
@@ -1,11 +1,11 @@
-// Command fescuectl is for operators: it checks and publishes the sheet and
-// reads the state of the fleet.
+// Command fescuectl is the tool for operators: it checks and publishes the sheet and shows the state
+// of the fleet.
 package main
 
 import (
 	"os"
 
-	_ "fescuestand/internal/driver/httpdriver" // the "http" drivers
+	_ "fescuestand/internal/driver/httpdriver" // registers the "http" drivers
 
 	"fescuestand/internal/operator"
 )
