--- a/internal/driver/httpdriver/engine.go
+++ b/internal/driver/httpdriver/engine.go
@@ -29,7 +29,7 @@
 func (c *client) report(ctx context.Context) (driver.LoadReport, error) {
 	var r httpapi.Report
 	err := c.get(ctx, httpapi.PathReport, nil, &r)
-	return r.Driver(), err
+	return r.LoadReport(), err
 }
 
 // CacheEvents implements driver.Engine.
@@ -83,17 +83,17 @@
 
 func generateBody(req *driver.GenerateRequest) *httpapi.Generate {
 	return &httpapi.Generate{
-		Attempt:   req.Attempt,
-		Model:     req.Model,
-		Version:   req.Version,
-		Adapter:   req.Adapter,
-		Prompt:    req.Prompt,
-		MaxTokens: req.MaxTokens,
-		Seed:      req.Seed,
-		From:      req.From,
-		Prior:     req.Prior,
-		Priority:  req.Priority,
-		KV:        req.KV,
+		Attempt:       req.Attempt,
+		Model:         req.Model,
+		Version:       req.Version,
+		Adapter:       req.Adapter,
+		Prompt:        req.Prompt,
+		MaxTokens:     req.MaxTokens,
+		Seed:          req.Seed,
+		FirstPosition: req.FirstPosition,
+		PriorOutput:   req.PriorOutput,
+		Priority:      req.Priority,
+		KV:            req.KV,
 	}
 }
 
--- a/internal/operator/codes.go
+++ b/internal/operator/codes.go
@@ -20,7 +20,7 @@
 	for _, c := range slices.Sorted(maps.Keys(all)) {
 		info := all[c]
 		retryable := "no"
-		if info.Again {
+		if info.Retryable {
 			retryable = "yes"
 		}
 		fmt.Fprintf(&b, "| %d | `%s` | %d | %s | %s |\n", int(c), info.Name, info.Status, retryable, info.Text)
--- a/internal/standin/caller/mix.go
+++ b/internal/standin/caller/mix.go
@@ -79,7 +79,7 @@
 
 // longPrefix returns the prompt prefix that all long requests of a workspace share.
 func (c *Config) longPrefix(workspace string) string {
-	size := c.LongPrefixBlocks * httpapi.PieceBytes
+	size := c.LongPrefixBlocks * httpapi.BlockBytes
 	return words("manifest "+workspace, size/minWordBytes)[:size]
 }
 
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -113,7 +113,7 @@
 // startSequence computes how many prompt tokens remain to be prefilled after cache hits. A fetched KV
 // cache is imported concurrently with the batch if that is quicker than prefilling.
 func (r *run) startSequence(s *sequence, now time.Time) {
-	cached := r.cache.hits(s.blocks) * httpapi.PieceTokens
+	cached := r.cache.hits(s.blocks) * httpapi.BlockTokens
 	remaining := float64(s.promptTokens() - cached)
 	compute := remaining / r.cfg.PrefillRate
 	transfer := float64(kvBytes(s.req)) / float64(r.cfg.KVRate)
--- a/internal/standin/engine/batch_test.go
+++ b/internal/standin/engine/batch_test.go
@@ -72,7 +72,7 @@
 func TestCachedBlocksAreNotRecomputed(t *testing.T) {
 	r := testRun(t, Config{CacheBlocks: 3})
 	now := time.Now()
-	prompt := 2*httpapi.PieceTokens + 10
+	prompt := 2*httpapi.BlockTokens + 10
 	r.enqueueRequest(t, prompt, 0, nil)
 	for r.cache.free() == 3 {
 		r.stepOnce(now)
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -19,7 +19,7 @@
 }
 
 func blockKeys(req *httpapi.Generate) []blockKey {
-	blocks := httpapi.Pieces(req.Model, req.Prompt)
+	blocks := httpapi.BlockKeys(req.Model, req.Prompt)
 	keys := make([]blockKey, len(blocks))
 	for i, p := range blocks {
 		keys[i] = blockKey{req.Version, req.Adapter, p}
