--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -116,7 +116,7 @@
 // Do sends r to addr and returns once the final response's header has been read. When ctx ends,
 // the connection is closed, also while the body is being read.
 //
-// The error wraps driver.ErrNotSent if no byte of r was sent, otherwise driver.ErrCut: then r may
+// The error wraps driver.ErrNotSent if no byte of r was sent, otherwise driver.ErrConnectionLost: then r may
 // have run.
 func (p *Pool) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
 	c, err := p.acquire(ctx, addr, r.NoRetry)
