--- a/scenarios/await_test.go
+++ b/scenarios/await_test.go
@@ -23,14 +23,14 @@
 
 // awaitCondition waits for one condition:
 //
-//	await ready VM...              the entry takes requests
+//	await ready VM...              the entry accepts requests
 //	await in-force VERSION VM...   the entry uses this version or a higher one
-//	await holder ENGINE [not=VM]   somebody holds it; sets HOLDER and TOKEN
-//	await role ENGINE ROLE         by the engine's own word
-//	await loaded ENGINE MODEL/VERSION[/ADAPTER]
-//	await addresses VM with=VM2 | without=VM2
+//	await holder ENGINE [not=VM]   a VM holds the engine; sets HOLDER and TOKEN
+//	await role ENGINE ROLE         as reported by the engine
+//	await loaded ENGINE MODEL/VERSION[/ADAPTER]   as reported by the engine
+//	await addresses VM with=VM2 | without=VM2     VM2 is, or isn't, advertised to callers
 //	await line PROCESS REGEXP      in the process's log
-//	await executed KEY             at any endpoint of the plain service
+//	await executed KEY             an endpoint of the plain service executed it
 //	await exit PROCESS
 func awaitCondition(ts *testscript.TestScript, f *fleet, args []string) error {
 	kind, args := args[0], args[1:]
@@ -70,8 +70,8 @@
 	}
 }
 
-// get reads JSON from a loopback address.
-func get(addr, path string, v any) error {
+// getJSON decodes the JSON answer to a GET request into v.
+func getJSON(addr, path string, v any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
@@ -94,7 +94,7 @@
 		}
 		err = poll(what+" on "+name, func() (bool, error) {
 			var r status.Report
-			return get(v.status, status.PathStatus, &r) == nil && ok(&r), nil
+			return getJSON(v.status, status.PathStatus, &r) == nil && ok(&r), nil
 		})
 		if err != nil {
 			return err
@@ -110,7 +110,7 @@
 	}
 	return poll("holder of "+args[0], func() (bool, error) {
 		for _, v := range f.vms {
-			s, ok := v.holds(args[0])
+			s, ok := v.heldScope(args[0])
 			if ok && v.name != not {
 				ts.Setenv("HOLDER", v.name)
 				ts.Setenv("TOKEN", strconv.FormatUint(s.Token, 10))
@@ -121,10 +121,10 @@
 	})
 }
 
-// holds asks the VM's control process.
-func (v *vm) holds(engineName string) (status.Scope, bool) {
+// heldScope returns the scope of an engine if the VM's control process reports that it holds it.
+func (v *vm) heldScope(engineName string) (status.Scope, bool) {
 	var r status.Report
-	if get(v.ctrl, status.PathStatus, &r) != nil {
+	if getJSON(v.ctrl, status.PathStatus, &r) != nil {
 		return status.Scope{}, false
 	}
 	for _, s := range r.Scopes {
@@ -139,7 +139,7 @@
 	var s driver.EngineState
 	err := poll("wanted state of "+name, func() (bool, error) {
 		s = driver.EngineState{}
-		return get(f.stand[name], httpapi.PathState, &s) == nil && ok(&s), nil
+		return getJSON(f.standInAddr[name], httpapi.PathState, &s) == nil && ok(&s), nil
 	})
 	if err != nil {
 		return fmt.Errorf("%w; last state %+v", err, s)
@@ -169,7 +169,7 @@
 				Address string `json:"address"`
 			} `json:"addresses"`
 		}
-		if get(v.caller, "/v1/addresses", &answer) != nil {
+		if getJSON(v.caller, "/v1/addresses", &answer) != nil {
 			return false, nil
 		}
 		found := false
@@ -195,12 +195,12 @@
 	})
 }
 
-// executions counts the runs of each key over every endpoint.
+// executions returns how often each key was executed on all endpoints together.
 func (f *fleet) executions() (map[string]int, error) {
 	counts := map[string]int{}
 	for _, name := range f.services {
 		var e service.Executions
-		if err := get(f.stand[name], "/executions", &e); err != nil {
+		if err := getJSON(f.standInAddr[name], "/executions", &e); err != nil {
 			return nil, err
 		}
 		for key, x := range e.Keys {
@@ -212,6 +212,6 @@
 
 func (f *fleet) orders(name string) ([]engine.HistoryEntry, error) {
 	var h engine.HistoryAnswer
-	err := get(f.stand[name], "/history", &h)
+	err := getJSON(f.standInAddr[name], "/history", &h)
 	return h.Orders, err
 }
--- a/scenarios/call_test.go
+++ b/scenarios/call_test.go
@@ -18,31 +18,30 @@
 	"fescuestand/internal/driver/httpdriver/httpapi"
 )
 
-// answer is what one keyed call got.
+// answer is the outcome of one call with an idempotency key.
 type answer struct {
-	begin, end int // places of its start and end among all starts and ends
+	begin, end int // positions of its start and end in the order of all starts and ends
 	key        string
 	code       string
 	run        string
 }
 
-// request is one call as the scenario states it.
+// request is one call as specified by the scenario.
 type request struct {
 	method, path, body string
 	key                string
-	issued             time.Time // of the key, unless it was used before
-	until              string    // wanted run, if any
+	issued             time.Time // issue time of the key, unless the key was used before
+	wantRun            string    // value of run that ends the retries, if any
 	header             http.Header
 }
 
-// call sends one request through each named VM at the same time and prints a
-// line for each answer: vm=… status=… code=… run=… body=…
+// call sends one request through each named VM concurrently and prints a line for each answer:
+// vm=… status=… code=… run=… body=…
 //
 //	call VM[,VM...] PATH [key=K] [keys=N] [until=RUN] [deadline=MS] [issued=now|-1h] [body=JSON] [header:NAME=VALUE]
 //
-// With keys=N, the call is made for N keys K-1…K-N, all at once. A call that
-// gets no answer prints run=unknown code=none. With until=ran, each call is
-// sent again until its answer says so.
+// With keys=N, the call is made for N keys K-1…K-N concurrently. A call without an answer prints
+// run=unknown code=none. With until=RUN, each call is retried until its answer has that run value.
 func call(ts *testscript.TestScript, f *fleet, args []string) error {
 	vms := strings.Split(args[0], ",")
 	reqs, err := parseCalls(args[1], args[2:])
@@ -89,7 +88,7 @@
 		case key == "body":
 			r.body = value
 		case key == "until":
-			r.until = value
+			r.wantRun = value
 		case key == "method":
 			r.method = value
 		case strings.HasPrefix(key, "header:"):
@@ -100,33 +99,34 @@
 		}
 	}
 	r.issued = issued
-	return spread(r, keys), nil
+	return requestsForKeys(r, keys), nil
 }
 
-// spread makes one request for each of n keys.
-func spread(r request, n int) []request {
+// requestsForKeys returns one request for each of n keys.
+func requestsForKeys(r request, n int) []request {
 	if n == 0 {
 		return []request{r}
 	}
 	var out []request
 	for i := range n {
-		one := r
-		one.key = fmt.Sprintf("%s-%d", r.key, i+1)
-		out = append(out, one)
+		keyed := r
+		keyed.key = fmt.Sprintf("%s-%d", r.key, i+1)
+		out = append(out, keyed)
 	}
 	return out
 }
 
 var answersMu sync.Mutex
 
-// callUntil ends with the last answer when the wanted one does not come.
+// callUntil retries the request until its answer has the wanted run value. It returns the line of the
+// last answer, also after a timeout.
 func (f *fleet) callUntil(v *vm, r request) string {
 	line := f.callOne(v, r)
-	if r.until == "" {
+	if r.wantRun == "" {
 		return line
 	}
-	_ = poll("run="+r.until, func() (bool, error) {
-		if strings.Contains(line, "run="+r.until+" ") {
+	_ = poll("run="+r.wantRun, func() (bool, error) {
+		if strings.Contains(line, "run="+r.wantRun+" ") {
 			return true, nil
 		}
 		line = f.callOne(v, r)
@@ -159,7 +159,7 @@
 	return fmt.Sprintf("vm=%s key=%s status=%d code=%s run=%s body=%s", v.name, r.key, status, a.code, a.run, body)
 }
 
-// exchange sends the request and fills in what the answer says.
+// exchange sends the request and sets the code and the run value of a from the answer.
 func exchange(addr string, r request, a *answer) (status int, body string) {
 	req, err := http.NewRequest(r.method, "http://"+addr+r.path, strings.NewReader(r.body))
 	if err != nil {
@@ -169,7 +169,7 @@
 	if r.key != "" {
 		req.Header.Set("Idempotency-Key", r.key)
 	}
-	req.GetBody = nil // no silent second try by net/http
+	req.GetBody = nil // keeps net/http from retrying by itself
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, err.Error()
@@ -190,8 +190,8 @@
 	return resp.StatusCode, string(bytes.TrimSpace(text))
 }
 
-// order sends an order straight to an engine, as a process without authority
-// would: order ENGINE TOKEN role ROLE.
+// order sends an order directly to an engine, like a process without authority over it:
+// order ENGINE TOKEN role ROLE.
 func order(_ *testscript.TestScript, f *fleet, args []string) error {
 	token, err := strconv.ParseUint(args[1], 10, 64)
 	if err != nil {
--- a/scenarios/check_test.go
+++ b/scenarios/check_test.go
@@ -10,14 +10,14 @@
 	"fescuestand/internal/standin/engine"
 )
 
-// check judges the histories that the stand-ins kept:
+// check checks the histories that the stand-ins recorded:
 //
-//	check orders [ENGINE...]   no two orders in effect at once, no token below
-//	                           an earlier one in effect, no stream cut
-//	check commits              per key at most one execution, and every answer
-//	                           that "call" got agrees with the count
-//	check running N      at least N engines were not lost
-//	check history              lists the orders, for a failed scenario's reader
+//	check orders [ENGINE...]   no two orders were carried out at the same time, none took
+//	                           effect after one with a higher token, none cut a stream off
+//	check commits              each key was executed at most once, and every answer to
+//	                           "call" agrees with the number of executions
+//	check running N            at least N engines are running
+//	check history              logs the orders, to diagnose a failed scenario
 func check(ts *testscript.TestScript, f *fleet, args []string) error {
 	switch args[0] {
 	case "orders":
@@ -63,16 +63,16 @@
 	for i := range orders {
 		o := &orders[i]
 		if o.Effect == engine.EffectStale {
-			continue // refused: it changed nothing
+			continue // rejected by the engine, without effect
 		}
 		if o.Overlap || o.Effect == engine.EffectConflict {
-			return fmt.Errorf("order %s (token %d) began while another was carried out", o.ID, o.Fence)
+			return fmt.Errorf("order %s (token %d) began while another order was carried out", o.ID, o.Fence)
 		}
 		if o.Fence < highest {
 			return fmt.Errorf("order %s with token %d took effect after token %d", o.ID, o.Fence, highest)
 		}
 		if o.StreamsCut > 0 {
-			return fmt.Errorf("order %s cut %d requests off", o.ID, o.StreamsCut)
+			return fmt.Errorf("order %s cut off %d requests", o.ID, o.StreamsCut)
 		}
 		highest = o.Fence
 	}
@@ -81,9 +81,9 @@
 
 var keyReused = strconv.Itoa(int(code.KeyReused))
 
-// checkCommits compares every answer with what the endpoints executed. The
-// executions are read after the answers, so a "not-run" that is followed by a
-// late run shows too, if the scenario lets the late run happen first.
+// checkCommits compares every answer with the executions on the endpoints. These are read after the
+// answers, so the check also finds a "not-run" that a late execution contradicts, if the scenario waits
+// for that execution.
 func (f *fleet) checkCommits() error {
 	counts, err := f.executions()
 	if err != nil {
@@ -96,22 +96,22 @@
 	}
 	for _, a := range f.answers {
 		if a.code == keyReused {
-			continue // the key ran with its first body, this one did not
+			continue // the key ran with its first body, and this request had another one
 		}
 		switch n := counts[a.key]; {
 		case a.run == "ran" && n != 1:
 			return fmt.Errorf("key %s was answered as ran (code %s) and executed %d times", a.key, a.code, n)
-		case a.run == "not-run" && n > 0 && !f.otherRan(a):
+		case a.run == "not-run" && n > 0 && !f.explainedByOtherAttempt(a):
 			return fmt.Errorf("key %s was answered as not run (code %s) and executed", a.key, a.code)
 		}
 	}
 	return nil
 }
 
-// otherRan tells whether another sending of the same key may explain an
-// execution beside a "not-run" answer: one that was not over when this one
-// began. An earlier one that was over does not: this one had to know of it.
-func (f *fleet) otherRan(a answer) bool {
+// explainedByOtherAttempt reports whether another attempt with the same key may have caused the
+// execution although a was answered "not-run". Only an attempt that ended after a began can: the outcome
+// of one that ended earlier is recorded, so the answer to a must agree with it.
+func (f *fleet) explainedByOtherAttempt(a answer) bool {
 	for _, b := range f.answers {
 		if b.key == a.key && b.end > a.begin && b.run != "not-run" {
 			return true
@@ -120,8 +120,8 @@
 	return false
 }
 
-func (f *fleet) checkRunning(least string) error {
-	n, err := strconv.Atoi(least)
+func (f *fleet) checkRunning(minText string) error {
+	n, err := strconv.Atoi(minText)
 	if err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 		}
 	}
 	if running < n {
-		return fmt.Errorf("%d of %d engines run, at least %d should", running, len(f.engines), n)
+		return fmt.Errorf("%d of %d engines are running, want at least %d", running, len(f.engines), n)
 	}
 	return nil
 }
--- a/scenarios/commands_test.go
+++ b/scenarios/commands_test.go
@@ -18,15 +18,16 @@
 	"fescuestand/internal/driver/httpdriver/httpapi"
 )
 
-type verb func(ts *testscript.TestScript, f *fleet, args []string) error
+// commandFunc runs one command of a scenario.
+type commandFunc func(ts *testscript.TestScript, f *fleet, args []string) error
 
-// commands are the scenario language's own commands.
+// commands returns the commands that scenarios have in addition to those of testscript.
 func commands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	out := map[string]func(ts *testscript.TestScript, neg bool, args []string){
 		"ctl":     ctl,
 		"traffic": trafficCommand,
 	}
-	for name, v := range map[string]verb{
+	for name, v := range map[string]commandFunc{
 		"fleet":  buildFleet,
 		"start":  start,
 		"crash":  crash,
@@ -43,12 +44,13 @@
 		"order":  order,
 		"pause":  pause,
 	} {
-		out[name] = plain(name, v)
+		out[name] = withNegation(name, v)
 	}
 	return out
 }
 
-func plain(name string, v verb) func(ts *testscript.TestScript, neg bool, args []string) {
+// withNegation makes a command that must fail if it is negated with "!".
+func withNegation(name string, v commandFunc) func(ts *testscript.TestScript, neg bool, args []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		err := v(ts, fleetOf(ts), args)
 		if neg {
@@ -66,15 +68,15 @@
 func fleetOf(ts *testscript.TestScript) *fleet { return ts.Value(fleetKey{}).(*fleet) }
 
 func buildFleet(_ *testscript.TestScript, f *fleet, args []string) error {
-	p, err := parsePlan(args)
+	c, err := parseFleetConfig(args)
 	if err != nil {
 		return err
 	}
-	return f.build(p)
+	return f.build(c)
 }
 
-// start runs processes by name: entry-VM, control-VM, a stand-in after a kill,
-// or "all" for every VM's two processes.
+// start starts processes by name: entry-VM, control-VM, a stand-in that was killed, or "all" for both
+// processes of every VM.
 func start(_ *testscript.TestScript, f *fleet, names []string) error {
 	if len(names) == 1 && names[0] == "all" {
 		names = nil
@@ -103,10 +105,10 @@
 	if err := p.start(); err != nil {
 		return err
 	}
-	return awaitListen(f.stand[name])
+	return awaitListen(f.standInAddr[name])
 }
 
-// crash ends processes by SIGKILL.
+// crash kills processes with SIGKILL.
 func crash(_ *testscript.TestScript, f *fleet, names []string) error {
 	for _, name := range names {
 		p, err := f.process(name)
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// term stops processes gracefully, all at once, and checks their exit code.
+// term sends SIGTERM to all processes at once, waits for their exit and fails unless the exit code is 0.
 func term(_ *testscript.TestScript, f *fleet, names []string) error {
 	for _, name := range names {
 		p, err := f.process(name)
@@ -141,7 +143,7 @@
 	return nil
 }
 
-func signalWith(s syscall.Signal) verb {
+func signalWith(s syscall.Signal) commandFunc {
 	return func(_ *testscript.TestScript, f *fleet, names []string) error {
 		for _, name := range names {
 			p, err := f.process(name)
@@ -156,9 +158,9 @@
 	}
 }
 
-// setCut parts the network: "cut e1" takes a stand-in away from everybody,
-// "cut vm2:peer" a VM from its peers, "cut vm2:log" a VM from the log.
-func setCut(cut bool) verb {
+// setCut starts or ends a network partition: "cut e1" isolates a stand-in from all VMs, "cut vm2:peer"
+// a VM from its peers, "cut vm2:log" a VM from the log.
+func setCut(cut bool) commandFunc {
 	return func(_ *testscript.TestScript, f *fleet, names []string) error {
 		for _, name := range names {
 			if vmName, ok := strings.CutSuffix(name, ":log"); ok {
@@ -169,7 +171,7 @@
 			}
 			r, ok := f.relays[name]
 			if !ok {
-				return fmt.Errorf("nothing to cut at %q", name)
+				return fmt.Errorf("no relay %q to cut", name)
 			}
 			r.Cut(cut)
 		}
@@ -184,7 +186,7 @@
 	return f.post("log", "/fault", map[string]any{"name": "cut", "client": vmName, "count": 1, "for": "1ns"})
 }
 
-// fault switches a stand-in's fault on: fault STANDIN NAME [key=value ...].
+// fault enables a fault of a stand-in: fault STANDIN NAME [key=value ...].
 func fault(_ *testscript.TestScript, f *fleet, args []string) error {
 	body := map[string]any{"name": args[1]}
 	for _, a := range args[2:] {
@@ -200,14 +202,14 @@
 }
 
 func (f *fleet) post(standIn, path string, body any) error {
-	addr, ok := f.stand[standIn]
+	addr, ok := f.standInAddr[standIn]
 	if !ok {
 		return fmt.Errorf("no stand-in %q", standIn)
 	}
-	return send(http.MethodPost, addr, path, body)
+	return sendJSON(http.MethodPost, addr, path, body)
 }
 
-func send(method, addr, path string, body any) error {
+func sendJSON(method, addr, path string, body any) error {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -231,20 +233,19 @@
 func (f *fleet) publishVMList() error { return f.putVMList(nil) }
 
 func (f *fleet) putVMList(leaving []string) error {
-	list := f.records()
+	list := f.vmRecords()
 	for i := range list {
 		for _, name := range leaving {
 			list[i].Leaving = list[i].Leaving || list[i].Name == name
 		}
 	}
-	return send(http.MethodPut, f.stand["vmlist"], httpapi.PathVMs, httpapi.VMs{VMs: list})
+	return sendJSON(http.MethodPut, f.standInAddr["vmlist"], httpapi.PathVMs, httpapi.VMs{VMs: list})
 }
 
-// leave marks VMs as leaving in the VM list; without names, none is leaving.
+// leave marks the named VMs as leaving in the VM list, and all others as not leaving.
 func leave(_ *testscript.TestScript, f *fleet, names []string) error { return f.putVMList(names) }
 
-// pause waits. It is for letting a fault last, never for guessing that
-// something has happened by then.
+// pause waits for a fixed time. It keeps a fault active for that time; to wait for an event, use await.
 func pause(_ *testscript.TestScript, _ *fleet, args []string) error {
 	d, err := time.ParseDuration(args[0])
 	if err == nil {
@@ -255,8 +256,8 @@
 
 var acceptedVersion = regexp.MustCompile(`accepted version=(\d+)`)
 
-// ctl runs fescuectl with the fleet's settings. After an accepted publish the
-// variable VERSION holds the version.
+// ctl runs fescuectl with the fleet's settings. After an accepted publish it sets the variable VERSION
+// to the new version.
 func ctl(ts *testscript.TestScript, neg bool, args []string) {
 	f := fleetOf(ts)
 	full := append([]string{args[0]}, "--config", filepath.Join(f.dir, "ctl.jsonc"))
--- a/scenarios/fleet_test.go
+++ b/scenarios/fleet_test.go
@@ -16,20 +16,20 @@
 	"fescuestand/internal/standin/relay"
 )
 
-// fleet is what one scenario runs: stand-ins, VMs and the relays between them.
+// fleet holds the stand-ins and VMs that one scenario runs, and the relays between them.
 type fleet struct {
-	dir       string
-	processes map[string]*process
-	order     []string // processes in the order of their first start
-	relays    map[string]*relay.Relay
-	stand     map[string]string // stand-in name to its own address
-	vms       []*vm
-	engines   []string
-	services  []string
-	traffic   map[string]*traffic
-	calls     int               // starts and ends so far
-	answers   []answer          // of calls with a key
-	issued    map[string]string // issue time of each key, in Unix ms: a resend keeps it
+	dir         string
+	processes   map[string]*process
+	order       []string // processes in the order of their first start
+	relays      map[string]*relay.Relay
+	standInAddr map[string]string // address of each stand-in behind its relay
+	vms         []*vm
+	engines     []string
+	services    []string
+	traffic     map[string]*traffic
+	calls       int               // number of starts and ends of calls, which orders them
+	answers     []answer          // of calls with a key
+	issued      map[string]string // issue time of each key in Unix ms; a retry with the same key repeats it
 }
 
 // vm is one entry VM: two processes and their addresses.
@@ -41,7 +41,7 @@
 func newFleet(dir string) *fleet {
 	return &fleet{
 		dir: dir, processes: map[string]*process{}, relays: map[string]*relay.Relay{},
-		stand: map[string]string{}, traffic: map[string]*traffic{}, issued: map[string]string{},
+		standInAddr: map[string]string{}, traffic: map[string]*traffic{}, issued: map[string]string{},
 	}
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// failOnRace fails the scenario if a process has reported a data race.
+// failOnRace fails the scenario if the log of a process contains a data race report.
 func (f *fleet) failOnRace(t testscript.T) {
 	for _, p := range f.processes {
 		b, err := os.ReadFile(p.log)
@@ -67,10 +67,10 @@
 	}
 }
 
-// run starts a process under a name that the scenario can refer to.
+// run starts a process under the name that scenario commands use.
 func (f *fleet) run(name string, args ...string) error {
 	if p, ok := f.processes[name]; ok && p.running() {
-		return fmt.Errorf("%s runs already", name)
+		return fmt.Errorf("%s is already running", name)
 	}
 	p := &process{name: name, args: args, log: filepath.Join(f.dir, name+".log")}
 	f.processes[name] = p
@@ -80,16 +80,16 @@
 	return p.start()
 }
 
-// standIn starts one stand-in behind a relay and waits until it answers.
+// standIn starts one stand-in behind a relay and waits until it accepts connections.
 func (f *fleet) standIn(name, kind string, args ...string) error {
-	addr, ok := f.stand[name]
+	addr, ok := f.standInAddr[name]
 	if !ok {
 		addr = loopback.FreeAddress()
 		r, err := relay.New(addr)
 		if err != nil {
 			return err
 		}
-		f.stand[name], f.relays[name] = addr, r
+		f.standInAddr[name], f.relays[name] = addr, r
 	}
 	full := append([]string{"fescue-standin", kind, "--listen", addr}, args...)
 	if err := f.run(name, full...); err != nil {
@@ -98,14 +98,14 @@
 	return awaitListen(addr)
 }
 
-// reach returns the address at which the system reaches a stand-in.
-func (f *fleet) reach(name string) string { return f.relays[name].Addr() }
+// relayAddr returns the address of a relay, at which the system reaches the stand-in behind it.
+func (f *fleet) relayAddr(name string) string { return f.relays[name].Addr() }
 
 func (f *fleet) process(name string) (*process, error) {
 	if p, ok := f.processes[name]; ok {
 		return p, nil
 	}
-	return nil, fmt.Errorf("no process %q; there are: %s", name, strings.Join(f.order, ", "))
+	return nil, fmt.Errorf("no process %q; known processes: %s", name, strings.Join(f.order, ", "))
 }
 
 func (f *fleet) vm(name string) (*vm, error) {
@@ -128,14 +128,14 @@
 
 func (f *fleet) target(standIn, client string) map[string]any {
 	return map[string]any{
-		"driver": "http", "address": f.reach(standIn), "options": map[string]string{"client": client},
+		"driver": "http", "address": f.relayAddr(standIn), "options": map[string]string{"client": client},
 	}
 }
 
-func (f *fleet) records() []httpapi.VM {
+func (f *fleet) vmRecords() []httpapi.VM {
 	var list []httpapi.VM
 	for _, v := range f.vms {
-		list = append(list, httpapi.VM{Name: v.name, Zone: v.zone, Caller: v.caller, Peer: f.reach(v.name + ":peer"), Status: v.status})
+		list = append(list, httpapi.VM{Name: v.name, Zone: v.zone, Caller: v.caller, Peer: f.relayAddr(v.name + ":peer"), Status: v.status})
 	}
 	return list
 }
--- a/scenarios/main_test.go
+++ b/scenarios/main_test.go
@@ -1,5 +1,9 @@
-// Package scenarios runs the end-to-end scenarios of the promises with real
-// processes on loopback. README.md describes the language.
+// Package scenarios tests the guarantees of the system end to end, with real processes on loopback.
+// TestScenarios runs the scripts *.txtar; README.md describes their commands. TestSoak injects random
+// faults under load and checks what callers and endpoints observed.
+//
+// Stand-ins (package internal/standin and platform/standin) replace the systems outside: engines,
+// services, the log, the VM list and the weight store.
 package scenarios
 
 import (
@@ -12,10 +16,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// The binaries are built with the race detector, whose reports end up in the
-// processes' logs.
-
-// binaries is the folder with the programs under test.
+// binaries is the folder with the programs under test. They are built with the race detector, which
+// writes its reports to the logs of the processes.
 var binaries string
 
 func TestMain(m *testing.M) {
--- a/scenarios/process_test.go
+++ b/scenarios/process_test.go
@@ -18,8 +18,8 @@
 	exited chan struct{}
 }
 
-// start runs the program; its output is appended to NAME.log, so that a
-// restart's output follows that of the earlier one.
+// start starts the program. Its output is appended to NAME.log, so that the output after a restart
+// follows that before it.
 func (p *process) start() error {
 	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -58,16 +58,16 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// exitWait bounds the wait for a process that was told to stop. It only ends
-// a hung scenario; no verdict depends on how long a stop takes.
-const exitWait = 2 * time.Minute
+// exitTimeout bounds the wait for the exit of a process. It only ends a scenario that hangs; no check
+// depends on how long a shutdown takes.
+const exitTimeout = 2 * time.Minute
 
 func (p *process) await() (status int, err error) {
 	select {
 	case <-p.exited:
 		return p.cmd.ProcessState.ExitCode(), nil
-	case <-time.After(exitWait):
-		return 0, fmt.Errorf("%s did not exit within %s", p.name, exitWait)
+	case <-time.After(exitTimeout):
+		return 0, fmt.Errorf("%s did not exit within %s", p.name, exitTimeout)
 	}
 }
 
--- a/scenarios/setup_test.go
+++ b/scenarios/setup_test.go
@@ -13,11 +13,11 @@
 	"fescuestand/internal/standin/relay"
 )
 
-// plan is what the fleet command was asked for.
-type plan struct {
+// fleetConfig holds the arguments of the fleet command.
+type fleetConfig struct {
 	vms, engines, services int
 	fence                  string // check, ignore or mixed
-	planned                bool   // the planner may change roles
+	planned                bool   // role planning is enabled
 	engineArgs             []string
 	serviceArgs            []string
 	logArgs                []string
@@ -25,53 +25,53 @@
 	commitWindow           string
 }
 
-func parsePlan(args []string) (plan, error) {
-	p := plan{vms: 3, engines: 4, services: 2, fence: "check", vmLag: "200ms", commitWindow: "5m"}
+func parseFleetConfig(args []string) (fleetConfig, error) {
+	c := fleetConfig{vms: 3, engines: 4, services: 2, fence: "check", vmLag: "200ms", commitWindow: "5m"}
 	for _, a := range args {
 		key, value, _ := strings.Cut(a, "=")
 		var err error
 		switch key {
 		case "vms":
-			p.vms, err = strconv.Atoi(value)
+			c.vms, err = strconv.Atoi(value)
 		case "engines":
-			p.engines, err = strconv.Atoi(value)
+			c.engines, err = strconv.Atoi(value)
 		case "services":
-			p.services, err = strconv.Atoi(value)
+			c.services, err = strconv.Atoi(value)
 		case "fence":
-			p.fence = value
+			c.fence = value
 		case "planned":
-			p.planned, err = strconv.ParseBool(value)
+			c.planned, err = strconv.ParseBool(value)
 		case "engine":
-			p.engineArgs = append(p.engineArgs, "--"+value)
+			c.engineArgs = append(c.engineArgs, "--"+value)
 		case "service":
-			p.serviceArgs = append(p.serviceArgs, "--"+value)
+			c.serviceArgs = append(c.serviceArgs, "--"+value)
 		case "log":
-			p.logArgs = append(p.logArgs, "--"+value)
+			c.logArgs = append(c.logArgs, "--"+value)
 		case "vm-lag":
-			p.vmLag = value
+			c.vmLag = value
 		case "commit-window":
-			p.commitWindow = value
+			c.commitWindow = value
 		default:
 			err = fmt.Errorf("unknown key")
 		}
 		if err != nil {
-			return p, fmt.Errorf("fleet: %s: %w", a, err)
+			return c, fmt.Errorf("fleet: %s: %w", a, err)
 		}
 	}
-	return p, nil
+	return c, nil
 }
 
 var zones = []string{"north", "south", "west"}
 
-// build starts the stand-ins and writes the settings and the sheet.
-func (f *fleet) build(p plan) error {
-	if err := f.startPlatform(p); err != nil {
+// build starts the stand-ins, adds the VMs and writes the settings and the sheet.
+func (f *fleet) build(c fleetConfig) error {
+	if err := f.startPlatform(c); err != nil {
 		return err
 	}
-	if err := f.startEndpoints(p); err != nil {
+	if err := f.startEndpoints(c); err != nil {
 		return err
 	}
-	for i := range p.vms {
+	for i := range c.vms {
 		if err := f.addVM(fmt.Sprintf("vm%d", i+1), zones[i%len(zones)]); err != nil {
 			return err
 		}
@@ -86,43 +86,44 @@
 	if err := f.writeJSON("ctl.jsonc", ctl); err != nil {
 		return err
 	}
-	return f.writeJSON("sheet.jsonc", f.sheet(p))
+	return f.writeJSON("sheet.jsonc", f.sheet(c))
 }
 
-func (f *fleet) startPlatform(p plan) error {
-	if err := f.standIn("log", "log", p.logArgs...); err != nil {
+func (f *fleet) startPlatform(c fleetConfig) error {
+	if err := f.standIn("log", "log", c.logArgs...); err != nil {
 		return err
 	}
-	if err := f.standIn("vmlist", "vmlist", "--lag", p.vmLag); err != nil {
+	if err := f.standIn("vmlist", "vmlist", "--lag", c.vmLag); err != nil {
 		return err
 	}
 	return f.standIn("weights", "weights")
 }
 
-func (f *fleet) startEndpoints(p plan) error {
-	for i := range p.engines {
+func (f *fleet) startEndpoints(c fleetConfig) error {
+	for i := range c.engines {
 		name := fmt.Sprintf("e%d", i+1)
 		f.engines = append(f.engines, name)
-		fence := p.fence
+		fence := c.fence
 		if fence == "mixed" {
 			fence = []string{"check", "ignore"}[i%2]
 		}
-		args := append([]string{"--fence", fence, "--load", "m/v1", "--role-change", "500ms", "--weights", f.reach("weights")}, p.engineArgs...)
+		args := append([]string{"--fence", fence, "--load", "m/v1", "--role-change", "500ms", "--weights", f.relayAddr("weights")}, c.engineArgs...)
 		if err := f.standIn(name, "engine", args...); err != nil {
 			return err
 		}
 	}
-	for i := range p.services {
+	for i := range c.services {
 		name := fmt.Sprintf("s%d", i+1)
 		f.services = append(f.services, name)
-		if err := f.standIn(name, "service", p.serviceArgs...); err != nil {
+		if err := f.standIn(name, "service", c.serviceArgs...); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// addVM gives a VM its addresses and writes the settings of its processes.
+// addVM allocates the addresses of a VM, puts a relay before its peer address and writes the settings
+// of its two processes.
 func (f *fleet) addVM(name, zone string) error {
 	v := &vm{name: name, zone: zone, caller: loopback.FreeAddress(), peer: loopback.FreeAddress(), status: loopback.FreeAddress(), ctrl: loopback.FreeAddress()}
 	f.vms = append(f.vms, v)
@@ -137,8 +138,8 @@
 	return f.writeJSON("control-"+name+".jsonc", f.nodeSettings(v, v.ctrl, false))
 }
 
-// nodeSettings uses times scaled down by about four, so that lapses and
-// takeovers fit into a scenario.
+// nodeSettings returns the settings of one process. Timeouts are scaled down by a factor of about
+// four, so that lease expiry and takeover fit into a scenario.
 func (f *fleet) nodeSettings(v *vm, status string, entry bool) map[string]any {
 	addresses := map[string]string{"status": status}
 	if entry {
@@ -154,29 +155,29 @@
 	}
 }
 
-func (f *fleet) sheet(p plan) *sheet.Sheet {
+func (f *fleet) sheet(c fleetConfig) *sheet.Sheet {
 	s := &sheet.Sheet{Deployment: "scenario", Pools: []sheet.Pool{{
 		Name: "labels", Model: "m", Version: "v1", MaxAwayShare: 0.5, Engines: f.engines,
-		Roles: sheet.Roles{Planned: p.planned, MaxChangesPerHour: 60},
+		Roles: sheet.Roles{Planned: c.planned, MaxChangesPerHour: 60},
 	}}}
-	if p.planned {
+	if c.planned {
 		s.Pools[0].Roles.MinPrefill, s.Pools[0].Roles.MinDecode = 1, 1
 	}
 	for i, name := range f.engines {
-		checks := p.fence == "check" || p.fence == "mixed" && i%2 == 0
+		checks := c.fence == "check" || c.fence == "mixed" && i%2 == 0
 		s.Engines = append(s.Engines, sheet.Engine{
-			Name: name, Zone: zones[i%len(zones)], Driver: "http", Address: f.reach(name), ChecksFence: checks,
+			Name: name, Zone: zones[i%len(zones)], Driver: "http", Address: f.relayAddr(name), ChecksFence: checks,
 		})
 	}
 	s.Services = []sheet.Service{{Name: "trace", Driver: "http", Operations: []sheet.Operation{
 		{Name: "lookup", Idempotent: true}, {Name: "commit"},
 	}}}
 	for i, name := range f.services {
-		s.Services[0].Endpoints = append(s.Services[0].Endpoints, sheet.ServiceEndpoint{Name: name, Zone: zones[i%len(zones)], Address: f.reach(name)})
+		s.Services[0].Endpoints = append(s.Services[0].Endpoints, sheet.ServiceEndpoint{Name: name, Zone: zones[i%len(zones)], Address: f.relayAddr(name)})
 	}
 	s.Classes = []sheet.Class{class("question", 2, 10*time.Second), class("draft", 1, 30*time.Second)}
 	s.Limits = sheet.Limits{MaxBody: 1 << 20, MaxTokens: 2000, WorkspaceShare: 1, QueuePerEngine: 32}
-	_ = s.Limits.CommitWindow.UnmarshalText([]byte(p.commitWindow))
+	_ = s.Limits.CommitWindow.UnmarshalText([]byte(c.commitWindow))
 	return s
 }
 
@@ -187,7 +188,7 @@
 	}
 }
 
-// awaitListen waits until somebody listens on addr.
+// awaitListen waits until addr accepts connections.
 func awaitListen(addr string) error {
 	return poll("a listener on "+addr, func() (bool, error) {
 		conn, err := net.DialTimeout("tcp", addr, time.Second)
@@ -199,21 +200,21 @@
 }
 
 const (
-	pollEvery = 20 * time.Millisecond
-	pollLimit = 60 * time.Second // ends a hung scenario only
+	pollInterval = 20 * time.Millisecond
+	pollTimeout  = 60 * time.Second // only ends a scenario that hangs
 )
 
-// poll waits until ok. Its limit is no assertion on speed.
+// poll waits until ok returns true. Its timeout doesn't check the speed of the system.
 func poll(what string, ok func() (bool, error)) error {
-	deadline := time.Now().Add(pollLimit)
+	deadline := time.Now().Add(pollTimeout)
 	for {
 		met, err := ok()
 		if err != nil || met {
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("still no %s after %s", what, pollLimit)
+			return fmt.Errorf("waiting for %s timed out after %s", what, pollTimeout)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
--- a/scenarios/soak_callers_test.go
+++ b/scenarios/soak_callers_test.go
@@ -17,25 +17,25 @@
 
 // The routes of the soak.
 const (
-	resumable = "/resumable/" // a stream that may go on at another engine
-	once      = "/once/"      // a stream that may not
-	pay       = "/pay/"       // a call that may run once
-	reads     = "/reads/"     // a call that may run twice
+	pathResumable = "/resumable/" // a stream that may be resumed on another engine
+	pathOnce      = "/once/"      // a stream that may not be resumed
+	pathPay       = "/pay/"       // a non-idempotent call, which may run only once
+	pathReads     = "/reads/"     // an idempotent call, which may be retried
 )
 
 const (
 	soakCallers = 8
-	// soakPatience is how long a caller waits for an answer.
-	soakPatience = 4 * time.Second
-	soakPause    = 30 * time.Millisecond
+	// callerTimeout is the maximum time that a caller waits for an answer.
+	callerTimeout   = 4 * time.Second
+	requestInterval = 30 * time.Millisecond
 )
 
-// soakAnswer is what a caller saw of a request.
+// soakAnswer is the outcome of a request as observed by its caller.
 type soakAnswer struct {
 	id, path, vm   string
-	status         int  // zero without an answer
-	whole          bool // the answer is complete and the request's own
-	wrong          string
+	status         int  // 0 if there was no answer
+	complete       bool // the answer is complete and belongs to the request
+	problem        string
 	sent, answered time.Time
 	err            error
 }
@@ -51,31 +51,31 @@
 			defer c.http.CloseIdleConnections()
 			for n := 0; ctx.Err() == nil; n++ {
 				c.send(n)
-				time.Sleep(soakPause)
+				time.Sleep(requestInterval)
 			}
 		})
 	}
 }
 
-// soakCaller is one caller with its kept connections and addresses.
+// soakCaller is one caller with its connection pool and resolved addresses.
 type soakCaller struct {
 	s         *soak
 	name      string
 	rng       *rand.Rand
 	http      *http.Client
 	addresses []string
-	until     time.Time
+	expires   time.Time
 }
 
-// address asks a VM where to connect, once the last answer is too old.
+// address returns a random address of the last resolution and resolves again after it has expired.
 func (c *soakCaller) address() string {
-	if time.Now().After(c.until) {
+	if time.Now().After(c.expires) {
 		if list, ttl := c.resolve(); len(list) > 0 {
 			keep := time.Duration(ttl * float64(time.Second))
 			if c.rng.IntN(3) == 0 {
-				keep *= 3 // some callers keep answers for longer than they should
+				keep *= 3 // some callers use addresses for longer than their TTL allows
 			}
-			c.addresses, c.until = list, time.Now().Add(keep)
+			c.addresses, c.expires = list, time.Now().Add(keep)
 		}
 	}
 	if len(c.addresses) == 0 {
@@ -112,7 +112,7 @@
 	if at == "" {
 		return
 	}
-	path := []string{resumable, once, pay, reads}[c.rng.IntN(4)]
+	path := []string{pathResumable, pathOnce, pathPay, pathReads}[c.rng.IntN(4)]
 	a := soakAnswer{id: fmt.Sprintf("%s-%d", c.name, n), path: path, vm: at, sent: time.Now()}
 	c.exchange(&a)
 	a.answered = time.Now()
@@ -122,9 +122,9 @@
 }
 
 func (c *soakCaller) exchange(a *soakAnswer) {
-	ctx, cancel := context.WithTimeout(context.Background(), soakPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
-	// A body that can't be read again keeps the client from repeating.
+	// A body that can't be read twice keeps the HTTP client from retrying.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.vm+a.path, io.NopCloser(strings.NewReader("x")))
 	if err != nil {
 		a.err = err
@@ -132,8 +132,8 @@
 	}
 	req.ContentLength, req.Host = 1, soakHost
 	req.Header.Set("Attempt-Id", a.id)
-	req.Header.Set("Deadline-Ms", fmt.Sprint(soakPatience.Milliseconds()))
-	if a.path == resumable || a.path == once {
+	req.Header.Set("Deadline-Ms", fmt.Sprint(callerTimeout.Milliseconds()))
+	if a.path == pathResumable || a.path == pathOnce {
 		req.Header.Set("Token-Count", "300,20")
 		req.Header.Set("Prompt-Prefix", fmt.Sprintf("aa%d:200,%x:100", c.rng.IntN(4), c.rng.Uint32()))
 	}
@@ -151,28 +151,28 @@
 	}
 }
 
-// read judges the body of a success.
+// read checks the body of an answer with status 200.
 func (a *soakAnswer) read(body []byte, err error) {
-	if a.path == pay || a.path == reads {
-		a.whole = err == nil && string(body) == standin.CallBody(a.id)
-		if err == nil && !a.whole {
-			a.wrong = fmt.Sprintf("body %q", body)
+	if a.path == pathPay || a.path == pathReads {
+		a.complete = err == nil && string(body) == standin.CallBody(a.id)
+		if err == nil && !a.complete {
+			a.problem = fmt.Sprintf("body %q", body)
 		}
 		return
 	}
-	events, problem := eventsOf(body, a.id)
+	events, streamErr := eventsOf(body, a.id)
 	switch {
-	case problem != nil:
-		a.wrong = problem.Error()
+	case streamErr != nil:
+		a.problem = streamErr.Error()
 	case err == nil && events != standin.Events:
-		a.wrong = fmt.Sprintf("looks whole after %d events", events)
+		a.problem = fmt.Sprintf("ended without an error after %d events", events)
 	}
-	a.whole = err == nil && a.wrong == ""
+	a.complete = err == nil && a.problem == ""
 }
 
-var errOrder = errors.New("events are missing, doubled or another's")
+var errEvents = errors.New("events are missing, duplicated or of another request")
 
-// eventsOf counts a stream's events, which must be numbered from 1 on.
+// eventsOf counts the events of a stream. They must be numbered consecutively from 1 and carry the id.
 func eventsOf(body []byte, id string) (int, error) {
 	n := 0
 	for event := range bytes.SplitSeq(body, []byte("\n\n")) {
@@ -180,7 +180,7 @@
 			continue
 		}
 		if string(event) != fmt.Sprintf("id: %d\ndata: %s", n+1, id) {
-			return n, fmt.Errorf("%w: %q after %d", errOrder, event, n)
+			return n, fmt.Errorf("%w: %q after %d", errEvents, event, n)
 		}
 		n++
 	}
--- a/scenarios/soak_check_test.go
+++ b/scenarios/soak_check_test.go
@@ -13,25 +13,24 @@
 )
 
 const (
-	// soakCalm is how long no fault must have lasted for the bounds in time to
-	// hold.
-	soakCalm = 6 * time.Second
-	// soakBound is the time in which a leaving endpoint must be left alone and
-	// a configuration be in force, with what a loaded machine adds.
-	soakBound = 3 * time.Second
-	// soakTurn is the time within which two VMs must not order one engine.
-	soakTurn = 3 * time.Second
-	// leastServed of the requests must succeed after the recovery.
-	leastServed = 0.95
+	// faultFreePeriod is the time without faults after which the time bounds below apply.
+	faultFreePeriod = 6 * time.Second
+	// reactionBound is the maximum time until no more requests are sent to a leaving endpoint, and until
+	// a configuration is in force. It includes a margin for a loaded machine.
+	reactionBound = 3 * time.Second
+	// minHolderGap is the minimum time between orders of two different VMs to one engine.
+	minHolderGap = 3 * time.Second
+	// minServedShare is the share of the requests that must succeed after the recovery.
+	minServedShare = 0.95
 )
 
-// check judges what callers and endpoints saw, and fails the test with what is
-// wrong.
+// check fails the test with every violation found in what callers and endpoints observed and in the
+// logs of the processes.
 func (s *soak) check() {
-	s.judge()
+	s.checkObservations()
 	s.checkProcesses()
-	for _, c := range s.complaints {
-		s.t.Errorf("seed %d: %s", s.seed, c)
+	for _, v := range s.violations {
+		s.t.Errorf("seed %d: %s", s.seed, v)
 	}
 	s.t.Logf("seed %d: %d requests, %d runs, %d orders, %d faults",
 		s.seed, len(s.answers), len(s.ledger.Runs()), len(s.ledger.Orders()), len(s.faults))
@@ -40,23 +39,23 @@
 	}
 }
 
-func (s *soak) judge() {
+func (s *soak) checkObservations() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.checkAnswers()
 	s.checkRuns()
 	s.checkOrders()
 	s.checkLimits()
-	s.checkLeaving()
-	s.checkAway()
+	s.checkAnnouncedLeaving()
+	s.checkRetryAfter()
 	s.checkRecovery()
 }
 
-func (s *soak) complain(format string, args ...any) {
-	s.complaints = append(s.complaints, fmt.Sprintf(format, args...))
+func (s *soak) addViolation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// runsOf counts the runs of each request.
+// runsOf returns how often each request was run.
 func (s *soak) runsOf() map[string]int {
 	runs := map[string]int{}
 	for _, r := range s.ledger.Runs() {
@@ -73,47 +72,47 @@
 	}
 	for i := range s.answers {
 		a := &s.answers[i]
-		if a.wrong != "" {
-			s.complain("%s %s: %s", a.id, a.path, a.wrong)
+		if a.problem != "" {
+			s.addViolation("%s %s: %s", a.id, a.path, a.problem)
 		}
 		switch a.status {
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-			if runs[a.id] > 0 && a.path != reads && a.path != resumable {
-				s.complain("%s %s: told %d, but it has run", a.id, a.path, a.status)
+			if runs[a.id] > 0 && a.path != pathReads && a.path != pathResumable {
+				s.addViolation("%s %s: answered %d, but the request was run", a.id, a.path, a.status)
 			}
 		case http.StatusOK, http.StatusBadGateway, http.StatusGatewayTimeout:
 		case 0:
 		default:
-			s.complain("%s %s: status %d", a.id, a.path, a.status)
+			s.addViolation("%s %s: status %d", a.id, a.path, a.status)
 		}
-		if a.cutOff() && s.planned() {
-			s.complain("%s %s at %s at %s: cut off by planned work after %s, %d times at an endpoint: %v",
+		if a.endedEarly() && s.planned() {
+			s.addViolation("%s %s at %s at %s: cut off by planned work after %s, %d times at an endpoint: %v",
 				a.id, a.path, a.vm, a.sent.Format(time.StampMilli), a.answered.Sub(a.sent), arrivals[a.id], a.err)
 		}
 	}
 }
 
-// cutOff tells whether a VM took the request and its answer ended early. A VM
-// that isn't there takes none: callers who couldn't ask for new addresses try
-// those of VMs that have ended meanwhile.
-func (a *soakAnswer) cutOff() bool {
-	early := a.status == 0 || a.status == http.StatusOK && !a.whole
-	return early && a.answered.Sub(a.sent) < soakPatience && !errors.Is(a.err, syscall.ECONNREFUSED)
+// endedEarly reports whether a VM accepted the request and the answer ended before it was complete. A
+// refused connection doesn't count: a caller that couldn't resolve new addresses still connects to VMs
+// that have stopped meanwhile.
+func (a *soakAnswer) endedEarly() bool {
+	early := a.status == 0 || a.status == http.StatusOK && !a.complete
+	return early && a.answered.Sub(a.sent) < callerTimeout && !errors.Is(a.err, syscall.ECONNREFUSED)
 }
 
 func (s *soak) checkRuns() {
 	for id, n := range s.runsOf() {
 		if n > 1 && s.runsOnce(id) {
-			s.complain("%s ran %d times", id, n)
+			s.addViolation("%s ran %d times", id, n)
 		}
 	}
 	for _, r := range s.ledger.Arrivals() {
 		left, leaving := s.drained[r.Endpoint]
-		if leaving && r.At.Sub(left) > soakBound && s.calm(r.At) {
-			s.complain("%s reached %s %s after its leaving", r.ID, r.Endpoint, r.At.Sub(left))
+		if leaving && r.At.Sub(left) > reactionBound && s.faultFree(r.At) {
+			s.addViolation("%s reached %s %s after the endpoint was marked as leaving", r.ID, r.Endpoint, r.At.Sub(left))
 		}
-		if r.Path == reads {
-			s.checkService(r)
+		if r.Path == pathReads {
+			s.checkReadService(r)
 		}
 	}
 }
@@ -121,34 +120,34 @@
 func (s *soak) runsOnce(id string) bool {
 	for i := range s.answers {
 		if a := &s.answers[i]; a.id == id {
-			return a.path == pay || a.path == once
+			return a.path == pathPay || a.path == pathOnce
 		}
 	}
 	return false
 }
 
-// checkService tells whether a read went where the configuration sends it.
-func (s *soak) checkService(r standin.Run) {
-	if !s.calm(r.At) {
+// checkReadService checks that a read was sent to the service that the configuration in force names.
+func (s *soak) checkReadService(r standin.Run) {
+	if !s.faultFree(r.At) {
 		return
 	}
 	want := ""
 	for _, c := range s.configs {
-		if r.At.Sub(c.at) > soakBound {
+		if r.At.Sub(c.at) > reactionBound {
 			want = c.reads
 		} else if r.At.After(c.at) {
-			return // either is right
+			return // both services are correct during the change
 		}
 	}
 	if r.Service != want {
-		s.complain("%s went to %s, the configuration says %s", r.ID, r.Service, want)
+		s.addViolation("%s was sent to service %s, want %s as configured", r.ID, r.Service, want)
 	}
 }
 
-// calm tells whether no fault lasted within soakCalm before at.
-func (s *soak) calm(at time.Time) bool {
+// faultFree reports whether no fault was active at the given time or within faultFreePeriod before it.
+func (s *soak) faultFree(at time.Time) bool {
 	for _, f := range s.faults {
-		if f.from.Before(at) && f.to.After(at.Add(-soakCalm)) {
+		if f.from.Before(at) && f.to.After(at.Add(-faultFreePeriod)) {
 			return false
 		}
 	}
@@ -164,55 +163,55 @@
 			continue
 		}
 		if o.Fence <= p.Fence {
-			s.complain("%s: %s orders with token %d after %s with %d", o.Engine, o.Holder, o.Fence, p.Holder, p.Fence)
+			s.addViolation("%s: %s sent an order with token %d after %s with token %d", o.Engine, o.Holder, o.Fence, p.Holder, p.Fence)
 		}
-		if gap := o.At.Sub(p.At); gap < soakTurn {
-			s.complain("%s: %s orders %s after %s", o.Engine, o.Holder, gap, p.Holder)
+		if gap := o.At.Sub(p.At); gap < minHolderGap {
+			s.addViolation("%s: %s sent an order only %s after %s", o.Engine, o.Holder, gap, p.Holder)
 		}
 	}
 }
 
-// checkRecovery judges the last requests.
+// checkRecovery checks that enough of the requests sent after the recovery succeeded.
 func (s *soak) checkRecovery() {
-	from := s.noticed
+	from := s.noticesEnd
 	for _, f := range s.faults {
 		if f.to.After(from) {
 			from = f.to
 		}
 	}
-	from = from.Add(soakRecovery)
+	from = from.Add(recoveryTime)
 	sent, served := 0, 0
 	for i := range s.answers {
 		if a := &s.answers[i]; a.sent.After(from) {
 			sent++
-			if a.whole {
+			if a.complete {
 				served++
 			}
 		}
 	}
-	if sent == 0 || float64(served) < leastServed*float64(sent) {
-		s.complain("%d of %d requests served after the recovery", served, sent)
+	if sent == 0 || float64(served) < minServedShare*float64(sent) {
+		s.addViolation("%d of %d requests succeeded after the recovery", served, sent)
 	}
 }
 
-// checkProcesses looks for processes that ended by themselves and for reports of
-// the race detector.
+// checkProcesses checks that all processes still run and that their logs contain no panic and no report
+// of the race detector.
 func (s *soak) checkProcesses() {
 	for _, v := range s.vms {
 		if !v.proc.running() {
-			s.complain("%s isn't running", v.name)
+			s.addViolation("%s is not running", v.name)
 		}
 		b, err := os.ReadFile(v.proc.log)
 		if err != nil {
-			s.complain("%s", err)
+			s.addViolation("%s", err)
 		}
 		if strings.Contains(string(b), "DATA RACE") || strings.Contains(string(b), "panic: ") {
-			s.complain("%s: data race or panic in its log", v.name)
+			s.addViolation("%s: data race or panic in its log", v.name)
 		}
 	}
 }
 
-// keepLogs copies the logs of a failed seed to where they outlive the test.
+// keepLogs copies the logs of a failed seed to a folder that isn't removed after the test.
 func (s *soak) keepLogs() {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", s.seed))
 	if err != nil {
--- a/scenarios/soak_faults_test.go
+++ b/scenarios/soak_faults_test.go
@@ -11,94 +11,92 @@
 )
 
 const (
-	// soakLead is how long callers send before the first fault, soakFaults how
-	// long faults begin, and soakRecovery how long VMs have afterwards until
-	// they must serve as before.
-	soakLead     = 2 * time.Second
-	soakFaults   = 14 * time.Second
-	soakRecovery = 12 * time.Second
-	// soakProbe is how long callers send after that.
-	soakProbe = 3 * time.Second
-	// longestFault bounds one fault.
-	longestFault = 4 * time.Second
-	// soakRestart is the platform's delay before it restarts a process.
-	soakRestart = 700 * time.Millisecond
+	// warmUpTime is the time with load before the first fault, faultPhase the time in which new faults
+	// begin, and recoveryTime the time after the last fault until VMs must serve as before.
+	warmUpTime   = 2 * time.Second
+	faultPhase   = 14 * time.Second
+	recoveryTime = 12 * time.Second
+	// probeTime is the time with load after the recovery.
+	probeTime = 3 * time.Second
+	// maxFaultDuration is the maximum duration of one fault.
+	maxFaultDuration = 4 * time.Second
+	// restartDelay is the time that the platform waits before it restarts a process.
+	restartDelay = 700 * time.Millisecond
 )
 
-// play runs the callers and the faults of the seed. Faults come in series and
-// overlap; all are healed before the recovery is judged.
-func (s *soak) play() {
+// run runs the callers and injects the faults of the seed. Faults follow one another and overlap; all
+// are healed before the recovery is checked.
+func (s *soak) run() {
 	s.awaitServing()
 	ctx, stop := context.WithCancel(s.ctx)
 	s.callers(ctx)
-	time.Sleep(soakLead)
+	time.Sleep(warmUpTime)
 	kinds := soakKinds
 	if s.planned() {
 		kinds = soakPlanned
 	}
 	var heals []func()
-	for end := time.Now().Add(soakFaults); time.Now().Before(end); {
+	for end := time.Now().Add(faultPhase); time.Now().Before(end); {
 		f := kinds[s.rng.IntN(len(kinds))]
-		lasts := longestFault/8 + time.Duration(s.rng.Int64N(int64(longestFault)*7/8))
-		heals = append(heals, s.begin(f, lasts))
+		duration := maxFaultDuration/8 + time.Duration(s.rng.Int64N(int64(maxFaultDuration)*7/8))
+		heals = append(heals, s.inject(f, duration))
 		time.Sleep(time.Duration(s.rng.Int64N(int64(1500 * time.Millisecond))))
 	}
 	for _, heal := range heals {
 		heal()
 	}
-	s.limit()
-	s.leave()
-	s.turnAway()
-	s.noticed = time.Now()
-	time.Sleep(soakRecovery + soakProbe)
+	s.setLimits()
+	s.announceLeaving()
+	s.rejectRequests()
+	s.noticesEnd = time.Now()
+	time.Sleep(recoveryTime + probeTime)
 	stop()
-	time.Sleep(soakPatience)
+	time.Sleep(callerTimeout)
 }
 
-// planned tells whether the seed has planned work only: then no answer may be
-// cut off.
+// planned reports whether the seed injects only planned work, during which no answer may be cut off.
 func (s *soak) planned() bool { return s.seed%3 == 1 }
 
-// soakFault is a kind of fault. start returns what ends it.
+// soakFault is a kind of fault. start begins it and returns a function that ends it.
 type soakFault struct {
 	name  string
 	start func(s *soak) (end func())
 }
 
-// begin starts a fault and returns a function that waits for its end.
-func (s *soak) begin(f soakFault, lasts time.Duration) (heal func()) {
+// inject starts a fault, ends it after the duration, and returns a function that waits for its end.
+func (s *soak) inject(f soakFault, duration time.Duration) (heal func()) {
 	from := time.Now()
 	end := f.start(s)
 	done := make(chan struct{})
 	s.wg.Go(func() {
 		defer close(done)
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		end()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.faults = append(s.faults, span{f.name, from, time.Now()})
+		s.faults = append(s.faults, injectedFault{f.name, from, time.Now()})
 	})
 	return func() { <-done }
 }
 
-func nothing() {}
+func noop() {}
 
-// soakPlanned is work that operators do, and that callers must not notice.
+// soakPlanned lists planned work of operators, which must not affect callers.
 var soakPlanned = []soakFault{
 	{"VM restarted", func(s *soak) func() { return s.restart(syscall.SIGTERM) }},
 	{"settings changed", (*soak).changeSettings},
-	{"configuration", (*soak).moveReads},
+	{"configuration changed", (*soak).switchReads},
 	{"configurations in quick succession", func(s *soak) func() {
 		for range 4 {
-			s.moveReads()
+			s.switchReads()
 			time.Sleep(100 * time.Millisecond)
 		}
-		return nothing
+		return noop
 	}},
 	{"endpoint drained", (*soak).drain},
 }
 
-// soakKinds are all faults.
+// soakKinds lists all faults, including planned work.
 var soakKinds = append([]soakFault{
 	{"VM killed", func(s *soak) func() { return s.restart(syscall.SIGKILL) }},
 	{"all VMs killed", func(s *soak) func() {
@@ -121,18 +119,18 @@
 		s.store.SetDropAnswers(true)
 		return func() { s.store.SetDropAnswers(false) }
 	}},
-	{"store's history gone", func(s *soak) func() {
+	{"store's history dropped", func(s *soak) func() {
 		s.store.DropHistory("keyed.op")
 		s.store.DropHistory("keyed.servers")
-		return nothing
+		return noop
 	}},
-	{"VM cut from the store", func(s *soak) func() { return harm(s.vm().link, s.rng.IntN(4)) }},
-	{"endpoint cut off", func(s *soak) func() { return harm(s.endpoint().link, s.rng.IntN(4)) }},
+	{"VM cut from the store", func(s *soak) func() { return impair(s.randomVM().link, s.rng.IntN(4)) }},
+	{"endpoint cut off", func(s *soak) func() { return impair(s.randomEndpoint().link, s.rng.IntN(4)) }},
 	{"endpoint crashed", (*soak).crash},
 }, soakPlanned...)
 
-// harm does one of the harms of a relay.
-func harm(r *relay.Relay, kind int) (end func()) {
+// impair starts one of the network faults of a relay.
+func impair(r *relay.Relay, kind int) (end func()) {
 	const delay = 300 * time.Millisecond
 	switch kind {
 	case 0:
@@ -147,25 +145,26 @@
 	return func() { r.Cut(false); r.Delay(0) }
 }
 
-func (s *soak) vm() *soakVM { return s.vms[s.rng.IntN(len(s.vms))] }
+func (s *soak) randomVM() *soakVM { return s.vms[s.rng.IntN(len(s.vms))] }
 
-// endpoint returns one that is neither leaving nor gone.
-func (s *soak) endpoint() *soakEndpoint {
+// randomEndpoint returns an endpoint that is neither leaving nor removed.
+func (s *soak) randomEndpoint() *soakEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*soakEndpoint
 	for n := range s.next {
 		e := s.endpoints[endpointID(n+1)]
-		if e != nil && !e.draining && !e.gone {
+		if e != nil && !e.draining && !e.removed {
 			list = append(list, e)
 		}
 	}
 	return list[s.rng.IntN(len(list))]
 }
 
-// claim returns a VM whose process no other fault is ending or holding, or nil.
-func (s *soak) claim() *soakVM {
-	v := s.vm()
+// reserveVM returns a random VM, reserved for one fault of its process, or nil if another fault has
+// reserved it.
+func (s *soak) reserveVM() *soakVM {
+	v := s.randomVM()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v.down {
@@ -175,53 +174,53 @@
 	return v
 }
 
-func (s *soak) release(v *soakVM) {
+func (s *soak) releaseVM(v *soakVM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v.down = false
 }
 
-// restart ends a VM's process and starts it again as the platform does.
+// restart signals a VM's process to end and starts it again as the platform does.
 func (s *soak) restart(sig syscall.Signal) func() {
-	v := s.claim()
+	v := s.reserveVM()
 	if v == nil {
-		return nothing
+		return noop
 	}
 	assert.Check(s.t, v.proc.signal(sig))
 	return func() {
-		defer s.release(v)
+		defer s.releaseVM(v)
 		if _, err := v.proc.await(); err != nil {
 			s.t.Error(err)
 		}
-		time.Sleep(soakRestart)
+		time.Sleep(restartDelay)
 		assert.Check(s.t, v.proc.start())
 	}
 }
 
 func (s *soak) pauseVM() func() {
-	v := s.claim()
+	v := s.reserveVM()
 	if v == nil {
-		return nothing
+		return noop
 	}
 	assert.Check(s.t, v.proc.signal(syscall.SIGSTOP))
 	return func() {
-		defer s.release(v)
+		defer s.releaseVM(v)
 		assert.Check(s.t, v.proc.signal(syscall.SIGCONT))
 	}
 }
 
-// changeSettings writes another settings file and tells of it.
+// changeSettings writes a new settings file for a VM and sends SIGHUP to its process.
 func (s *soak) changeSettings() func() {
-	v := s.vm()
+	v := s.randomVM()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v.down {
-		return nothing
+		return noop
 	}
 	v.grace = 16 - v.grace + 0.5
 	s.writeSettings(v)
 	assert.Check(s.t, v.proc.signal(syscall.SIGHUP))
-	return nothing
+	return noop
 }
 
 func (s *soak) setStoreDown(down bool) {
@@ -231,8 +230,8 @@
 	s.store.SetDown(down)
 }
 
-// moveReads publishes a configuration that sends reads to the other service.
-func (s *soak) moveReads() func() {
+// switchReads publishes a configuration that sends reads to the other service.
+func (s *soak) switchReads() func() {
 	s.mu.Lock()
 	last := s.configs[len(s.configs)-1].reads
 	s.mu.Unlock()
@@ -241,12 +240,12 @@
 	} else {
 		s.publish("s")
 	}
-	return nothing
+	return noop
 }
 
-// drain has an endpoint tell that it leaves, and starts another one.
+// drain marks an endpoint as leaving in the store, removes it after drainTime and starts a replacement.
 func (s *soak) drain() func() {
-	e := s.endpoint()
+	e := s.randomEndpoint()
 	s.mu.Lock()
 	e.draining = true
 	if !s.storeDown {
@@ -256,23 +255,23 @@
 	s.mu.Unlock()
 	s.addEndpoint(e.Service, e.Stage)
 	s.wg.Go(func() {
-		time.Sleep(soakDrain)
-		s.end(e)
+		time.Sleep(drainTime)
+		s.removeEndpoint(e)
 	})
-	return nothing
+	return noop
 }
 
-// crash ends an endpoint and what it runs, and starts another one.
+// crash ends an endpoint and the requests that it runs, and starts a replacement.
 func (s *soak) crash() func() {
-	e := s.endpoint()
-	s.end(e)
+	e := s.randomEndpoint()
+	s.removeEndpoint(e)
 	e.Crash()
 	s.addEndpoint(e.Service, e.Stage)
-	return nothing
+	return noop
 }
 
-func (s *soak) end(e *soakEndpoint) {
+func (s *soak) removeEndpoint(e *soakEndpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e.gone = true
+	e.removed = true
 }
--- a/scenarios/soak_notices_test.go
+++ b/scenarios/soak_notices_test.go
@@ -9,105 +9,106 @@
 )
 
 const (
-	// limitFor is how long an endpoint names a limit, and limitKnown after how long all
-	// VMs that send to it must keep it.
-	limitFor   = 11 * time.Second
-	limitKnown = 3 * time.Second
-	// limitWindow is the span in which requests are counted.
+	// limitFor is how long an endpoint announces a limit, and limitPropagation the time after which all VMs
+	// that send to it must keep the limit.
+	limitFor         = 11 * time.Second
+	limitPropagation = 3 * time.Second
+	// limitWindow is the length of the sliding window in which requests are counted.
 	limitWindow = 4 * time.Second
-	// limitFactor times the limit, and limitExtra requests, may come in it.
-	limitFactor = 1.5
-	limitExtra  = 5
-	// leaveFor is how long the store is away while endpoints leave.
-	leaveFor = 7 * time.Second
-	// awayFor is how long an endpoint turns requests away, asking for awayAsked seconds, and
-	// awayMost is how many each VM may send it meanwhile: one that is turned away, those under
-	// way then, and another one when the time is over.
-	awayFor   = 3 * time.Second
-	awayAsked = "2.5"
-	awayMost  = 3
+	// An endpoint may receive limitTolerance times its limit plus limitBurst requests in a window.
+	limitTolerance = 1.5
+	limitBurst     = 5
+	// leaveOutage is how long the store is unavailable while endpoints announce that they are leaving.
+	leaveOutage = 7 * time.Second
+	// rejectFor is how long an endpoint rejects requests with a Retry-After delay of retryAfterSeconds.
+	// maxRejectedPerVM is how many requests each VM may send to it in that time: the first one that is
+	// rejected, those in flight at that moment, and one after the delay.
+	rejectFor         = 3 * time.Second
+	retryAfterSeconds = "2.5"
+	maxRejectedPerVM  = 3
 )
 
-// limited is a limit that an endpoint named.
-type limited struct {
+// limitPeriod is a limit that an endpoint announced, and when.
+type limitPeriod struct {
 	endpoint  string
 	perSecond float64
 	from, to  time.Time
 }
 
-// limit has endpoints of each service name limits: one a small one, one none at all, and one
-// something that isn't a number.
-func (s *soak) limit() {
+// setLimits makes endpoints of each service announce limits: small ones, 0, a negative one and one that
+// isn't a number.
+func (s *soak) setLimits() {
 	from := time.Now()
-	var named []*soakEndpoint
+	var chosen []*soakEndpoint
 	for service, limits := range map[string][]string{"m": {"4.5", "0", "many"}, "s": {"3", "-1"}, "t": {"3"}} {
-		for i, e := range s.serving(service) {
+		for i, e := range s.staying(service) {
 			if i == len(limits) {
 				break
 			}
 			e.SetLimit(limits[i])
-			named = append(named, e)
+			chosen = append(chosen, e)
 			if n, err := strconv.ParseFloat(limits[i], 64); err == nil && n >= 0 {
-				s.limits = append(s.limits, limited{e.ID, n, from, from.Add(limitFor)})
+				s.limits = append(s.limits, limitPeriod{e.ID, n, from, from.Add(limitFor)})
 			}
 		}
 	}
 	time.Sleep(limitFor)
-	for _, e := range named {
+	for _, e := range chosen {
 		e.SetLimit("")
 	}
 }
 
-// serving returns the endpoints of a service that stay, in the order of their starts.
-func (s *soak) serving(service string) []*soakEndpoint {
+// staying returns the endpoints of a service that are neither leaving nor removed, oldest first.
+func (s *soak) staying(service string) []*soakEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*soakEndpoint
 	for n := range s.next {
 		e := s.endpoints[endpointID(n+1)]
-		if e.Service == service && !e.draining && !e.gone {
+		if e.Service == service && !e.draining && !e.removed {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// checkLimits counts what came to each endpoint while it named a limit.
+// checkLimits checks the rate of requests to each endpoint while it announced a limit.
 func (s *soak) checkLimits() {
 	for _, l := range s.limits {
-		var came []time.Time
+		var arrivals []time.Time
 		for _, a := range s.ledger.Arrivals() {
-			if a.Endpoint == l.endpoint && a.At.After(l.from.Add(limitKnown)) && a.At.Before(l.to) && s.calm(a.At) {
-				came = append(came, a.At)
+			if a.Endpoint == l.endpoint && a.At.After(l.from.Add(limitPropagation)) && a.At.Before(l.to) && s.faultFree(a.At) {
+				arrivals = append(arrivals, a.At)
 			}
 		}
-		slices.SortFunc(came, time.Time.Compare)
-		most, first := 0, 0
-		for i, at := range came {
-			for at.Sub(came[first]) > limitWindow {
+		slices.SortFunc(arrivals, time.Time.Compare)
+		peak, first := 0, 0
+		for i, at := range arrivals {
+			for at.Sub(arrivals[first]) > limitWindow {
 				first++
 			}
-			most = max(most, i-first+1)
+			peak = max(peak, i-first+1)
 		}
-		allowed := int(limitFactor*limitWindow.Seconds()*l.perSecond) + limitExtra
-		if most > allowed {
-			s.complain("%s named %g requests a second and got %d in %s, allowed %d", l.endpoint, l.perSecond, most, limitWindow, allowed)
+		allowed := int(limitTolerance*limitWindow.Seconds()*l.perSecond) + limitBurst
+		if peak > allowed {
+			s.addViolation("%s announced a limit of %g requests a second and received %d in %s, allowed %d", l.endpoint, l.perSecond, peak, limitWindow, allowed)
 		}
 	}
 }
 
-// leave has endpoints leave while the store is away, so that only their answers say so.
-func (s *soak) leave() {
+// announceLeaving makes one endpoint of each service leave during an outage of the store, so that only
+// the answers of the endpoint announce it. It starts replacements after the outage.
+func (s *soak) announceLeaving() {
 	s.setStoreDown(true)
-	time.Sleep(soakBeat)
+	time.Sleep(reportInterval)
 	var leaving []*soakEndpoint
 	for _, service := range []string{"m", "s", "t"} {
-		e := s.serving(service)[0]
+		e := s.staying(service)[0]
 		e.AnnounceLeaving()
 		leaving = append(leaving, e)
-		s.left = append(s.left, e.Endpoint)
+		s.announced = append(s.announced, e.Endpoint)
 	}
-	time.Sleep(leaveFor)
+	time.Sleep(leaveOutage)
 	s.setStoreDown(false)
 	for _, e := range leaving {
 		s.addEndpoint(e.Service, e.Stage)
@@ -115,61 +116,63 @@
 		e.draining = true
 		s.mu.Unlock()
 		s.wg.Go(func() {
-			time.Sleep(soakDrain)
-			s.end(e)
+			time.Sleep(drainTime)
+			s.removeEndpoint(e)
 		})
 	}
 }
 
-// checkLeaving tells whether endpoints got work after their answers had said that they leave.
-func (s *soak) checkLeaving() {
-	said := map[string]time.Time{}
-	for _, e := range s.left {
+// checkAnnouncedLeaving checks that endpoints received no more requests after their answers had
+// announced that they are leaving.
+func (s *soak) checkAnnouncedLeaving() {
+	announcedAt := map[string]time.Time{}
+	for _, e := range s.announced {
 		if at := e.LeavingAnnouncedAt(); !at.IsZero() {
-			said[e.ID] = at
+			announcedAt[e.ID] = at
 		}
 	}
 	for _, a := range s.ledger.Arrivals() {
-		at, leaves := said[a.Endpoint]
-		if leaves && a.At.Sub(at) > soakBound && s.calm(a.At) {
-			s.complain("%q %s reached %s %s after its answers said that it leaves", a.ID, a.Path, a.Endpoint, a.At.Sub(at))
+		at, leaving := announcedAt[a.Endpoint]
+		if leaving && a.At.Sub(at) > reactionBound && s.faultFree(a.At) {
+			s.addViolation("%q %s reached %s %s after its answers announced that it is leaving", a.ID, a.Path, a.Endpoint, a.At.Sub(at))
 		}
 	}
 }
 
-// away is the time in which an endpoint turned all requests away.
-type away struct {
+// rejection is the time in which an endpoint rejected all requests.
+type rejection struct {
 	endpoint string
 	from, to time.Time
 }
 
-// turnAway has one endpoint of each service turn requests away and ask for time.
-func (s *soak) turnAway() {
+// rejectRequests makes one endpoint of each service reject requests with a Retry-After delay.
+func (s *soak) rejectRequests() {
 	from := time.Now()
-	var named []*standin.Endpoint
+	var chosen []*standin.Endpoint
 	for _, service := range []string{"m", "s", "t"} {
-		e := s.serving(service)[0]
-		e.SetRetryAfter(awayAsked)
-		named = append(named, e.Endpoint)
+		e := s.staying(service)[0]
+		e.SetRetryAfter(retryAfterSeconds)
+		chosen = append(chosen, e.Endpoint)
 	}
-	time.Sleep(awayFor)
-	for _, e := range named {
+	time.Sleep(rejectFor)
+	for _, e := range chosen {
 		e.SetRetryAfter("")
-		s.away = append(s.away, away{e.ID, from, from.Add(awayFor)})
+		s.rejections = append(s.rejections, rejection{e.ID, from, from.Add(rejectFor)})
 	}
 }
 
-// checkAway counts what came to endpoints that had asked for time.
-func (s *soak) checkAway() {
-	for _, w := range s.away {
-		var came []time.Time
+// checkRetryAfter checks how many requests endpoints received while they rejected all with a Retry-After
+// delay.
+func (s *soak) checkRetryAfter() {
+	for _, w := range s.rejections {
+		var arrivals []time.Time
 		for _, a := range s.ledger.Arrivals() {
-			if a.Endpoint == w.endpoint && a.At.After(w.from) && a.At.Before(w.to) && s.calm(a.At) {
-				came = append(came, a.At)
+			if a.Endpoint == w.endpoint && a.At.After(w.from) && a.At.Before(w.to) && s.faultFree(a.At) {
+				arrivals = append(arrivals, a.At)
 			}
 		}
-		if most := soakVMs * awayMost; len(came) > most {
-			s.complain("%s asked for time and got %d requests in %s, allowed %d", w.endpoint, len(came), awayFor, most)
+		if allowed := soakVMs * maxRejectedPerVM; len(arrivals) > allowed {
+			s.addViolation("%s sent a retry delay and received %d requests in %s, allowed %d", w.endpoint, len(arrivals), rejectFor, allowed)
 		}
 	}
 }
--- a/scenarios/soak_proof_test.go
+++ b/scenarios/soak_proof_test.go
@@ -11,42 +11,42 @@
 	"fescuestand/platform/standin"
 )
 
-// Each check of the soak must be able to fail: what a broken promise leaves with
-// callers and endpoints is made by hand, and the check has to name it.
+// Guards against checks of the soak that can't fail: each case creates by hand what callers and
+// endpoints observe of one violated guarantee, and the check has to report it.
 func TestSoakChecksCanFail(t *testing.T) {
 	now := time.Now()
-	whole := soakAnswer{id: "ok", path: reads, status: http.StatusOK, whole: true, sent: now, answered: now}
+	complete := soakAnswer{id: "ok", path: pathReads, status: http.StatusOK, complete: true, sent: now, answered: now}
 	for name, tc := range map[string]struct {
-		seed   int64
-		answer soakAnswer
-		runs   int // of the answer's request
-		order  []string
-		limits []limited
-		left   time.Duration // before the runs
-		away   []away
-		want   string
+		seed       int64
+		answer     soakAnswer
+		runs       int // executions of the answer's request
+		order      []string
+		limits     []limitPeriod
+		left       time.Duration // time between the leaving notice and the runs
+		rejections []rejection
+		want       string
 	}{
-		"nothing is wrong":          {seed: 2, answer: whole, runs: 1},
-		"a payment that ran twice":  {seed: 2, answer: soakAnswer{id: "p", path: pay, status: 502}, runs: 2, want: "p ran 2 times"},
-		"a false refusal":           {seed: 2, answer: soakAnswer{id: "p", path: pay, status: 503}, runs: 1, want: "told 503, but it has run"},
-		"a denied request":          {seed: 2, answer: soakAnswer{id: "p", path: pay, status: 404}, want: "status 404"},
-		"another's answer":          {seed: 2, answer: soakAnswer{id: "r", path: reads, status: 200, wrong: "body"}, want: "r /reads/: body"},
-		"a cut by planned work":     {seed: 1, answer: soakAnswer{id: "o", path: once, status: 200}, runs: 1, want: "cut off by planned work"},
-		"orders by turns":           {seed: 2, answer: whole, runs: 1, order: []string{`{"stage":"prefill","holder":"a","fence":1}`, `{"stage":"decode","holder":"b","fence":2,"expected":1}`}, want: "b orders"},
-		"an old token":              {seed: 2, answer: whole, runs: 1, order: []string{`{"stage":"prefill","holder":"a","fence":4}`, `{"stage":"decode","holder":"b","fence":3,"expected":1}`}, want: "token 3"},
-		"more than a limit":         {seed: 2, answer: soakAnswer{id: "r", path: reads, status: 200, whole: true}, runs: 6, limits: []limited{{"e", 0, now.Add(-time.Minute), now.Add(time.Minute)}}, want: "e named 0 requests a second and got 6 in 4s, allowed 5"},
-		"work for a leaving one":    {seed: 2, answer: soakAnswer{id: "r", path: reads, status: 200, whole: true}, runs: 1, left: time.Minute, want: "after its answers said that it leaves"},
-		"no time for one that asks": {seed: 2, answer: soakAnswer{id: "r", path: reads, status: 200, whole: true}, runs: 13, away: []away{{"e", now.Add(-time.Second), now.Add(time.Hour)}}, want: "e asked for time and got 13 requests"},
-		"a service that isn't back": {seed: 2, answer: soakAnswer{id: "r", path: reads, status: 503}, want: "0 of 1 requests served"},
+		"no violation":                         {seed: 2, answer: complete, runs: 1},
+		"a non-idempotent call that ran twice": {seed: 2, answer: soakAnswer{id: "p", path: pathPay, status: 502}, runs: 2, want: "p ran 2 times"},
+		"refused but run":                      {seed: 2, answer: soakAnswer{id: "p", path: pathPay, status: 503}, runs: 1, want: "answered 503, but the request was run"},
+		"unexpected status":                    {seed: 2, answer: soakAnswer{id: "p", path: pathPay, status: 404}, want: "status 404"},
+		"answer of another request":            {seed: 2, answer: soakAnswer{id: "r", path: pathReads, status: 200, problem: "body"}, want: "r /reads/: body"},
+		"cut off by planned work":              {seed: 1, answer: soakAnswer{id: "o", path: pathOnce, status: 200}, runs: 1, want: "cut off by planned work"},
+		"orders of two VMs at the same time":   {seed: 2, answer: complete, runs: 1, order: []string{`{"stage":"prefill","holder":"a","fence":1}`, `{"stage":"decode","holder":"b","fence":2,"expected":1}`}, want: "b sent an order only"},
+		"order with an old token":              {seed: 2, answer: complete, runs: 1, order: []string{`{"stage":"prefill","holder":"a","fence":4}`, `{"stage":"decode","holder":"b","fence":3,"expected":1}`}, want: "token 3"},
+		"requests above a limit":               {seed: 2, answer: soakAnswer{id: "r", path: pathReads, status: 200, complete: true}, runs: 6, limits: []limitPeriod{{"e", 0, now.Add(-time.Minute), now.Add(time.Minute)}}, want: "e announced a limit of 0 requests a second and received 6 in 4s, allowed 5"},
+		"request to a leaving endpoint":        {seed: 2, answer: soakAnswer{id: "r", path: pathReads, status: 200, complete: true}, runs: 1, left: time.Minute, want: "after its answers announced that it is leaving"},
+		"requests during a retry delay":        {seed: 2, answer: soakAnswer{id: "r", path: pathReads, status: 200, complete: true}, runs: 13, rejections: []rejection{{"e", now.Add(-time.Second), now.Add(time.Hour)}}, want: "e sent a retry delay and received 13 requests"},
+		"no recovery":                          {seed: 2, answer: soakAnswer{id: "r", path: pathReads, status: 503}, want: "0 of 1 requests succeeded"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &soak{t: t, seed: tc.seed, ledger: standin.NewLedger(), answers: []soakAnswer{tc.answer}, configs: []published{{1, "s", now}}, limits: tc.limits, away: tc.away}
+			s := &soak{t: t, seed: tc.seed, ledger: standin.NewLedger(), answers: []soakAnswer{tc.answer}, configs: []published{{1, "s", now}}, limits: tc.limits, rejections: tc.rejections}
 			e := &standin.Endpoint{ID: "e", Service: "s", Slots: 8}
 			assert.NilError(t, e.Start("127.0.0.1:0", s.ledger))
 			t.Cleanup(e.Crash)
 			if tc.left > 0 {
 				e.AnnounceLeavingSince(now.Add(-tc.left))
-				s.left = append(s.left, e)
+				s.announced = append(s.announced, e)
 			}
 			for range tc.runs {
 				post(t, e, tc.answer.path, "x", tc.answer.id)
@@ -54,10 +54,10 @@
 			for _, o := range tc.order {
 				post(t, e, "/order", o, "")
 			}
-			s.answers[0].sent = now.Add(soakRecovery + time.Hour)
+			s.answers[0].sent = now.Add(recoveryTime + time.Hour)
 			s.answers[0].answered = s.answers[0].sent
-			s.judge()
-			got := strings.Join(s.complaints, "; ")
+			s.checkObservations()
+			got := strings.Join(s.violations, "; ")
 			assert.Equal(t, got == "", tc.want == "", got)
 			assert.Assert(t, strings.Contains(got, tc.want), got)
 		})
--- a/scenarios/soak_test.go
+++ b/scenarios/soak_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// The soak runs the processes of VMs on the users' machines against stand-ins of
-// their platform, harms them from outside and checks the promises by what
-// callers and endpoints saw. README.md tells how to run many seeds.
+// The soak runs the processes of several VMs against stand-ins of the platform, injects faults from
+// outside and checks the guarantees by what callers and endpoints observed. README.md describes how to
+// run many seeds.
 var (
-	soakSeeds = flag.Int("soak.seeds", 0, "how many seeds the soak runs beside the kept ones")
-	soakFirst = flag.Int64("soak.first", 1000, "the first of them")
+	soakSeeds = flag.Int("soak.seeds", 0, "number of seeds that the soak runs in addition to the kept ones")
+	soakFirst = flag.Int64("soak.first", 1000, "the first of these seeds")
 )
 
-// soakKept are the seeds that CI runs: one of each sort of faults, and each seed
-// that ever failed, with the cause.
+// soakKept lists the seeds that CI runs: one with planned work only, one with faults of all kinds, and
+// each seed that has failed, with the cause.
 var soakKept = []int64{
 	1,    // planned work only
 	2,    // faults of all kinds
-	7028, // reads that three cut-off endpoints were running were refused as if they crash them
+	7028, // reads running on three isolated endpoints were refused as if the reads had crashed the endpoints
 }
 
 func TestSoak(t *testing.T) {
@@ -31,7 +31,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			s := newSoak(t, seed)
-			s.play()
+			s.run()
 			s.check()
 		})
 	}
--- a/scenarios/soak_world_test.go
+++ b/scenarios/soak_world_test.go
@@ -23,66 +23,66 @@
 )
 
 const (
-	soakVMs     = 4
-	soakEngines = 4
-	soakPlain   = 3
-	soakHost    = "soak.example"
-	// soakBeat is the time between two reports of an endpoint.
-	soakBeat = 400 * time.Millisecond
-	// soakDrain is how long an endpoint serves after it told that it leaves.
-	soakDrain = 6 * time.Second
+	soakVMs              = 4
+	soakEngines          = 4
+	soakServiceEndpoints = 3
+	soakHost             = "soak.example"
+	// reportInterval is the time between two reports of an endpoint to the store.
+	reportInterval = 400 * time.Millisecond
+	// drainTime is how long an endpoint continues to serve after it has announced that it is leaving.
+	drainTime = 6 * time.Second
 )
 
-// soak is one run of a seed.
+// soak is the run of one seed.
 type soak struct {
-	t       *testing.T
-	seed    int64
-	rng     *rand.Rand
-	dir     string
-	store   *standin.Store
-	storeAt string
-	ledger  *standin.Ledger
-	vms     []*soakVM
-	ctx     context.Context
-	wg      sync.WaitGroup
-
-	mu        sync.Mutex
-	endpoints map[string]*soakEndpoint
-	drained   map[string]time.Time // when their leaving was accepted
-	faults    []span
-	storeDown bool
-	configs   []published
-	answers   []soakAnswer
-	next      int // number of the newest endpoint
-	limits    []limited
-	left      []*standin.Endpoint // whose answers alone said that they leave
-	away      []away
-	noticed   time.Time // end of the endpoints' notices
-
-	complaints []string
+	t         *testing.T
+	seed      int64
+	rng       *rand.Rand
+	dir       string
+	store     *standin.Store
+	storeAddr string
+	ledger    *standin.Ledger
+	vms       []*soakVM
+	ctx       context.Context
+	wg        sync.WaitGroup
+
+	mu         sync.Mutex
+	endpoints  map[string]*soakEndpoint
+	drained    map[string]time.Time // when the store accepted that the endpoint is leaving
+	faults     []injectedFault
+	storeDown  bool
+	configs    []published
+	answers    []soakAnswer
+	next       int // number of endpoints started so far
+	limits     []limitPeriod
+	announced  []*standin.Endpoint // announced only in their answers that they are leaving
+	rejections []rejection
+	noticesEnd time.Time // when the last notice of an endpoint ended
+
+	violations []string
 }
 
-// span is the time of a fault.
-type span struct {
+// injectedFault is a fault and when it was active.
+type injectedFault struct {
 	what     string
 	from, to time.Time
 }
 
-// published is a configuration and when the store accepted it.
+// published is a configuration that the store has accepted, and when.
 type published struct {
 	version int
 	reads   string // the service of the route for reads
 	at      time.Time
 }
 
-// soakVM is a VM whose path to the store goes through a relay.
+// soakVM is a VM that reaches the store through a relay.
 type soakVM struct {
 	name, front, ready, directory string
 	ports                         [2]int
 	link                          *relay.Relay
 	proc                          *process
 	grace                         float64
-	down                          bool // ended by the soak
+	down                          bool // reserved for a fault that ends or suspends the process
 }
 
 // soakEndpoint is an endpoint behind a relay.
@@ -90,7 +90,7 @@
 	*standin.Endpoint
 	link     *relay.Relay
 	draining bool
-	gone     bool
+	removed  bool
 }
 
 func newSoak(t *testing.T, seed int64) *soak {
@@ -100,7 +100,7 @@
 		endpoints: map[string]*soakEndpoint{}, drained: map[string]time.Time{},
 	}
 	srv := httptest.NewServer(s.store)
-	s.storeAt = strings.TrimPrefix(srv.URL, "http://")
+	s.storeAddr = strings.TrimPrefix(srv.URL, "http://")
 	ctx, cancel := context.WithCancel(t.Context())
 	s.ctx = ctx
 	t.Cleanup(func() {
@@ -114,7 +114,7 @@
 	for range soakEngines {
 		s.addEndpoint("m", "decode")
 	}
-	for range soakPlain {
+	for range soakServiceEndpoints {
 		s.addEndpoint("s", "")
 		s.addEndpoint("t", "")
 	}
@@ -133,7 +133,7 @@
 }
 
 func (s *soak) addVM(i int) {
-	link, err := relay.New(s.storeAt)
+	link, err := relay.New(s.storeAddr)
 	assert.NilError(s.t, err)
 	v := &soakVM{
 		name: fmt.Sprintf("vm%d", i), link: link, grace: 8,
@@ -167,7 +167,7 @@
 	assert.NilError(s.t, os.WriteFile(s.file(v, "json"), []byte(text), 0o600))
 }
 
-// publish puts a configuration in the store in which reads go to service.
+// publish writes a configuration to the store that routes reads to service.
 func (s *soak) publish(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,14 +179,14 @@
 	text := fmt.Sprintf(`{"version": %d, "routes": [%s, %s, %s, %s],
  "services": [{"name": "m", "engine": {"slots": 32, "kvTokens": 100000}}, {"name": "s"}, {"name": "t"}],
  "limits": {"maxBodyBytes": 65536}}`, version,
-		route(resumable, "streaming", "m", `, "resumable": true, "targetLatencyMs": 400, "gapAimMs": 200`),
-		route(once, "streaming", "m", `, "targetLatencyMs": 400, "gapAimMs": 200`),
-		route(pay, "non_idempotent", "s", ""), route(reads, "idempotent", service, ""))
+		route(pathResumable, "streaming", "m", `, "resumable": true, "targetLatencyMs": 400, "gapAimMs": 200`),
+		route(pathOnce, "streaming", "m", `, "targetLatencyMs": 400, "gapAimMs": 200`),
+		route(pathPay, "non_idempotent", "s", ""), route(pathReads, "idempotent", service, ""))
 	s.store.Put("keyed.op", "config", text)
 	s.configs = append(s.configs, published{version, service, time.Now()})
 }
 
-// addEndpoint starts an endpoint that reports itself until it is gone.
+// addEndpoint starts an endpoint that reports itself to the store until it is removed.
 func (s *soak) addEndpoint(service, stage string) {
 	s.mu.Lock()
 	s.next++
@@ -203,19 +203,19 @@
 }
 
 func (s *soak) report(e *soakEndpoint) {
-	tick := time.NewTicker(soakBeat)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	defer e.link.Close()
 	defer e.Crash()
 	for {
 		s.mu.Lock()
-		gone, draining, away := e.gone, e.draining, s.storeDown
+		removed, draining, storeDown := e.removed, e.draining, s.storeDown
 		s.mu.Unlock()
-		if gone {
+		if removed {
 			s.store.Put("keyed.servers", e.ID, "")
 			return
 		}
-		if !away {
+		if !storeDown {
 			s.store.Put("keyed.servers", e.ID, e.Entry(e.link.Addr(), draining))
 		}
 		select {
@@ -226,9 +226,9 @@
 	}
 }
 
-// awaitServing waits until a VM takes callers.
+// awaitServing waits until every VM accepts callers.
 func (s *soak) awaitServing() {
-	deadline := time.Now().Add(exitWait)
+	deadline := time.Now().Add(exitTimeout)
 	for _, v := range s.vms {
 		for {
 			resp, err := http.Get("http://" + v.ready + "/readiness")
@@ -239,7 +239,7 @@
 				}
 			}
 			if time.Now().After(deadline) {
-				s.t.Fatalf("%s does not get ready: %v", v.name, err)
+				s.t.Fatalf("%s is not ready: %v", v.name, err)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/scenarios/traffic_test.go
+++ b/scenarios/traffic_test.go
@@ -10,7 +10,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// traffic is a caller stand-in that runs beside the scenario.
+// traffic is a caller stand-in that runs concurrently with the scenario.
 type traffic struct {
 	cmd  *exec.Cmd
 	mu   sync.Mutex
@@ -25,12 +25,11 @@
 	return t.out.Write(b)
 }
 
-// trafficCommand starts a caller that checks every answer byte for byte, or
-// waits for its verdict:
+// trafficCommand starts a caller that checks every answer byte for byte, or waits until it has ended:
 //
 //	traffic start NAME [caller flags]
-//	traffic wait NAME      fails unless every answer was whole and right
-//	! traffic wait NAME    fails unless one was not
+//	traffic wait NAME      fails unless every answer was complete and correct
+//	! traffic wait NAME    fails if every answer was complete and correct
 func trafficCommand(ts *testscript.TestScript, neg bool, args []string) {
 	f := fleetOf(ts)
 	switch args[0] {
@@ -48,23 +47,23 @@
 			ts.Fatalf("traffic %s: %v", args[1], err)
 		}
 	default:
-		ts.Fatalf("traffic start or traffic wait")
+		ts.Fatalf("usage: traffic start or traffic wait")
 	}
 }
 
 func (f *fleet) startTraffic(name string, extra []string) error {
 	if _, ok := f.traffic[name]; ok {
-		return fmt.Errorf("traffic %q runs already", name)
+		return fmt.Errorf("traffic %q was already started", name)
 	}
 	args := []string{"caller", "--model", "m", "--model-version", "v1", "--service", "trace"}
 	for _, v := range f.vms {
 		args = append(args, "--entry", v.caller)
 	}
 	for _, e := range f.engines {
-		args = append(args, "--engine", f.stand[e])
+		args = append(args, "--engine", f.standInAddr[e])
 	}
 	for _, s := range f.services {
-		args = append(args, "--endpoint", f.stand[s])
+		args = append(args, "--endpoint", f.standInAddr[s])
 	}
 	t := &traffic{done: make(chan error, 1)}
 	t.cmd = exec.Command(filepath.Join(binaries, "fescue-standin"), append(args, extra...)...)
