--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# fescuestand: the targets a newcomer and CI use. `make help` lists them.
+# Build, test and maintenance targets of fescuestand. `make help` lists them.
 
 GO          ?= go
 BIN         := $(CURDIR)/bin
@@ -18,32 +18,32 @@
 build: ## build every binary into bin/
 	$(GO) build -o $(BIN)/ ./cmd/...
 
-demo: build ## serve a shifting mix on stand-ins (DEPLOYMENT=lakeshore|cevallos)
+demo: build ## serve a changing mix of requests on stand-ins (DEPLOYMENT=lakeshore|cevallos)
 	$(GO) run ./internal/demo/run --bin $(BIN) --deployment $(DEPLOYMENT)
 
-# Simulations under fake time: they run thousands of simulated seconds on a few
-# goroutines, in which the race detector finds nothing that it does not find in
-# the same code under internal/entry and in the scenarios, whose binaries it is
-# built into; and its runtime has crashed in them (ThreadSanitizer CHECK).
+# Packages with simulations on a fake clock, tested without the race detector. They run thousands of
+# simulated seconds on a few goroutines; the same code runs under the race detector in internal/entry and
+# in the scenarios, whose binaries are built with it. Its runtime has also crashed in these simulations
+# (ThreadSanitizer CHECK).
 SIMULATED := policy/backpressure|commit|swim|control|fold|lease|reconcile|replica|policy/loadtest|policy/policytest|policy/roles
 
-# SKIP lists tests to leave out, as TestName or TestName/subtest, separated by spaces.
+# SKIP lists tests to skip, as TestName or TestName/subtest, separated by spaces.
 empty :=
 space := $(empty) $(empty)
 SKIPPED = $(if $(SKIP),-skip '$(subst $(space),|,$(foreach t,$(SKIP),^$(subst /,$$/^,$(t))$$))')
 
-test: ## run every test, with the race detector where it pays
-	@# -count=1: the scenarios build the binaries, which the test cache does not see.
+test: ## run every test, with the race detector except in simulations
+	@# -count=1 because the test cache doesn't detect changes of the binaries that the scenarios build.
 	$(GO) test -race -count=1 -timeout 20m $(SKIPPED) $$($(GO) list ./... | grep -vE '/internal/($(SIMULATED))$$')
 	$(GO) test -count=1 -timeout 20m $(SKIPPED) $$($(GO) list ./... | grep -E '/internal/($(SIMULATED))$$')
 
-bench: ## print the measures behind docs/CAPACITY.md and docs/MEASUREMENTS.md
+bench: ## run the benchmarks for docs/CAPACITY.md and docs/MEASUREMENTS.md
 	$(GO) test -run '^$$' -bench . -benchmem ./...
 
 fmt: $(LINT) ## format the code
 	$(LINT) fmt ./...
 
-lint: $(LINT) ## check the formatting, then run the linter
+lint: $(LINT) ## check the formatting and run the linter
 	$(LINT) fmt --diff ./...
 	$(LINT) run ./...
 
@@ -67,5 +67,5 @@
 	mkdir -p $(CACHE_BIN)
 	GOBIN=$(CACHE_BIN) $(GO) install google.golang.org/protobuf/cmd/protoc-gen-go
 
-clean: ## remove what make built
+clean: ## remove build output and tools
 	rm -rf $(BIN) $(CACHE_BIN)
--- a/internal/capacity/config_test.go
+++ b/internal/capacity/config_test.go
@@ -9,8 +9,8 @@
 	"fescuestand/internal/sheet"
 )
 
-// BenchmarkSheetParse gives the time to check a whole sheet and the memory
-// that a process keeps of it. What a change costs is in package fold.
+// BenchmarkSheetParse measures the time to parse and validate a whole sheet and the memory that a process
+// retains for it. The cost of a change is measured in package fold.
 func BenchmarkSheetParse(b *testing.B) {
 	for _, n := range runnerSizes {
 		b.Run(fmt.Sprintf("runners=%d", n), func(b *testing.B) {
--- a/internal/capacity/control_test.go
+++ b/internal/capacity/control_test.go
@@ -12,7 +12,7 @@
 	"fescuestand/internal/wire"
 )
 
-// writerOf is an incarnation, as long as the real ones.
+// writerOf returns an incarnation id of the same length as real ones.
 func writerOf(node int) string { return fmt.Sprintf("%016x", node) }
 
 func trackerOf(nodes int) *lease.Tracker {
@@ -25,9 +25,8 @@
 	return t
 }
 
-// BenchmarkTracker gives the memory that a control process keeps of the other
-// control processes, and the time of a look at which of them live, which every
-// tick takes.
+// BenchmarkTracker measures the memory that a control process retains for the other control processes,
+// and the time to list those that are alive, which every tick does.
 func BenchmarkTracker(b *testing.B) {
 	for _, nodes := range nodeSizes {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -50,8 +49,8 @@
 	return t
 }
 
-// BenchmarkMembership gives what one heartbeat of a peer costs: the table, and
-// the new list of members that the replica makes after each event.
+// BenchmarkMembership measures the cost of one heartbeat of a peer: the update of the table, and the new
+// list of members that the replica builds after each event.
 func BenchmarkMembership(b *testing.B) {
 	for _, nodes := range nodeSizes {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,4 +1,4 @@
-// Package capacity holds the benchmarks behind docs/CAPACITY.md that span
-// packages: each gives a slope of processor time, memory or bytes by runner,
-// node, change, commit or workspace, at three sizes or more.
+// Package capacity contains the benchmarks for docs/CAPACITY.md that span several packages. Each measures
+// how CPU time, memory or bytes grow with the number of runners, nodes, changes, commits or workspaces, at
+// three sizes or more.
 package capacity
--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -20,15 +20,15 @@
 	models = 15
 )
 
-// poolSizes are none, today's fleet with its plain service, and the models of the
-// design size.
+// poolSizes are the numbers of pools to measure: none, the current fleet with its plain service, 5, and
+// the models of the design size.
 var poolSizes = []int{0, 2, 5, models}
 
-// runnerSizes are today's fleet, a cell, the design size of one model group
-// and the whole fleet.
+// runnerSizes are the numbers of runners to measure: the current fleet, a cell, the design size of one
+// model group, and the whole fleet of the design size.
 var runnerSizes = []int{12, 120, 430, 4300}
 
-// nodeSizes are today's deployment, a cell and the whole fleet.
+// nodeSizes are the numbers of nodes to measure: the current deployment, a cell and the whole fleet.
 var nodeSizes = []int{8, 40, 420}
 
 func engineName(i int) string { return fmt.Sprintf("engine-%04d", i) }
@@ -84,16 +84,16 @@
 	return vms
 }
 
-// retained returns the heap that what build returns keeps alive, in bytes.
+// retained returns the bytes of heap and stack that the result of build keeps in use.
 func retained(build func() any) float64 {
-	before := heap()
+	before := heapInUse()
 	kept := build()
-	after := heap()
+	after := heapInUse()
 	runtime.KeepAlive(kept)
 	return float64(after) - float64(before)
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -101,14 +101,14 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// cpu returns the processor time of this process so far.
-func cpu() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// reportCPU reports the processor time since began for each of n units.
+// reportCPU reports the CPU time used since began, divided by n, as a metric with the given unit.
 func reportCPU(b *testing.B, began time.Duration, n int, unit string) {
-	b.ReportMetric(float64(cpu()-began)/float64(n)/float64(time.Microsecond), unit)
+	b.ReportMetric(float64(cpuTime()-began)/float64(n)/float64(time.Microsecond), unit)
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -10,12 +10,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// slopeLine is the start of a line of the page's table of slopes: the benchmark
-// and its package.
+// slopeLine matches the start of a row of the page's table of slopes: the benchmark and its package.
 var slopeLine = regexp.MustCompile("(?m)^\\| `(\\w+)` \\(([\\w/]+)\\)")
 
-// A slope is worth as much as the benchmark that anybody can run again: one
-// that is renamed or removed is named here.
+// Guards against slopes on the page that nobody can measure again, because their benchmark was renamed or
+// removed.
 func TestPageNamesBenchmarksThatExist(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	assert.NilError(t, err)
--- a/internal/capacity/peer_test.go
+++ b/internal/capacity/peer_test.go
@@ -16,7 +16,7 @@
 	"fescuestand/internal/wire"
 )
 
-// gossipOf is what an entry says that serves n pools.
+// gossipOf returns the gossip message of an entry that serves n pools.
 func gossipOf(n int) *wire.Gossip {
 	g := &wire.Gossip{
 		Vm: vmName(1), Incarnation: writerOf(1), SheetVersion: 1 << 30, Ready: true, Process: "entry", SheetHash: 1 << 60,
@@ -34,8 +34,7 @@
 	}
 }
 
-// BenchmarkGossip gives the bytes of one gossip message and the time to encode
-// and decode it.
+// BenchmarkGossip measures the bytes of one gossip message and the time to encode and decode it.
 func BenchmarkGossip(b *testing.B) {
 	for _, n := range poolSizes {
 		b.Run(fmt.Sprintf("pools=%d", n), func(b *testing.B) {
@@ -50,56 +49,57 @@
 	}
 }
 
-// counted counts the bytes of every connection that it accepts, both ways.
-type counted struct {
+// countingListener counts the bytes of all connections that it accepts, in both directions.
+type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
 // Accept implements net.Listener.
-func (l *counted) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: c, bytes: &l.bytes}, nil
+	return &countingConn{Conn: c, bytes: &l.bytes}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-type echo struct{ answer *wire.PeerResponse }
+// fixedHandler answers every call with the same message.
+type fixedHandler struct{ answer *wire.PeerResponse }
 
-func (e echo) Handle(context.Context, *wire.Hello, *wire.PeerRequest) *wire.PeerResponse {
-	return e.answer
+func (h fixedHandler) Handle(context.Context, *wire.Hello, *wire.PeerRequest) *wire.PeerResponse {
+	return h.answer
 }
 
-func (echo) Forward(context.Context, *wire.Hello, *wire.Forward, func(*wire.ForwardFrame) error) error {
+func (fixedHandler) Forward(context.Context, *wire.Hello, *wire.Forward, func(*wire.ForwardFrame) error) error {
 	return nil
 }
 
 // servePeer runs a peer on loopback that answers every call with g.
-func servePeer(tb testing.TB, g *wire.Gossip) *counted {
+func servePeer(tb testing.TB, g *wire.Gossip) *countingListener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(tb, err)
-	l := &counted{Listener: ln}
-	s := peer.NewServer(hello(), echo{&wire.PeerResponse{Kind: &wire.PeerResponse_Gossip{Gossip: g}}})
+	l := &countingListener{Listener: ln}
+	s := peer.NewServer(hello(), fixedHandler{&wire.PeerResponse{Kind: &wire.PeerResponse_Gossip{Gossip: g}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = s.Serve(ctx, l) })
@@ -114,8 +114,8 @@
 	return &wire.Hello{Protocol: peer.Protocol, Deployment: "design", Vm: vmName(1), Zone: "zone-1", Incarnation: writerOf(1), Process: "entry"}
 }
 
-// BenchmarkPeerCall gives the processor time of both ends and the bytes on the
-// connection, without TCP's and IP's own, of one exchange of gossip.
+// BenchmarkPeerCall measures one exchange of gossip: the CPU time of both ends and the bytes on the
+// connection, without TCP and IP headers.
 func BenchmarkPeerCall(b *testing.B) {
 	for _, n := range poolSizes {
 		b.Run(fmt.Sprintf("pools=%d", n), func(b *testing.B) {
@@ -129,7 +129,7 @@
 				assert.NilError(b, err)
 			}
 			call()
-			before, began := l.bytes.Load(), cpu()
+			before, began := l.bytes.Load(), cpuTime()
 			for b.Loop() {
 				call()
 			}
@@ -139,8 +139,8 @@
 	}
 }
 
-// BenchmarkPeerSessions gives the memory of open sessions, both ends together,
-// that have carried one call each and are idle.
+// BenchmarkPeerSessions measures the memory of idle open sessions that have carried one call each, for
+// both ends together.
 func BenchmarkPeerSessions(b *testing.B) {
 	for _, n := range []int{8, 40, 160} {
 		b.Run(fmt.Sprintf("sessions=%d", n), func(b *testing.B) {
@@ -150,7 +150,7 @@
 				var pools []*peer.Pool
 				kept = retained(func() any {
 					pools = openSessions(b, l, n)
-					time.Sleep(20 * time.Millisecond) // the last streams close
+					time.Sleep(20 * time.Millisecond) // lets the last streams close
 					return pools
 				})
 				for _, p := range pools {
@@ -162,7 +162,7 @@
 	}
 }
 
-func openSessions(b *testing.B, l *counted, n int) []*peer.Pool {
+func openSessions(b *testing.B, l *countingListener, n int) []*peer.Pool {
 	pools := make([]*peer.Pool, n)
 	req := &wire.PeerRequest{Kind: &wire.PeerRequest_Gossip{Gossip: gossipOf(0)}}
 	for i := range pools {
--- a/internal/capacity/platform_test.go
+++ b/internal/capacity/platform_test.go
@@ -11,30 +11,28 @@
 	"gotest.tools/v3/assert"
 
 	"fescuestand/internal/driver"
-	_ "fescuestand/internal/driver/httpdriver" // the drivers that are measured
+	_ "fescuestand/internal/driver/httpdriver" // registers the drivers to measure
 	"fescuestand/internal/driver/httpdriver/httpapi"
 	"fescuestand/internal/standin/httpjson"
 	"fescuestand/internal/standin/logservice"
 )
 
 // serveHTTP runs h on loopback and counts the bytes of its connections.
-func serveHTTP(tb testing.TB, h http.Handler) *counted {
+func serveHTTP(tb testing.TB, h http.Handler) *countingListener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(tb, err)
-	l := &counted{Listener: ln}
+	l := &countingListener{Listener: ln}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
 	go func() { _ = s.Serve(l) }()
 	tb.Cleanup(func() { _ = s.Close() })
 	return l
 }
 
-// renewalBytes is the length of a renewal's record, see fold's
-// BenchmarkRenewalRecord.
+// renewalBytes is the length of a lease renewal record; BenchmarkRenewalRecord in package fold measures it.
 const renewalBytes = 42
 
-// BenchmarkLogRead gives what reading a record costs, in processor time of
-// both ends and bytes, by how many records one read brings: a quiet stream
-// brings one, a busy one many.
+// BenchmarkLogRead measures the cost of reading a record, in CPU time of both ends and in bytes, by the
+// number of records per read: one on an idle stream, many on a busy one.
 func BenchmarkLogRead(b *testing.B) {
 	for _, n := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
@@ -48,7 +46,7 @@
 				_, err := lg.Append(ctx, "control", make([]byte, renewalBytes))
 				assert.NilError(b, err)
 			}
-			before, began := l.bytes.Load(), cpu()
+			before, began := l.bytes.Load(), cpuTime()
 			for b.Loop() {
 				page, err := lg.Read(ctx, "control", 1, n, 0)
 				assert.NilError(b, err)
@@ -60,7 +58,7 @@
 	}
 }
 
-// pollMux answers an entry's three questions to an engine.
+// pollMux answers the three requests with which an entry polls an engine.
 func pollMux() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+httpapi.PathReport, func(w http.ResponseWriter, _ *http.Request) {
@@ -77,8 +75,8 @@
 	return mux
 }
 
-// BenchmarkPoll gives what one round of an entry's polls costs, in processor
-// time of both ends and bytes: report, state and cache events of each runner.
+// BenchmarkPoll measures the cost of one polling round of an entry, in CPU time of both ends and in bytes:
+// report, state and cache events of each runner.
 func BenchmarkPoll(b *testing.B) {
 	for _, n := range []int{1, 12, 120} {
 		b.Run(fmt.Sprintf("runners=%d", n), func(b *testing.B) {
@@ -91,7 +89,7 @@
 				assert.NilError(b, err)
 				pollOnce(b, engines[i])
 			}
-			before, began := l.bytes.Load(), cpu()
+			before, began := l.bytes.Load(), cpuTime()
 			for b.Loop() {
 				for _, e := range engines {
 					pollOnce(b, e)
--- a/internal/capacity/start_test.go
+++ b/internal/capacity/start_test.go
@@ -16,8 +16,7 @@
 	"fescuestand/internal/wire"
 )
 
-// publishChanges writes a sheet of n runners and then k changes of one runner
-// each, as k publishers do.
+// publishChanges appends a sheet of n runners and then k changes of one runner each, as k publishers would.
 func publishChanges(tb testing.TB, lg driver.Log, n, k int) {
 	base := uint64(0)
 	for i := range k + 1 {
@@ -39,8 +38,8 @@
 	}}}
 }
 
-// BenchmarkStart gives what a process that starts, or a publish, spends on the
-// changes that the config stream still holds: it reads and folds them all.
+// BenchmarkStart measures the time that a starting process, or a publish, needs per change retained in the
+// config stream: it reads and folds all of them.
 func BenchmarkStart(b *testing.B) {
 	for _, size := range []struct{ runners, changes int }{{12, 25}, {12, 100}, {12, 400}, {120, 100}, {430, 100}, {4300, 100}} {
 		b.Run(fmt.Sprintf("runners=%d/changes=%d", size.runners, size.changes), func(b *testing.B) {
--- a/internal/capacity/traffic_test.go
+++ b/internal/capacity/traffic_test.go
@@ -29,9 +29,9 @@
 	return eps
 }
 
-// BenchmarkRouteTable gives the time to build and publish a routing table and
-// the memory that an entry's router keeps of each runner: cache beliefs and
-// recent work are of a fixed size.
+// BenchmarkRouteTable measures the time to build and publish a routing table, and the memory that an
+// entry's router retains for each runner. Estimates of cached prefixes and of recent work have a fixed size
+// and are therefore included.
 func BenchmarkRouteTable(b *testing.B) {
 	for _, n := range runnerSizes {
 		b.Run(fmt.Sprintf("runners=%d", n), func(b *testing.B) {
@@ -50,8 +50,7 @@
 	}
 }
 
-// commitItems returns the records of one commit, as the log's readers get them,
-// and their bytes.
+// commitItems returns the records of one commit, as readers of the log decode them, and their encoded size.
 func commitItems(tb testing.TB, i int) ([]fold.Item, int) {
 	key, attempt := fmt.Sprintf("%08x-order-%012d", i, i), fmt.Sprintf("%016x", i)
 	entries := []*wire.Entry{
@@ -77,9 +76,8 @@
 	return size
 }
 
-// BenchmarkCommitFold gives what one commit (intent and outcome) costs every
-// entry that folds the commits stream, and the memory of a key within the
-// window.
+// BenchmarkCommitFold measures the cost of one commit (intent and outcome) for every entry that folds the
+// commits stream, and the memory of a key within the commit window.
 func BenchmarkCommitFold(b *testing.B) {
 	for _, n := range []int{1_000, 10_000, 50_000} {
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
@@ -92,7 +90,7 @@
 				return t
 			})
 			t := commit.NewTable(clock.Boot{}, time.Hour)
-			began, i := cpu(), 0
+			began, i := cpuTime(), 0
 			for b.Loop() {
 				applyCommit(b, t, i%n)
 				i++
@@ -104,8 +102,8 @@
 	}
 }
 
-// BenchmarkAdmitQueue gives the memory of a queued request without its prompt,
-// each of another workspace and caller, and the time of an offer and an end.
+// BenchmarkAdmitQueue measures the memory of a queued request without its prompt, with a workspace and
+// caller of its own, and the time of an offer.
 func BenchmarkAdmitQueue(b *testing.B) {
 	for _, n := range []int{16, 128, 512} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -134,8 +132,8 @@
 	}
 }
 
-// BenchmarkBurnRecorder gives the memory of an entry's account, by objective,
-// with an hour of latencies, and the size of its report.
+// BenchmarkBurnRecorder measures the memory of an entry's recorder per objective, with one hour of
+// latencies.
 func BenchmarkBurnRecorder(b *testing.B) {
 	for _, n := range []int{4, 20, 60} {
 		b.Run(fmt.Sprintf("objectives=%d", n), func(b *testing.B) {
@@ -163,8 +161,8 @@
 	return r
 }
 
-// TestCommitRecordsAreDecoded keeps the benchmark's records in step with what
-// the fold takes.
+// TestCommitRecordsAreDecoded guards against a benchmark that measures records which the commit table
+// ignores.
 func TestCommitRecordsAreDecoded(t *testing.T) {
 	table := commit.NewTable(clock.Boot{}, time.Hour)
 	applyCommit(t, table, 1)
--- a/tools.go
+++ b/tools.go
@@ -1,6 +1,6 @@
 //go:build tools
 
-// Package tools pins the version of the generator that `make generate` builds.
+// Package tools pins the version of protoc-gen-go, which `make generate` builds.
 package tools
 
 import _ "google.golang.org/protobuf/cmd/protoc-gen-go"
