--- a/scenarios/soak_faults_test.go
+++ b/scenarios/soak_faults_test.go
@@ -152,7 +152,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*soakEndpoint
-	for n := range s.next {
+	for n := range s.started {
 		e := s.endpoints[endpointID(n+1)]
 		if e != nil && !e.draining && !e.removed {
 			list = append(list, e)
@@ -167,17 +167,17 @@
 	v := s.randomVM()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if v.down {
+	if v.reserved {
 		return nil
 	}
-	v.down = true
+	v.reserved = true
 	return v
 }
 
 func (s *soak) releaseVM(v *soakVM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v.down = false
+	v.reserved = false
 }
 
 // restart signals a VM's process to end and starts it again as the platform does.
@@ -214,7 +214,7 @@
 	v := s.randomVM()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if v.down {
+	if v.reserved {
 		return noop
 	}
 	v.grace = 16 - v.grace + 0.5
--- a/scenarios/soak_notices_test.go
+++ b/scenarios/soak_notices_test.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// limitFor is how long an endpoint announces a limit, and limitPropagation the time after which all VMs
+	// limitDuration is how long an endpoint announces a limit, and limitPropagation the time after which all VMs
 	// that send to it must keep the limit.
-	limitFor         = 11 * time.Second
+	limitDuration    = 11 * time.Second
 	limitPropagation = 3 * time.Second
 	// limitWindow is the length of the sliding window in which requests are counted.
 	limitWindow = 4 * time.Second
@@ -20,12 +20,12 @@
 	limitBurst     = 5
 	// leaveOutage is how long the store is unavailable while endpoints announce that they are leaving.
 	leaveOutage = 7 * time.Second
-	// rejectFor is how long an endpoint rejects requests with a Retry-After delay of retryAfterSeconds.
-	// maxRejectedPerVM is how many requests each VM may send to it in that time: the first one that is
+	// rejectDuration is how long an endpoint rejects requests with a Retry-After delay of retryAfterSeconds.
+	// maxRequestsPerVM is how many requests each VM may send to it in that time: the first one that is
 	// rejected, those in flight at that moment, and one after the delay.
-	rejectFor         = 3 * time.Second
+	rejectDuration    = 3 * time.Second
 	retryAfterSeconds = "2.5"
-	maxRejectedPerVM  = 3
+	maxRequestsPerVM  = 3
 )
 
 // limitPeriod is a limit that an endpoint announced, and when.
@@ -41,29 +41,29 @@
 	from := time.Now()
 	var chosen []*soakEndpoint
 	for service, limits := range map[string][]string{"m": {"4.5", "0", "many"}, "s": {"3", "-1"}, "t": {"3"}} {
-		for i, e := range s.staying(service) {
+		for i, e := range s.stayingEndpoints(service) {
 			if i == len(limits) {
 				break
 			}
 			e.SetLimit(limits[i])
 			chosen = append(chosen, e)
 			if n, err := strconv.ParseFloat(limits[i], 64); err == nil && n >= 0 {
-				s.limits = append(s.limits, limitPeriod{e.ID, n, from, from.Add(limitFor)})
+				s.limits = append(s.limits, limitPeriod{e.ID, n, from, from.Add(limitDuration)})
 			}
 		}
 	}
-	time.Sleep(limitFor)
+	time.Sleep(limitDuration)
 	for _, e := range chosen {
 		e.SetLimit("")
 	}
 }
 
-// staying returns the endpoints of a service that are neither leaving nor removed, oldest first.
-func (s *soak) staying(service string) []*soakEndpoint {
+// stayingEndpoints returns the endpoints of a service that are neither leaving nor removed, oldest first.
+func (s *soak) stayingEndpoints(service string) []*soakEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*soakEndpoint
-	for n := range s.next {
+	for n := range s.started {
 		e := s.endpoints[endpointID(n+1)]
 		if e.Service == service && !e.draining && !e.removed {
 			list = append(list, e)
@@ -103,7 +103,7 @@
 	time.Sleep(reportInterval)
 	var leaving []*soakEndpoint
 	for _, service := range []string{"m", "s", "t"} {
-		e := s.staying(service)[0]
+		e := s.stayingEndpoints(service)[0]
 		e.AnnounceLeaving()
 		leaving = append(leaving, e)
 		s.announced = append(s.announced, e.Endpoint)
@@ -150,14 +150,14 @@
 	from := time.Now()
 	var chosen []*standin.Endpoint
 	for _, service := range []string{"m", "s", "t"} {
-		e := s.staying(service)[0]
+		e := s.stayingEndpoints(service)[0]
 		e.SetRetryAfter(retryAfterSeconds)
 		chosen = append(chosen, e.Endpoint)
 	}
-	time.Sleep(rejectFor)
+	time.Sleep(rejectDuration)
 	for _, e := range chosen {
 		e.SetRetryAfter("")
-		s.rejections = append(s.rejections, rejection{e.ID, from, from.Add(rejectFor)})
+		s.rejections = append(s.rejections, rejection{e.ID, from, from.Add(rejectDuration)})
 	}
 }
 
@@ -171,8 +171,8 @@
 				arrivals = append(arrivals, a.At)
 			}
 		}
-		if allowed := soakVMs * maxRejectedPerVM; len(arrivals) > allowed {
-			s.addViolation("%s sent a retry delay and received %d requests in %s, allowed %d", w.endpoint, len(arrivals), rejectFor, allowed)
+		if allowed := soakVMs * maxRequestsPerVM; len(arrivals) > allowed {
+			s.addViolation("%s sent a retry delay and received %d requests in %s, allowed %d", w.endpoint, len(arrivals), rejectDuration, allowed)
 		}
 	}
 }
--- a/scenarios/soak_world_test.go
+++ b/scenarios/soak_world_test.go
@@ -53,7 +53,7 @@
 	storeDown  bool
 	configs    []published
 	answers    []soakAnswer
-	next       int // number of endpoints started so far
+	started    int // number of endpoints started so far
 	limits     []limitPeriod
 	announced  []*standin.Endpoint // announced only in their answers that they are leaving
 	rejections []rejection
@@ -82,7 +82,7 @@
 	link                          *relay.Relay
 	proc                          *process
 	grace                         float64
-	down                          bool // reserved for a fault that ends or suspends the process
+	reserved                      bool // reserved for a fault that ends or suspends the process
 }
 
 // soakEndpoint is an endpoint behind a relay.
@@ -189,9 +189,9 @@
 // addEndpoint starts an endpoint that reports itself to the store until it is removed.
 func (s *soak) addEndpoint(service, stage string) {
 	s.mu.Lock()
-	s.next++
+	s.started++
 	e := &soakEndpoint{Endpoint: &standin.Endpoint{
-		ID: endpointID(s.next), Service: service, Zone: "z", Stage: stage, Slots: 32,
+		ID: endpointID(s.started), Service: service, Zone: "z", Stage: stage, Slots: 32,
 	}}
 	s.endpoints[e.ID] = e
 	s.mu.Unlock()
