--- a/internal/configsync/puller.go
+++ b/internal/configsync/puller.go
@@ -67,7 +67,7 @@
 		return
 	case now.Sub(p.behindSince) >= storeReadDelay:
 		p.behindSince = now
-		p.follower.Nudge()
+		p.follower.Wake()
 	}
 	if version > inForce && !p.pulling && now >= p.nextPull && now.Sub(p.behindSince) >= pullDelay {
 		p.pulling = true
@@ -86,7 +86,7 @@
 func (p *Puller) pull(addr string) {
 	e, err := p.get(addr)
 	if err == nil {
-		p.follower.Hear(e)
+		p.follower.ReceiveEntry(e)
 	}
 	log.WithError(err).WithField("vm", addr).WithField("offset", e.Offset).WithField("version", p.inForce()).Info("VM queried for configuration")
 	p.mu.Lock()
--- a/internal/control/chaos_test.go
+++ b/internal/control/chaos_test.go
@@ -88,14 +88,14 @@
 		p.log.setCut(false)
 	case 3:
 		seq := c.rng.Uint64()
-		c.log.SetFate(func(string, []byte) logtest.Fate {
+		c.log.SetOutcome(func(string, []byte) logtest.Outcome {
 			seq = seq*6364136223846793005 + 1
-			return []logtest.Fate{logtest.Applied, logtest.Lost, logtest.Vanished, logtest.Postponed, logtest.Applied}[seq>>40%5]
+			return []logtest.Outcome{logtest.Applied, logtest.AnswerLost, logtest.Dropped, logtest.Delayed, logtest.Applied}[seq>>40%5]
 		})
 	case 4:
-		c.log.SetFate(nil)
+		c.log.SetOutcome(nil)
 	case 5:
-		c.log.Release()
+		c.log.ReleaseDelayed()
 	case 6:
 		e.withLock(func() { e.crashDuringOrder = true })
 	case 7:
@@ -147,8 +147,8 @@
 	for _, p := range c.processes {
 		p.log.setCut(false)
 	}
-	c.log.SetFate(nil)
-	c.log.Release()
+	c.log.SetOutcome(nil)
+	c.log.ReleaseDelayed()
 	c.resumeOrders()
 	c.setUnresponsive(false)
 	for _, e := range c.engines {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -18,10 +18,10 @@
 			scope.Holder = h.VM
 		}
 		if e.token != 0 {
-			scope.Held = now < e.lease.Load().until
-			scope.Doing = e.lastStep.Reason
+			scope.HeldHere = now < e.lease.Load().until
+			scope.Activity = e.lastStep.Reason
 			if !e.stateRead {
-				scope.Doing = "engine does not answer"
+				scope.Activity = "engine does not answer"
 			}
 		}
 		out = append(out, scope)
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -136,7 +136,7 @@
 	s := node.Settings{Log: target(cl.logAddr)}
 	l, err := s.OpenLog()
 	assert.NilError(cl.t, err)
-	return logclient.New(logclient.Options{Log: l, Writer: writer, VM: writer, Rate: 200, Burst: 50})
+	return logclient.New(logclient.Options{Log: l, Writer: writer, VM: writer, MaxAppendsPerSecond: 200, Burst: 50})
 }
 
 // publish publishes a sheet that lists all engines and services.
@@ -177,7 +177,7 @@
 	peers := peer.NewPool(process.Hello(&s.Settings, processName, incarnation))
 	r := replica.New(replica.Options{
 		Log: client, VMs: vms, Peers: peers, Stream: "config", VM: vm.Name, Process: "entry",
-		Incarnation: incarnation, Every: 50 * time.Millisecond,
+		Incarnation: incarnation, GossipInterval: 50 * time.Millisecond,
 	})
 	n := &entryNode{addr: vm.Caller, signals: make(chan os.Signal, 2), done: make(chan error, 1)}
 	n.unit = New(Options{Settings: s, Incarnation: incarnation, Replica: r, Log: client, Peers: peers, Clock: clock.Boot{}})
--- a/internal/gateway/changes.go
+++ b/internal/gateway/changes.go
@@ -82,18 +82,18 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.markReceived(e.Offset)
-	if e.Newest || !e.Heard && !x.IsReader() {
+	if e.Initial || !e.FromPeer && !x.IsReader() {
 		x.newestOffset = max(x.newestOffset, e.Offset)
 		return
 	}
-	c := &wire.Change{Key: e.Key, Value: e.Value, Offset: uint64(e.Offset), Previous: uint64(x.newestOffset), KeptMs: uint32(max(e.Kept, 0).Milliseconds())}
-	if e.Heard {
+	c := &wire.Change{Key: e.Key, Value: e.Value, Offset: uint64(e.Offset), Previous: uint64(x.newestOffset), KeptMs: uint32(max(e.GracePeriod, 0).Milliseconds())}
+	if e.FromPeer {
 		c.Previous = uint64(x.previous[e.Offset])
 	}
 	now := x.clock.Now()
 	x.recent = slices.DeleteFunc(x.recent, func(t announcedChange) bool { return now.Sub(t.at) >= announceFor })
 	if len(x.recent) < maxRecentChanges {
-		x.recent = append(x.recent, announcedChange{c, now, e.Heard, forwardsPerChange})
+		x.recent = append(x.recent, announcedChange{c, now, e.FromPeer, forwardsPerChange})
 	}
 	x.newestOffset = max(x.newestOffset, e.Offset)
 }
@@ -131,16 +131,16 @@
 	x.recordIncoming(b.GetChanges())
 	for _, c := range b.GetChanges() {
 		e := keyedlog.Entry{
-			Key: c.GetKey(), Offset: int64(c.GetOffset()), Kept: time.Duration(c.GetKeptMs()) * time.Millisecond,
+			Key: c.GetKey(), Offset: int64(c.GetOffset()), GracePeriod: time.Duration(c.GetKeptMs()) * time.Millisecond,
 		}
 		if len(c.GetValue()) > 0 {
 			e.Value = c.GetValue()
 		}
-		x.follower.Hear(e)
+		x.follower.ReceiveEntry(e)
 	}
 	gap := x.findGaps(b.GetChanges()) && b.GetProbe() == nil
 	if gap || x.lagsBehindPeer(int64(b.GetLastChange())) || x.missingOverdue() {
-		x.follower.Nudge()
+		x.follower.Wake()
 	}
 }
 
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -31,7 +31,7 @@
 	src := emptyLog{make(chan struct{}, 8)}
 	f := keyedlog.New("fleet", src)
 	f.Apply = func(e keyedlog.Entry) { applied[e.Key] = string(e.Value) }
-	f.Pause = func() time.Duration { return time.Hour }
+	f.ReadInterval = func() time.Duration { return time.Hour }
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = f.Run(ctx) }()
@@ -60,7 +60,7 @@
 	reader := NewChanges(c, nil)
 	x, applied, reads := startFollower(t, c)
 	reader.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3})
-	reader.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Kept: time.Second})
+	reader.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, GracePeriod: time.Second})
 	sent := nextBeat(reader)
 	assert.Equal(t, sent.GetChanges()[1].GetKeptMs(), uint32(1000))
 	x.receive(sent)
@@ -74,7 +74,7 @@
 func TestEntriesReadAtStartAreNotAnnounced(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	x := NewChanges(c, nil)
-	x.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3, Newest: true})
+	x.RecordApplied(keyedlog.Entry{Key: "a", Value: []byte("1"), Offset: 3, Initial: true})
 	b := nextBeat(x)
 	assert.Equal(t, len(b.GetChanges()), 0)
 	assert.Equal(t, b.GetLastChange(), uint64(3))
@@ -89,7 +89,7 @@
 	b := nextBeat(x)
 	assert.Equal(t, len(b.GetChanges()), 0)
 	assert.Equal(t, b.GetLastChange(), uint64(3))
-	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Heard: true})
+	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, FromPeer: true})
 	x.fillForwarded(b)
 	assert.Equal(t, len(b.GetChanges()), 1, "a received change is forwarded")
 }
@@ -130,7 +130,7 @@
 func TestGapBelowTheNewestChangeIsFound(t *testing.T) {
 	c := &clock.Manual{T: 1}
 	x, _, reads := startFollower(t, c)
-	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 2, Newest: true})
+	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 2, Initial: true})
 	forward := func(changes ...*wire.Change) { x.receive(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
 	forward(&wire.Change{Key: "d", Offset: 9, Previous: 2})
 	forward(&wire.Change{Key: "b", Offset: 6, Previous: 5})
@@ -167,9 +167,9 @@
 	first, second := sent.GetChanges()[0], sent.GetChanges()[1]
 	forward := func(changes ...*wire.Change) { x.receive(&wire.Beat{Changes: changes, Probe: &wire.Probe{}}) }
 	forward(second)
-	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, Heard: true})
+	x.RecordApplied(keyedlog.Entry{Key: "b", Offset: 4, FromPeer: true})
 	forward(first)
-	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 3, Heard: true})
+	x.RecordApplied(keyedlog.Entry{Key: "a", Offset: 3, FromPeer: true})
 	c.T = c.T.Add(maxLag)
 	forward()
 	assert.DeepEqual(t, applied, map[string]string{"a": "1", "b": "1"})
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -37,8 +37,8 @@
 	p.Replica = replica.New(replica.Options{
 		Log: p.Log, VMs: vms, Peers: p.Peers, Clock: clock.Boot{}, Stream: s.Streams.Config,
 		VM: s.VM, Process: name, Incarnation: p.Incarnation,
-		Every: s.Gossip.Every.D(), Suspect: s.Gossip.Suspect.D(), Gone: s.Gossip.Gone.D(),
-		Checkpoint: true,
+		GossipInterval: s.Gossip.Every.D(), SuspectTimeout: s.Gossip.Suspect.D(), GoneTimeout: s.Gossip.Gone.D(),
+		WriteCheckpoints: true,
 	})
 	return p, nil
 }
--- a/scenarios/setup_test.go
+++ b/scenarios/setup_test.go
@@ -157,7 +157,7 @@
 
 func (f *fleet) sheet(c fleetConfig) *sheet.Sheet {
 	s := &sheet.Sheet{Deployment: "scenario", Pools: []sheet.Pool{{
-		Name: "labels", Model: "m", Version: "v1", MaxAwayShare: 0.5, Engines: f.engines,
+		Name: "labels", Model: "m", Version: "v1", MaxUnavailableShare: 0.5, Engines: f.engines,
 		Roles: sheet.Roles{Planned: c.planned, MaxChangesPerHour: 60},
 	}}}
 	if c.planned {
@@ -176,7 +176,7 @@
 		s.Services[0].Endpoints = append(s.Services[0].Endpoints, sheet.ServiceEndpoint{Name: name, Zone: zones[i%len(zones)], Address: f.relayAddr(name)})
 	}
 	s.Classes = []sheet.Class{class("question", 2, 10*time.Second), class("draft", 1, 30*time.Second)}
-	s.Limits = sheet.Limits{MaxBody: 1 << 20, MaxTokens: 2000, WorkspaceShare: 1, QueuePerEngine: 32}
+	s.Limits = sheet.Limits{MaxBodyBytes: 1 << 20, MaxTokens: 2000, WorkspaceShare: 1, QueuePerEngine: 32}
 	_ = s.Limits.CommitWindow.UnmarshalText([]byte(c.commitWindow))
 	return s
 }
