--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -9,8 +9,8 @@
 // stopped and everything that it sent has arrived.
 //
 // The platform's store keeps a record of the VM that acted last; a leader writes it before it first
-// acts. A leader that finds itself there, at a time when nobody else can write the record any more,
-// was the last to act and needs to wait for nobody. So a VM that was restarted, or cut off from the
+// acts. A leader that finds its own VM there, at a time when no other VM can write the record any
+// more, was the last to act and needn't wait. So a VM that was restarted, or cut off from the
 // store for a while, resumes without the takeover wait.
 package authority
 
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -34,7 +34,7 @@
 
 // SetObjectives replaces the objectives by those of a newer sheet. Unchanged objectives keep their
 // counts. An objective with a changed limit or target begins with empty counts, since the old ones
-// were judged by another limit or target.
+// were compared with another limit or target.
 func (r *Recorder) SetObjectives(objectives []Objective) error {
 	for _, o := range objectives {
 		if err := o.check(); err != nil {
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -100,7 +100,7 @@
 }
 
 // add adds a VM's report of an objective to the sums of the same objective. VMs that still use an
-// older sheet have a sum of their own, since their events were judged by another limit or target.
+// older sheet have a sum of their own, since their events were compared with another limit or target.
 func (f *Fleet) add(l ObjectiveReport) error {
 	if l.Target <= 0 || l.Target >= 1 || len(l.Series) != SeriesPoints {
 		return fmt.Errorf("%s %s: malformed report", l.Class, l.Signal)
--- a/internal/commit/committer.go
+++ b/internal/commit/committer.go
@@ -172,7 +172,7 @@
 //
 // A process that was frozen after its append (SIGSTOP, a suspended VM) may resume long after its
 // caller and all other entries stopped waiting for the key. The boot-time clock includes the
-// suspended time, so that the process notices this and voids its intent. If it freezes between this
+// suspended time, so that the process detects this and voids its intent. If it freezes between this
 // check and the send, the commit still runs at most once, only late, because no other process may
 // dispatch the key.
 func (c *Committer) checkDispatchTime(p *proposal) error {
--- a/internal/commit/options.go
+++ b/internal/commit/options.go
@@ -66,8 +66,8 @@
 	disabled guards
 }
 
-// guards names single guards, which tests disable to show that each is needed. Each comment says
-// what happens without the guard.
+// guards has a flag for each guard. Tests set it in Options.disabled to show that the guard is
+// needed; the comments say what the committer then does.
 type guards struct {
 	readBack        bool // dispatch immediately after the append, without the fold's verdict
 	timeLimit       bool // dispatch any time after the append
--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -17,8 +17,8 @@
 )
 
 // commitOutcomeTarget is the objective for the share of commits that end with a known outcome. The
-// sheet has objectives for classes of completions only. Somebody has to check each commit of
-// unknown outcome at the service by hand, so that even one in a thousand is many.
+// sheet has objectives for classes of completions only. Operators have to check each commit of
+// unknown outcome at the service by hand, so that even one in a thousand is too many.
 const commitOutcomeTarget = 0.999
 
 // instrumentedBackend wraps a backend. It records service-level indicators, counts answers by
--- a/internal/entry/caller_test.go
+++ b/internal/entry/caller_test.go
@@ -95,7 +95,7 @@
 	return cl.post(cl.ctx, addr, "/v1/services/lantern/topup", body, h)
 }
 
-// fault injects a fault into a stand-in.
+// fault injects a fault into a fake.
 func (cl *cluster) fault(addr, body string) {
 	resp, err := http.Post("http://"+addr+"/fault", "application/json", strings.NewReader(body))
 	assert.NilError(cl.t, err)
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -76,7 +76,7 @@
 }
 
 // admitInterval is how often the queues check for free slots and for requests that can no longer
-// meet their deadline. Slots freed by this entry are noticed at once; this check finds those that
+// meet their deadline. Slots freed by this entry are reused at once; this check finds those that
 // other entries freed.
 const admitInterval = 20 * time.Millisecond
 
--- a/internal/entry/dispatch/isolate.go
+++ b/internal/entry/dispatch/isolate.go
@@ -33,9 +33,9 @@
 
 // reserveForSuspect chooses and reserves an engine for the suspect with fingerprint fp. It returns
 // nil if every engine is reserved for another suspect, because a crash while two suspects run there
-// would also be evidence against the innocent one. All entries rank the engines for a request in
-// the same order, so that copies of the request in several entries run on one engine and crash no
-// other.
+// would also be evidence against the one that didn't cause it. All entries rank the engines for a
+// request in the same order, so that copies of the request in several entries run on one engine and
+// crash no other.
 func (d *Dispatcher) reserveForSuspect(fp uint64, pool string, exclude []*route.Endpoint) *route.Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -48,7 +48,7 @@
 // cluster is a whole deployment in one process, on loopback.
 type cluster struct {
 	t          testing.TB
-	ctx        context.Context // of the stand-ins, which run longer than the entries
+	ctx        context.Context // of the fakes, which run longer than the entries
 	wg         sync.WaitGroup
 	entryCtx   context.Context // of the entries
 	entryWG    sync.WaitGroup
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -41,7 +41,7 @@
 	Header          http.Header // to be sent to the endpoint
 	Body            []byte
 	Arrived         clock.Time
-	CallerTimeout   time.Duration // how long the caller waits, zero if it didn't say so
+	CallerTimeout   time.Duration // how long the caller waits, zero if it didn't state it
 	PromptTokens    int           // zero for a call of a plain service
 	MaxOutputTokens int           // tokens
 	Parts           []place.Part
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -121,8 +121,8 @@
 // AnnounceCrash announces a crash of an endpoint to all VMs.
 func (x *GossipContent) AnnounceCrash(c *wire.Crash) { x.crashes.add(x.Clock.Now(), c) }
 
-// AnnounceLeaving marks an endpoint as leaving that has said so itself, and announces it to all
-// VMs.
+// AnnounceLeaving marks an endpoint as leaving that has announced this itself, and announces it to
+// all VMs.
 func (x *GossipContent) AnnounceLeaving(e *catalog.Endpoint) {
 	x.receiveLeaving(&wire.LeavingEndpoint{Id: e.ID, Born: e.Born})
 }
--- a/internal/gossip/active.go
+++ b/internal/gossip/active.go
@@ -20,8 +20,8 @@
 	// selectionTTL is how long a selection of VMs is reused while no message arrives that would
 	// change it.
 	selectionTTL = 100 * time.Millisecond
-	// stallThreshold is the time between two checks for missing beats from which this VM was itself
-	// stopped: the beats wait in its socket.
+	// stallThreshold is the time between two checks for missing beats from which this VM is
+	// assumed to have been stopped itself: the beats wait in its socket.
 	stallThreshold = time.Second
 )
 
@@ -139,9 +139,9 @@
 	return out
 }
 
-// checkBeats accuses the VMs of the active set whose beats are missing, if this VM is in the set,
-// and deletes the links that are no longer needed. After a stall of this VM itself, the wait for
-// beats starts again.
+// checkBeats declares those VMs of the active set failed whose beats are missing, if this VM is in
+// the set, and deletes the links that are no longer needed. After a stall of this VM itself, the
+// wait for beats starts again.
 func (m *Members) checkBeats(now clock.Time, active bool) {
 	stalled := now.Sub(m.beatsCheckAt) > stallThreshold
 	m.beatsCheckAt = now
--- a/internal/gossip/active_test.go
+++ b/internal/gossip/active_test.go
@@ -93,8 +93,8 @@
 	assert.Assert(t, !still)
 }
 
-// Guards against a VM that resumes from a suspension and accuses the whole active set, whose beats
-// still wait in its socket.
+// Guards against a VM that resumes from a suspension and declares the whole active set failed,
+// whose beats still wait in its socket.
 func TestResumedVMAccusesNobody(t *testing.T) {
 	c, m := many(60, 0)
 	targets := m.beatTargets(false)
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -42,8 +42,8 @@
 	// determine whether it is in the active set.
 	discoveryTime = 1500 * time.Millisecond
 	// leaveDelay is how long a VM stays in the group after it was last in the active set, which
-	// varies with the load. It leaves then, so that its assignment doesn't lie unused until the
-	// entry expires.
+	// varies with the load. It leaves then, so that the group can assign its part to another
+	// member before the entry expires.
 	leaveDelay = 10 * time.Second
 	// leaveTimeout bounds the call that leaves the group.
 	leaveTimeout = time.Second
@@ -103,8 +103,8 @@
 
 // join keeps this VM in the group while it is in the active set or the leader. Other VMs stay out:
 // each renewal is a call of the store, so the calls would grow with the number of VMs. A VM that
-// doesn't stay in the group must not be assigned leadership either, as nobody would lead until it
-// is assigned again. So a VM that starts reads the list first.
+// doesn't stay in the group must not be assigned leadership either, as there would be no leader
+// until the group assigns it again. So a VM that starts reads the list first.
 func (r *Registration) join(ctx context.Context) error {
 	select {
 	case <-r.listTried:
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -22,9 +22,9 @@
 // The states of a VM.
 const (
 	Live    State = "live"    // takes new work
-	Suspect State = "suspect" // silent, or no heartbeat yet: no new work
+	Suspect State = "suspect" // no recent heartbeat, or none yet: no new work
 	Leaving State = "leaving" // finishes its current work: no new work
-	Gone    State = "gone"    // off the list, or silent for long
+	Gone    State = "gone"    // off the list, or without a heartbeat for long
 )
 
 // Heartbeat is what a VM announces about itself.
--- a/internal/policy/admit/config.go
+++ b/internal/policy/admit/config.go
@@ -14,7 +14,7 @@
 	// are resends of the same question.
 	defaultKeyLimit = 8
 	// defaultLongFactor makes a request long if it costs this many times the geometric mean of the
-	// offered requests. In a mix that consists of manifests only, none is long.
+	// offered requests. In a mix that consists of equally long requests, none is long.
 	defaultLongFactor = 4.0
 	// defaultLongShare is the share of the slots that long requests may occupy. The other slots are
 	// freed quickly, for commits and short questions.
@@ -25,8 +25,8 @@
 	// rateEWMAWeight averages a measured rate over about ten requests: fast enough for a mix that
 	// shifts within minutes.
 	rateEWMAWeight = 0.1
-	// costEWMAWeight averages the usual cost over about fifty requests, so that a run of manifests
-	// doesn't make manifests usual.
+	// costEWMAWeight averages the usual cost over about fifty requests, so that a run of long
+	// requests doesn't raise the usual cost to theirs.
 	costEWMAWeight = 0.02
 	// reassessCapacityRatio is the ratio of new to old capacity below which the wait of all queued
 	// requests is forecast again.
--- a/internal/policy/loadtest/clairvoyant.go
+++ b/internal/policy/loadtest/clairvoyant.go
@@ -60,7 +60,7 @@
 	return &c
 }
 
-// Plan implements RolePlan.
+// Plan implements RolePlanner.
 func (c *Clairvoyant) Plan(now clock.Time, v *View) []RoleChange {
 	c.dropCompleted(v)
 	prefill, decode := c.demand(now, v.Arrivals.UncachedShare)
--- a/internal/policy/place/cache.go
+++ b/internal/policy/place/cache.go
@@ -28,7 +28,7 @@
 
 // resize sets the engine's memory to what the configuration specifies now. It is needed for each new
 // view: a cache that kept the size from the time at which its engine was first seen would stay empty
-// for the engine's whole life if that was before the configuration was read.
+// as long as the engine runs if that was before the configuration was read.
 func (c *cache) resize(tokens int) {
 	if tokens <= 0 {
 		tokens = defaultCacheTokens
--- a/internal/policy/place/ticket.go
+++ b/internal/policy/place/ticket.go
@@ -181,8 +181,8 @@
 	s.health.ejectedUntil = max(s.health.ejectedUntil, now.Add(duration))
 }
 
-// MarkUnresponsive records that the endpoint of an exchange shows no sign of life. It counts as a
-// failed exchange.
+// MarkUnresponsive records that the endpoint of an exchange has sent nothing for too long. This
+// counts as a failed exchange.
 func (p *Planner) MarkUnresponsive(now clock.Time, t *Ticket) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -136,7 +136,7 @@
 		p.stats.Final++
 		return Decision{Err: a.Err}
 	case a.Err.Run == code.Ran, a.Err.Run == code.Unknown && !a.Idempotent:
-		// Running an unlock or a commit twice is worse than not answering.
+		// Running a non-idempotent request twice is worse than not answering it.
 		p.stats.Unsafe++
 		return Decision{Err: a.Err}
 	case a.Tries >= p.cfg.MaxTries:
--- a/internal/reconcile/next.go
+++ b/internal/reconcile/next.go
@@ -33,7 +33,7 @@
 
 // DefaultTimeouts returns the default timeouts. Short requests (drafts and replies) finish within
 // seconds, the longest streams in less than two minutes. A failed load suggests that the weight
-// store is in trouble; immediate retries would make that worse.
+// store is overloaded; immediate retries would make that worse.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{
 		MaxFlight:    2 * time.Second,
--- a/internal/standin/caller/addresses.go
+++ b/internal/standin/caller/addresses.go
@@ -24,7 +24,7 @@
 	} `json:"addresses"`
 }
 
-// addressCache caches item caller's address list for its time to live.
+// addressCache caches one caller's address list for its time to live.
 type addressCache struct {
 	entries []string
 	client  *http.Client
@@ -64,7 +64,7 @@
 	}
 }
 
-// refresh requests the address list from item entry.
+// refresh requests the address list from one entry.
 func (a *addressCache) refresh(ctx context.Context, entry string) error {
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
--- a/internal/swim/detector.go
+++ b/internal/swim/detector.go
@@ -192,8 +192,8 @@
 	d.receivedAt = now
 }
 
-// isolated reports whether this VM receives datagrams from nobody, so that it can't judge which
-// other VMs have failed.
+// isolated reports whether this VM receives no datagrams from other VMs, so that it can't
+// determine which of them have failed.
 func (d *Detector) isolated(now clock.Time) bool { return now.Sub(d.receivedAt) > isolatedAfter }
 
 // DeclareFailed records that a VM which was expected to send has not. While this VM is isolated the
--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -8,7 +8,7 @@
 //
 // It differs from plain SWIM in three points:
 //   - Urgent changes are pushed at once to a few VMs chosen at random.
-//   - A VM that receives datagrams from nobody declares nobody failed.
+//   - A VM that receives no datagrams from other VMs declares none of them failed.
 //   - A VM that starts requests the full table from another one.
 package swim
 
