--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -37,7 +37,7 @@
 	started  time.Time
 }
 
-// Cached implements Lister.
+// Cached implements CacheLister.
 func (d *deployment) Cached(_ context.Context, e *catalog.Endpoint) ([]place.Part, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,7 +95,7 @@
 	return v.informed
 }
 
-// run runs the unit until the VM is informed.
+// run runs the unit until the VM tracks what engines have cached.
 func (v *vm) run(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/policy/crash/crash.go
+++ b/internal/policy/crash/crash.go
@@ -1,7 +1,7 @@
 // Package crash detects requests that crash the endpoints which run them.
 //
 // Load pattern: a request crashes each endpoint that starts to run it, and its caller retries it at
-// any VM. Unless VMs remember such requests, a pool of a dozen engines is lost within a minute.
+// any VM. Unless VMs record such requests, a pool of a dozen engines is lost within a minute.
 //
 // Approach: a request is identified by a fingerprint that all of its retries have in common. When an
 // endpoint breaks off without an answer, a crash is recorded for each request whose answer had not
--- a/internal/policy/stages/stages_test.go
+++ b/internal/policy/stages/stages_test.go
@@ -144,7 +144,7 @@
 }
 
 // Guards against an engine that stays in the wrong stage after a lost order: the order
-// gets no answer, counts as pending until it times out, and is then given again.
+// gets no answer, counts as pending until it times out, and is then sent again.
 func TestLostOrderIsRetried(t *testing.T) {
 	p := NewPlanner()
 	var at []time.Duration
--- a/internal/policy/suspect/suspect_test.go
+++ b/internal/policy/suspect/suspect_test.go
@@ -17,7 +17,7 @@
 	coRunning = 2
 )
 
-// Guards against blaming requests that merely shared an engine with a crashing request. Drafts that
+// Guards against blaming requests that merely shared an engine with a crashing request. Requests that
 // had already produced tokens stop being suspects once the crashing request is recorded, and that
 // request is quarantined after its second crash.
 func TestCoRunningRequestsAreNotQuarantined(t *testing.T) {
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -99,8 +99,8 @@
 	assert.DeepEqual(t, f.runPass(t, planInterval), []string{"a spot 6 fence 7"})
 }
 
-// Guards against a zone without spot endpoints that is asked in each pass, and whose share no other
-// zone makes up for.
+// Guards against ordering spot endpoints in each pass from a zone that has none, and against a
+// shortfall there that no other zone makes up for.
 func TestUnavailableZoneIsCompensatedAndRetriedLater(t *testing.T) {
 	f := newFleet(4)
 	f.provider.fail = []error{ErrNoneAvailable}
--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -95,8 +95,8 @@
 	return e.ReceivedAt
 }
 
-// UnresponsiveFor reports whether e has given no sign of life, directly or through others, for
-// longer than d.
+// UnresponsiveFor reports whether e isn't assumed to be alive and more than d has passed since its
+// last datagram, since it was declared failed, and since this VM first had it in its table.
 func (e *Entry) UnresponsiveFor(now clock.Time, d time.Duration) bool {
 	return !e.Alive(now) && now.Sub(max(e.ReceivedAt, e.silentSince, e.FirstSeenAt)) > d
 }
--- a/internal/swim/step.go
+++ b/internal/swim/step.go
@@ -234,8 +234,8 @@
 	return []Outgoing{{r.asker, d.message(Ack, r.seq, "")}}
 }
 
-// relayPing probes a VM on behalf of another one. It also answers the asker at once, which shows
-// the asker that it isn't isolated itself.
+// relayPing probes a VM on behalf of the sender of m. It also answers the sender at once, which
+// shows the sender that it isn't isolated itself.
 func (d *Detector) relayPing(now clock.Time, m *Message) []Outgoing {
 	d.seq++
 	d.relays[d.seq] = relay{asker: m.From.Peer, seq: m.Seq, sentAt: now}
