--- a/internal/entry/commits_test.go
+++ b/internal/entry/commits_test.go
@@ -42,8 +42,8 @@
 }
 
 // The log and the services fail while each key is sent to three entries concurrently and resent a
-// little later, all through the real drivers. A key that runs twice charges twice. A key that ran
-// but was answered with not-run only would be sent anew and charged again.
+// little later, all through the real drivers. A key that runs twice charges twice. A caller
+// whose key ran but was answered only not-run would send a new key and be charged again.
 func TestCommitsUnderLogAndServiceFaults(t *testing.T) {
 	cl := newCluster(t, clusterConfig{entries: 3, engines: []engine.Config{fastEngine()}, services: []service.Config{{}, {}}})
 	stop := make(chan struct{})
--- a/internal/gateway/changes_test.go
+++ b/internal/gateway/changes_test.go
@@ -23,7 +23,7 @@
 	return nil, 0, nil
 }
 
-// startFollower runs a follower that reads the store only when it is nudged. It returns its
+// startFollower runs a follower that reads the store only when Wake is called. It returns its
 // changes, the values that it has applied, and a channel that receives its reads.
 func startFollower(t *testing.T, c clock.Clock) (*Changes, map[string]string, chan struct{}) {
 	t.Helper()
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -205,8 +205,8 @@
 	})
 }
 
-// Guards against callers being sent to a leaving VM. All other VMs must learn of it at once, and
-// not only from the VM list or from missing heartbeats.
+// Guards against callers being sent to a leaving VM. It must announce this to all other VMs at
+// once; the VM list and missing heartbeats show it too late.
 func TestLeavingIsAnnouncedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
