--- a/internal/swim/record.go
+++ b/internal/swim/record.go
@@ -8,7 +8,7 @@
 //
 // It differs from plain SWIM in three points:
 //   - Urgent changes are pushed at once to a few VMs chosen at random.
-//   - A VM that receives datagrams from nobody declares nobody failed.
+//   - A VM that receives no datagrams from other VMs declares none of them failed.
 //   - A VM that starts requests the full table from another one.
 package swim
 
@@ -95,8 +95,8 @@
 	return e.ReceivedAt
 }
 
-// UnresponsiveFor reports whether e has given no sign of life, directly or through others, for
-// longer than d.
+// UnresponsiveFor reports whether e isn't assumed to be alive and more than d has passed since its
+// last datagram, since it was declared failed, and since this VM first had it in its table.
 func (e *Entry) UnresponsiveFor(now clock.Time, d time.Duration) bool {
 	return !e.Alive(now) && now.Sub(max(e.ReceivedAt, e.silentSince, e.FirstSeenAt)) > d
 }
