--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,5 @@
-// Package docs checks the pages against the code.
+// Package docs checks that the documentation pages agree with the code: keys of sheets and settings,
+// log messages, and the tests and scenarios cited as evidence.
 package docs
 
 import (
@@ -18,8 +19,8 @@
 	"fescuestand/internal/sheet"
 )
 
-// A key that is added to the code and not to its page, or removed from the
-// code only, is named here.
+// TestPagesNameEveryKey guards against a sheet or settings key that is added to the code but not to
+// its page, or removed from the code but left on the page.
 func TestPagesNameEveryKey(t *testing.T) {
 	for page, values := range map[string][]any{
 		"SHEET.md":    {sheet.Sheet{}},
@@ -27,80 +28,82 @@
 	} {
 		b, err := os.ReadFile(page)
 		assert.NilError(t, err)
-		known := map[string]bool{}
+		keysInCode := map[string]bool{}
 		for _, v := range values {
 			for _, key := range settings.Keys(v) {
-				known[key] = true
-				assert.Check(t, strings.Contains(string(b), "| `"+key+"` |"), "%s lacks a line for %s", page, key)
+				keysInCode[key] = true
+				assert.Check(t, strings.Contains(string(b), "| `"+key+"` |"), "%s has no table row for key %s", page, key)
 			}
 		}
 		for _, line := range strings.Split(string(b), "\n") {
 			var key string
 			if n, _ := fmt.Sscanf(line, "| `%s", &key); n == 1 {
 				key = strings.TrimSuffix(key, "`")
-				assert.Check(t, known[key], "%s has a line for %s, which the code does not take", page, key)
+				assert.Check(t, keysInCode[key], "%s documents key %s, which the code does not accept", page, key)
 			}
 		}
 	}
 }
 
 var (
-	logLine     = regexp.MustCompile(`\.(?:Info|Warn|Error)\("([^"]+)"\)|message=\\"([^"\\]+)\\"`)
-	toldMessage = regexp.MustCompile("`([a-zA-Z][^`=]*)`")
+	// logLine matches a call that logs a literal message, and message="..." in a string literal.
+	logLine = regexp.MustCompile(`\.(?:Info|Warn|Error)\("([^"]+)"\)|message=\\"([^"\\]+)\\"`)
+	// documentedMessage matches a message in backquotes on the page.
+	documentedMessage = regexp.MustCompile("`([a-zA-Z][^`=]*)`")
 )
 
-// vmPackages are what fescue-node consists of.
+// vmPackages lists the packages under internal whose log messages fescue-node writes.
 var vmPackages = []string{
 	"vm", "gateway", "gossip", "catalog", "configsync", "cachesync", "authority", "keyedlog", "orders", "exchange",
 	"eventlog", "kernel", "freshness", "usage", "scaling",
 	"policy/backpressure",
 }
 
-// An on-call engineer meets a line that no page explains, or looks for one that
-// the code has stopped writing.
+// TestOperationsNamesEveryEvent guards against a log message that OPERATIONS.md does not explain to the
+// on-call engineer, and against a documented message that the code no longer writes.
 func TestOperationsNamesEveryEvent(t *testing.T) {
 	b, err := os.ReadFile("OPERATIONS.md")
 	assert.NilError(t, err)
 	_, table, found := strings.Cut(string(b), "## Log lines")
 	assert.Assert(t, found)
 	table, _, _ = strings.Cut(table, "## Counters")
-	written := map[string]bool{}
+	loggedMessages := map[string]bool{}
 	for _, pkg := range vmPackages {
-		for _, m := range logLine.FindAllStringSubmatch(sourceOf(t, filepath.Join("..", "internal", pkg)), -1) {
+		for _, m := range logLine.FindAllStringSubmatch(readPackageSource(t, filepath.Join("..", "internal", pkg)), -1) {
 			message := m[1] + m[2]
-			written[message] = true
-			assert.Check(t, strings.Contains(table, "`"+message+"`"), "OPERATIONS.md lacks the line %q of %s", message, pkg)
+			loggedMessages[message] = true
+			assert.Check(t, strings.Contains(table, "`"+message+"`"), "OPERATIONS.md does not document log message %q of package %s", message, pkg)
 		}
 	}
-	for _, m := range logLine.FindAllStringSubmatch(sourceOf(t, "../platform"), -1) {
-		written[m[1]] = true
+	for _, m := range logLine.FindAllStringSubmatch(readPackageSource(t, "../platform"), -1) {
+		loggedMessages[m[1]] = true
 	}
 	for _, row := range strings.Split(table, "\n") {
 		cells := strings.Split(row, "|")
 		if len(cells) < 2 {
 			continue
 		}
-		for _, m := range toldMessage.FindAllStringSubmatch(cells[1], -1) {
-			assert.Check(t, written[m[1]], "OPERATIONS.md tells of %q, which no code writes", m[1])
+		for _, m := range documentedMessage.FindAllStringSubmatch(cells[1], -1) {
+			assert.Check(t, loggedMessages[m[1]], "OPERATIONS.md documents log message %q, which the code does not write", m[1])
 		}
 	}
 }
 
-// sourceOf returns the Go code of a package without its tests.
-func sourceOf(t *testing.T, dir string) string {
+// readPackageSource returns the concatenated Go files of the package in dir, without its tests.
+func readPackageSource(t *testing.T, dir string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	assert.NilError(t, err)
-	var all strings.Builder
+	var source strings.Builder
 	for _, f := range files {
 		if strings.HasSuffix(f, "_test.go") {
 			continue
 		}
 		b, err := os.ReadFile(f)
 		assert.NilError(t, err)
-		all.Write(b)
+		source.Write(b)
 	}
-	return all.String()
+	return source.String()
 }
 
 var (
@@ -108,17 +111,18 @@
 	scenarioName = regexp.MustCompile(`promise\d_\w+`)
 )
 
-// A proof that is renamed or removed must not stay on the page.
+// TestPromisesNameProofsThatExist guards against PROMISES.md citing a test or scenario that was renamed
+// or removed, and against a promise scenario that the page does not cite.
 func TestPromisesNameProofsThatExist(t *testing.T) {
 	b, err := os.ReadFile("PROMISES.md")
 	assert.NilError(t, err)
-	tests := testsOfTheTree(t)
+	existingTests := collectTestNames(t)
 	for _, name := range testName.FindAllString(string(b), -1) {
-		assert.Check(t, tests[name], "no test %s", name)
+		assert.Check(t, existingTests[name], "PROMISES.md cites test %s, which does not exist", name)
 	}
-	named := map[string]bool{}
+	citedScenarios := map[string]bool{}
 	for _, name := range scenarioName.FindAllString(string(b), -1) {
-		named[name] = true
+		citedScenarios[name] = true
 		_, err := os.Stat("../scenarios/" + name + ".txtar")
 		assert.Check(t, err)
 	}
@@ -126,12 +130,12 @@
 	assert.NilError(t, err)
 	for _, f := range files {
 		name := strings.TrimSuffix(filepath.Base(f), ".txtar")
-		assert.Check(t, named[name], "scenario %s stands behind no promise", name)
+		assert.Check(t, citedScenarios[name], "scenario %s is not cited in PROMISES.md", name)
 	}
 }
 
-// testsOfTheTree returns the names of all test functions under internal and platform.
-func testsOfTheTree(t *testing.T) map[string]bool {
+// collectTestNames returns all test names in the test files under internal, platform and scenarios.
+func collectTestNames(t *testing.T) map[string]bool {
 	t.Helper()
 	found := map[string]bool{}
 	for _, root := range []string{"../internal", "../platform", "../scenarios"} {
